--- a/packages/gateway/src/hollyknot_gateway/_answers.py
+++ b/packages/gateway/src/hollyknot_gateway/_answers.py
@@ -13,7 +13,7 @@
 """When a refused caller is told to come back, on the mean: long enough for an
 upstream to be tried again, short against every time limit met so far."""
 
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """By how much of it that time varies either way: crowds that are refused
 together would return together."""
 
@@ -36,7 +36,7 @@
         """Wires the parts."""
         self._parts = parts
 
-    def settle(self, job: Job, result: Result) -> bool:
+    def answer_if_settled(self, job: Job, result: Result) -> bool:
         """Answers the caller if a try has settled its request.
 
         Returns:
@@ -49,7 +49,7 @@
         if not verdict.is_complete or result.answer is None:
             return False
         answer = result.answer
-        job.reply.whole(answer.status, answer.headers, answer.body)
+        job.reply.respond(answer.status, answer.headers, answer.body)
         self._count(job.route.name, verdict, answer.status)
         return True
 
@@ -59,7 +59,7 @@
             self._cut_off(job, step.verdict)
         elif result.answer is not None:
             answer = result.answer
-            job.reply.whole(answer.status, answer.headers, answer.body)
+            job.reply.respond(answer.status, answer.headers, answer.body)
             self._count(job.route.name, result.verdict, answer.status)
         else:
             self.refuse(job.reply, job.call, step, job.route.name)
@@ -85,12 +85,12 @@
         outcome = Outcome.MAY_HAVE_RUN if job.may_have_run else Outcome.NOT_RUN
         verdict = Verdict(outcome, Reason.CALLER_GONE)
         self._count(job.route.name, verdict, _NONE)
-        self._tell("caller_gone", job.call, job.route.name, verdict, _NONE)
+        self._log_end("caller_gone", job.call, job.route.name, verdict, _NONE)
 
     def _cut_off(self, job: Job, verdict: Verdict) -> None:
         job.reply.cut()
         self._count(job.route.name, verdict, _NONE)
-        self._tell("cut_off", job.call, job.route.name, verdict, _NONE)
+        self._log_end("cut_off", job.call, job.route.name, verdict, _NONE)
 
     def refuse(
         self, reply: Reply, call: CallTraits, step: GiveUp, route: str
@@ -104,14 +104,16 @@
         if step.status == _UNAVAILABLE:
             mean_s = verdict.retry_after_s or RETRY_AFTER_S
             after_s = mean_s * self._parts.rng.uniform(
-                1 - RETRY_SPREAD, 1 + RETRY_SPREAD
+                1 - RETRY_JITTER, 1 + RETRY_JITTER
             )
             headers.append((b"Retry-After", b"%.2f" % after_s))
-        reply.whole(step.status, headers, verdict.reason.value.encode() + b"\n")
+        reply.respond(
+            step.status, headers, verdict.reason.value.encode() + b"\n"
+        )
         self._count(route, verdict, step.status)
-        self._tell("refused", call, route, verdict, step.status)
+        self._log_end("refused", call, route, verdict, step.status)
 
-    def _tell(
+    def _log_end(
         self,
         event: str,
         call: CallTraits,
--- a/packages/gateway/src/hollyknot_gateway/_caller_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_connection.py
@@ -27,12 +27,12 @@
 from hollyknot_state.routes import CallerLimits
 
 _BODY_BUFFER_BYTES = 65_536
-_QUEUED_REQUESTS = 16
+_MAX_PIPELINED_REQUESTS = 16
 """Requests that a caller may send ahead of their answers."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
-_NO_BODY = frozenset({204, 304})
+_STATUSES_WITHOUT_BODY = frozenset({204, 304})
 _BAD_REQUEST = 400
 _TOO_LARGE = 413
 _HEAD_TOO_LARGE = 431
@@ -65,12 +65,12 @@
     """The one answer to one request."""
 
     def __init__(
-        self, connection: "CallerConnection", method: str, *, is_modern: bool
+        self, connection: "CallerConnection", method: str, *, is_http11: bool
     ) -> None:
         """Nothing is sent yet."""
         self._connection = connection
         self._method = method
-        self._is_modern = is_modern
+        self._is_http11 = is_http11
         self._has_begun = False
         self._has_ended = False
 
@@ -93,16 +93,16 @@
         """Waits until the caller has taken most of what was written."""
         await self._connection.drained()
 
-    def whole(
+    def respond(
         self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> None:
         """Writes an answer."""
         self._has_begun = self._has_ended = True
         framed = list(headers)
-        if status not in _NO_BODY and self._method != "HEAD":
+        if status not in _STATUSES_WITHOUT_BODY and self._method != "HEAD":
             framed.append((b"Content-Length", b"%d" % len(body)))
         head = self._head(status, framed)
-        if self._method == "HEAD" or status in _NO_BODY:
+        if self._method == "HEAD" or status in _STATUSES_WITHOUT_BODY:
             body = b""
         self._connection.write(head + body)
 
@@ -112,7 +112,7 @@
         """Writes the head of an answer of unknown length, and a first part."""
         self._has_begun = True
         framed = list(headers)
-        if self._is_modern:
+        if self._is_http11:
             framed.append((b"Transfer-Encoding", b"chunked"))
         else:
             self._connection.close_after_answer()
@@ -126,7 +126,7 @@
     def finish(self) -> None:
         """Marks the answer as complete."""
         self._has_ended = True
-        if self._is_modern:
+        if self._is_http11:
             self._connection.write(_LAST_CHUNK)
 
     def cut(self) -> None:
@@ -151,7 +151,7 @@
         return write_head(line, headers)
 
     def _framed(self, data: bytes) -> bytes:
-        if not self._is_modern:
+        if not self._is_http11:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
@@ -259,12 +259,12 @@
         if self._has_request:
             return False
         limits = self._limits
-        most_s = (
+        limit_s = (
             limits.head_timeout_s
             if self._waiting_head
             else limits.idle_timeout_s
         )
-        return now_s - self._idle_since > most_s
+        return now_s - self._idle_since > limit_s
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sets the socket's options."""
@@ -285,13 +285,13 @@
         try:
             messages, is_upgraded, _ = self._parser.feed_data(data)
         except HttpProcessingError as error:
-            self._refuse_unparsed(error)
+            self._reject_unparsable(error)
             return
         if is_upgraded:
-            self._refuse_unparsed(BadHttpMessage("upgrade"))
+            self._reject_unparsable(BadHttpMessage("upgrade"))
             return
         self._queue.extend(messages)
-        if len(self._queue) > _QUEUED_REQUESTS:
+        if len(self._queue) > _MAX_PIPELINED_REQUESTS:
             self._on_unread(0, "too many requests ahead of their answers")
             self.abort()
             return
@@ -299,9 +299,9 @@
             if not self._waiting_head:
                 self._idle_since = self._loop.time()
             self._waiting_head = True
-        self._next()
+        self._start_next()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         if self._has_request or not self._queue or self.transport is None:
             return
         message, payload = self._queue.pop(0)
@@ -313,14 +313,14 @@
         arrived_s = self._loop.time()
         if message.should_close:
             self._closes = True
-        is_modern = message.version >= HttpVersion11
-        reply = Reply(self, message.method, is_modern=is_modern)
+        is_http11 = message.version >= HttpVersion11
+        reply = Reply(self, message.method, is_http11=is_http11)
         self._is_reading_body = True
         body = await self._body(message, payload)
         self._is_reading_body = False
         if body is None:
             self._closes = True
-            reply.whole(_TOO_LARGE, (), b"The body is too large.\n")
+            reply.respond(_TOO_LARGE, (), b"The body is too large.\n")
             self._on_unread(_TOO_LARGE, "the body is too large")
         else:
             request = CallerRequest(
@@ -336,7 +336,7 @@
                 arrived_s=arrived_s,
             )
             await self._answer(request, reply)
-        self._ended()
+        self._on_request_end()
 
     async def _answer(self, request: CallerRequest, reply: Reply) -> None:
         try:
@@ -347,22 +347,22 @@
             self.abort()
             raise
 
-    def _ended(self) -> None:
+    def _on_request_end(self) -> None:
         self._has_request = False
         self._task = None
         self._idle_since = self._loop.time()
         if self._closes:
             self.close()
         else:
-            self._next()
+            self._start_next()
 
     async def _body(
         self, message: RawRequestMessage, payload: Any
     ) -> bytes | None:
         """Returns a request's body, or None if it is too large."""
-        most = self._limits.max_body_bytes
+        max_bytes = self._limits.max_body_bytes
         announced = message.headers.get("Content-Length", "0")
-        if int(announced) > most:
+        if int(announced) > max_bytes:
             return None
         if message.headers.get("Expect", "").lower() == "100-continue":
             self.write(_CONTINUE)
@@ -370,12 +370,12 @@
         size = 0
         while part := await payload.readany():
             size += len(part)
-            if size > most:
+            if size > max_bytes:
                 return None
             parts.append(part)
         return b"".join(parts)
 
-    def _refuse_unparsed(self, error: HttpProcessingError) -> None:
+    def _reject_unparsable(self, error: HttpProcessingError) -> None:
         """Answers what isn't a request; nothing after it can be understood."""
         self._closes = True
         if self._has_request and not self._is_reading_body:
@@ -386,8 +386,8 @@
         if self._task is not None:
             self._task.cancel()
         is_long = isinstance(error, LineTooLong)
-        reply = Reply(self, "GET", is_modern=True)
+        reply = Reply(self, "GET", is_http11=True)
         status = _HEAD_TOO_LARGE if is_long else _BAD_REQUEST
-        reply.whole(status, (), b"The request can't be parsed.\n")
+        reply.respond(status, (), b"The request can't be parsed.\n")
         self._on_unread(status, type(error).__name__)
         self.close()
--- a/packages/gateway/src/hollyknot_gateway/_exchange.py
+++ b/packages/gateway/src/hollyknot_gateway/_exchange.py
@@ -22,14 +22,14 @@
 from hollyknot_state import Outcome, Reason, Verdict
 from hollyknot_state.routes import AnswerTraits
 
-BUFFERED_BYTES = 1_048_576
+MAX_BUFFERED_BYTES = 1_048_576
 """A whole answer up to this size is read before the caller gets any of it, so
 that a truncated one can be tried elsewhere and never looks whole."""
 
 _OK = 200
-_ERRORS = 300
-_SERVER_ERROR = 500
-_PROMISES = frozenset({408, 421, 429, 503})
+_MIN_ERROR_STATUS = 300
+_MIN_SERVER_ERROR_STATUS = 500
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run."""
 
 _ENCODING = "Content-Encoding"
@@ -143,9 +143,9 @@
         self._intervals = 0
         self._last_byte_s = self._sent_s
         self._is_relayed = False
-        self._is_large = False
-        self._is_held = False
-        self._resumer: asyncio.Task[None] | None = None
+        self._is_unbuffered = False
+        self._is_paused = False
+        self._resume_task: asyncio.Task[None] | None = None
         self.done: asyncio.Future[Result] = (
             asyncio.get_running_loop().create_future()
         )
@@ -173,8 +173,8 @@
         traits = self._dialect.read_answer(head.status, head.fields)
         self._traits = traits
         self._connection.keeps_s = traits.keeps_s
-        theirs = traits.attempt_id
-        if theirs and theirs != self._attempt_id:
+        answered_id = traits.attempt_id
+        if answered_id and answered_id != self._attempt_id:
             # The answer to a request before this one, come late. What this
             # request did is not known.
             self._reject("the answer names another request")
@@ -201,15 +201,15 @@
         if self.done.done():
             return
         if self._is_relayed:
-            self._relay(data)
+            self._relay_events(data)
             return
-        if self._is_large:
-            self._pass_on(data)
+        if self._is_unbuffered:
+            self._write_to_caller(data)
             return
         self._parts.append(data)
         self._size += len(data)
-        if self._size > BUFFERED_BYTES:
-            self._begin_large()
+        if self._size > MAX_BUFFERED_BYTES:
+            self._start_unbuffered()
 
     def on_end(self) -> None:
         """The answer is whole."""
@@ -218,48 +218,48 @@
         if self._is_relayed:
             self._end_stream()
             return
-        if self._is_large:
+        if self._is_unbuffered:
             self._reply.finish()
-            self._set(self._result(Outcome.COMPLETE, Reason.NONE, _OK))
+            self._set_result(self._result(Outcome.COMPLETE, Reason.NONE, _OK))
             return
         assert self._head is not None
         assert self._traits is not None
-        self._set(self._judge(self._head, self._traits))
+        self._set_result(self._classify(self._head, self._traits))
 
-    def give_up(self) -> None:
+    def fail_as_silent(self) -> None:
         """Ends a try that has been silent for too long."""
         self._fail(Reason.UPSTREAM_SILENT, "no byte in time")
 
-    def so_far(self, verdict: Verdict) -> Result:
+    def partial_result(self, verdict: Verdict) -> Result:
         """Returns the result of a try that ends before its answer does."""
-        return self._ended(verdict, None)
+        return self._build_result(verdict, None)
 
     def on_lost(self, lost: Lost) -> None:
         """The answer will not be whole."""
         self._fail(_REASONS[lost], lost.value)
 
-    def _judge(self, head: Head, traits: AnswerTraits) -> Result:
+    def _classify(self, head: Head, traits: AnswerTraits) -> Result:
         status = head.status
         if traits.is_refusal:
             return attrs.evolve(
                 self._result(Outcome.NOT_RUN, Reason.UPSTREAM_REFUSED, status),
                 is_other_upstream=traits.is_other_upstream,
             )
-        if not traits.is_sealed and status < _ERRORS:
+        if not traits.is_sealed and status < _MIN_ERROR_STATUS:
             return self._result(
                 Outcome.MAY_HAVE_RUN,
                 Reason.UPSTREAM_ERROR,
                 status,
                 detail="a success without proof of origin",
             )
-        if status in _PROMISES:
+        if status in _NOT_RUN_STATUSES:
             # It gives no proof, so that handing it on would be a promise that
             # nobody can keep.
             return self._result(
                 Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR, status
             )
         answer = Answer(status, end_to_end(head.headers), b"".join(self._parts))
-        if status >= _SERVER_ERROR:
+        if status >= _MIN_SERVER_ERROR_STATUS:
             return self._result(
                 Outcome.FAILED, Reason.UPSTREAM_ERROR, status, answer
             )
@@ -274,9 +274,9 @@
         detail: str = "",
     ) -> Result:
         verdict = Verdict(outcome, reason, detail, upstream_status=status)
-        return self._ended(verdict, answer)
+        return self._build_result(verdict, answer)
 
-    def _ended(self, verdict: Verdict, answer: Answer | None) -> Result:
+    def _build_result(self, verdict: Verdict, answer: Answer | None) -> Result:
         return Result(
             verdict,
             answer,
@@ -286,13 +286,13 @@
             took_s=self._clock() - self._sent_s,
         )
 
-    def _relay(self, data: bytes) -> None:
-        whole = self._stream.cutter.feed(data)
-        if not whole:
+    def _relay_events(self, data: bytes) -> None:
+        complete = self._stream.cutter.feed(data)
+        if not complete:
             return
-        self._pass_on(whole)
+        self._write_to_caller(complete)
 
-    def _pass_on(self, data: bytes) -> None:
+    def _write_to_caller(self, data: bytes) -> None:
         assert self._head is not None
         if not self._reply.has_begun:
             self._first_s = self._clock() - self._sent_s
@@ -302,39 +302,41 @@
             )
         else:
             self._reply.write(data)
-        if self._reply.is_slow and not self._is_held:
-            self._is_held = True
-            self._connection.hold()
-            self._resumer = asyncio.ensure_future(self._go_on_when_drained())
+        if self._reply.is_slow and not self._is_paused:
+            self._is_paused = True
+            self._connection.pause()
+            self._resume_task = asyncio.ensure_future(
+                self._resume_when_drained()
+            )
 
-    async def _go_on_when_drained(self) -> None:
+    async def _resume_when_drained(self) -> None:
         await self._reply.drained()
-        self._is_held = False
-        self._connection.go_on()
+        self._is_paused = False
+        self._connection.resume()
 
-    def _begin_large(self) -> None:
+    def _start_unbuffered(self) -> None:
         """Relays an answer that is too large to be held."""
         assert self._head is not None
         assert self._traits is not None
-        if not self._traits.is_sealed or self._head.status in _PROMISES:
+        if not self._traits.is_sealed or self._head.status in _NOT_RUN_STATUSES:
             self._reject("a large answer without proof of origin")
             self._connection.abandon()
             return
         data = b"".join(self._parts)
         self._parts.clear()
-        self._is_large = True
-        self._pass_on(data)
+        self._is_unbuffered = True
+        self._write_to_caller(data)
 
     def _end_stream(self) -> None:
         if self._stream.cutter.has_torn_event:
             self._fail(Reason.TRUNCATED, "the stream ended within an event")
             return
         if rest := self._stream.cutter.take_rest():
-            self._pass_on(rest)
+            self._write_to_caller(rest)
         if not self._reply.has_begun:
-            self._pass_on(b"")
+            self._write_to_caller(b"")
         self._reply.finish()
-        self._set(self._result(Outcome.COMPLETE, Reason.NONE, _OK))
+        self._set_result(self._result(Outcome.COMPLETE, Reason.NONE, _OK))
 
     def _reject(self, detail: str) -> None:
         """Ends a try whose answer must not reach the caller."""
@@ -342,10 +344,10 @@
 
     def _fail(self, reason: Reason, detail: str) -> None:
         status = self._head.status if self._head is not None else 0
-        self._set(
+        self._set_result(
             self._result(Outcome.MAY_HAVE_RUN, reason, status, detail=detail)
         )
 
-    def _set(self, result: Result) -> None:
+    def _set_result(self, result: Result) -> None:
         if not self.done.done():
             self.done.set_result(result)
--- a/packages/gateway/src/hollyknot_gateway/_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/_fetch.py
@@ -141,7 +141,7 @@
             head = write_head(line, [(b"Host", host)])
             connection.send(head, collector, is_head=False)
             found = await collector.done
-            pool.give_back(name, connection)
+            pool.release(name, connection)
             return found
     except TimeoutError:
         return FetchFailure.TIMEOUT
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -106,40 +106,44 @@
         while True:
             gate = parts.suspects.gate(job.fingerprint, parts.clock())
             if isinstance(gate, Refuse):
-                self._tell_quarantine(job)
-                step = give_up(gate.verdict, self._state(job))
+                self._log_quarantine(job)
+                step = give_up(gate.verdict, self._try_state(job))
                 self._answers.give_up(job, result, step)
                 return
             await self._tries.ask(job, gate)
             # Once: a request that was admitted is not refused because of an
             # upstream that could not be connected to.
-            refusal = None if is_admitted else self._refusal(job)
+            refusal = None if is_admitted else self._shed_by_load(job)
             if refusal is not None:
                 self._answers.give_up(job, result, refusal)
                 return
             choice = self._tries.choose(job, gate)
             if isinstance(choice, Choice):
-                too_slow = None if is_admitted else self._too_slow(job, choice)
+                too_slow = (
+                    None if is_admitted else self._shed_by_time(job, choice)
+                )
                 if too_slow is not None:
                     self._answers.give_up(job, result, too_slow)
                     return
                 is_admitted = True
                 result = await self._tries.run(job, choice)
-                if self._answers.settle(job, result):
+                if self._answers.answer_if_settled(job, result):
                     return
             elif not job.sent:
-                result = self._tries.nowhere(job)
-            following = next_step(job.route, result.verdict, self._state(job))
+                result = self._tries.no_upstream_result(job)
+            following = next_step(
+                job.route, result.verdict, self._try_state(job)
+            )
             if isinstance(following, GiveUp):
                 if following.is_unpaid:
-                    self._tell_retry(job, is_sent=False)
+                    self._log_retry(job, is_sent=False)
                 self._answers.give_up(job, result, following)
                 return
             if following.is_retry:
                 parts.budget.spend(job.service.name, parts.clock())
-                self._tell_retry(job, is_sent=True)
+                self._log_retry(job, is_sent=True)
 
-    def _tell_retry(self, job: Job, *, is_sent: bool) -> None:
+    def _log_retry(self, job: Job, *, is_sent: bool) -> None:
         """Tells by which account a retry was sent or denied."""
         parts = self._parts
         account = parts.budget.account(job.service.name, parts.clock())
@@ -158,7 +162,7 @@
             outcome="sent" if is_sent else "denied",
         )
 
-    def _tell_quarantine(self, job: Job) -> None:
+    def _log_quarantine(self, job: Job) -> None:
         """Tells of which crashes a refused request is suspected."""
         parts = self._parts
         upstreams = parts.suspects.upstreams(job.fingerprint)
@@ -169,7 +173,7 @@
             upstreams=",".join(upstreams),
         )
 
-    def _refusal(self, job: Job) -> GiveUp | None:
+    def _shed_by_load(self, job: Job) -> GiveUp | None:
         """Refuses a request that would only make others late.
 
         Where loads were asked for, those upstreams stand for all: they are a
@@ -189,7 +193,7 @@
             return None
         return _shed(f"{found.taken} in flight, {found.slots} slots")
 
-    def _too_slow(self, job: Job, choice: Choice) -> GiveUp | None:
+    def _shed_by_time(self, job: Job, choice: Choice) -> GiveUp | None:
         """Refuses a request whose answer would hardly end in time."""
         parts = self._parts
         if not job.call.prompt or not job.is_least_urgent:
@@ -206,17 +210,17 @@
             return None
         return _shed(f"needs {needed_s:.2f} s of {left_s:.2f}")
 
-    def _state(self, job: Job) -> TryState:
+    def _try_state(self, job: Job) -> TryState:
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        kept_from = job.tried | self._tries.closed(job, usable, now)
+        excluded = job.tried | self._tries.closed(job, usable, now)
         return TryState(
             sent=job.sent,
             may_have_run=job.may_have_run,
             left_s=job.deadline_s - now,
             budget_left=parts.budget.left(job.service.name, now),
-            candidates=sum(e.incarnation not in kept_from for e in usable),
+            candidates=sum(e.incarnation not in excluded for e in usable),
         )
 
 
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -454,9 +454,9 @@
         The steady clock does not count a suspension, so that connections seem
         to have been idle for a moment that their other ends gave up long ago.
         """
-        passed_s = self._suspension.passed_s()
-        if passed_s:
-            self._log.line("suspended", seconds=round(passed_s, 2))
+        suspended_s = self._suspension.suspended_s()
+        if suspended_s:
+            self._log.line("suspended", seconds=round(suspended_s, 2))
             self._pool.close()
 
     async def _flush(self) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_job.py
+++ b/packages/gateway/src/hollyknot_gateway/_job.py
@@ -59,7 +59,7 @@
     sent: int = 0
     sent_before: int = 0
     may_have_run: bool = False
-    ran_before: bool = False
+    may_have_run_before: bool = False
     tried: frozenset[str] = frozenset()
     asked: Sequence[UpstreamEntry] = ()
     asked_s: float = 0.0
--- a/packages/gateway/src/hollyknot_gateway/_operators.py
+++ b/packages/gateway/src/hollyknot_gateway/_operators.py
@@ -61,8 +61,8 @@
         self._scrapes.sweep(now_s)
 
     async def _answer_readiness(self, _: CallerRequest, reply: Reply) -> None:
-        reply.whole(_READY if self._is_ready() else _NOT_READY, (), b"")
+        reply.respond(_READY if self._is_ready() else _NOT_READY, (), b"")
 
     async def _answer_scrape(self, _: CallerRequest, reply: Reply) -> None:
         kind = (b"Content-Type", b"text/plain; version=0.0.4")
-        reply.whole(_READY, (kind,), self._metrics.render())
+        reply.respond(_READY, (kind,), self._metrics.render())
--- a/packages/gateway/src/hollyknot_gateway/_pool.py
+++ b/packages/gateway/src/hollyknot_gateway/_pool.py
@@ -11,14 +11,14 @@
 """A new connection in a data centre or a region takes milliseconds. A lost
 opening packet is sent again only after a second: another upstream is sooner."""
 
-IDLE_S = 4.0
+DEFAULT_IDLE_S = 4.0
 """How long a connection is kept if its upstream does not say how long."""
 
-_MARGIN_S = 1.0
+_CLOSE_MARGIN_S = 1.0
 """How much sooner than the upstream a host gives an idle connection up: a
 request that crosses the upstream's close may or may not have been read."""
 
-_KEPT_PART = 0.5
+_MIN_KEPT_FRACTION = 0.5
 """Of the time that an upstream says, where the margin would leave nothing."""
 
 
@@ -68,9 +68,7 @@
         self._idle.pop(incarnation, None)
         return await self.open(address, min(timeout_s, CONNECT_TIMEOUT_S))
 
-    def give_back(
-        self, incarnation: str, connection: UpstreamConnection
-    ) -> None:
+    def release(self, incarnation: str, connection: UpstreamConnection) -> None:
         """Keeps a connection for the next request, if it is in order."""
         if connection.is_reusable:
             self._idle.setdefault(incarnation, []).append(connection)
@@ -100,8 +98,8 @@
             self.drop(incarnation)
 
     def _is_fresh(self, connection: UpstreamConnection) -> bool:
-        kept_s = connection.keeps_s or IDLE_S
-        limit_s = max(kept_s - _MARGIN_S, kept_s * _KEPT_PART)
+        kept_s = connection.keeps_s or DEFAULT_IDLE_S
+        limit_s = max(kept_s - _CLOSE_MARGIN_S, kept_s * _MIN_KEPT_FRACTION)
         return self._clock() - connection.idle_since < limit_s
 
     async def open(
--- a/packages/gateway/src/hollyknot_gateway/_prober.py
+++ b/packages/gateway/src/hollyknot_gateway/_prober.py
@@ -26,8 +26,8 @@
         self,
         pool: Pool,
         reachability: Reachability,
-        on_away: Callable[[UpstreamEntry, ConnectFailure], None],
-        on_back: Callable[[UpstreamEntry], None],
+        on_unreachable: Callable[[UpstreamEntry, ConnectFailure], None],
+        on_reachable: Callable[[UpstreamEntry], None],
         log: Log,
         clock: Callable[[], float],
     ) -> None:
@@ -43,8 +43,8 @@
         """
         self._pool = pool
         self._reachability = reachability
-        self._on_away = on_away
-        self._on_back = on_back
+        self._on_unreachable = on_unreachable
+        self._on_reachable = on_reachable
         self._log = log
         self._clock = clock
         self._probes: dict[str, asyncio.Task[ConnectFailure | None]] = {}
@@ -86,15 +86,15 @@
         )
         # What is kept open to it may be silent for good.
         self._pool.drop(entry.incarnation)
-        self._on_away(entry, failure)
+        self._on_unreachable(entry, failure)
 
     async def _probe(self, entry: UpstreamEntry) -> ConnectFailure | None:
         found = await self._pool.open(entry.address, PROBE_TIMEOUT_S)
         if isinstance(found, ConnectFailure):
             self.failed(entry, found)
             return found
-        self._pool.give_back(entry.incarnation, found)
+        self._pool.release(entry.incarnation, found)
         if self._reachability.succeeded(entry.incarnation, self._clock()):
             self._log.line("reachable", upstream=entry.incarnation)
-            self._on_back(entry)
+            self._on_reachable(entry)
         return None
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -43,27 +43,27 @@
             return
         rate = traits.rate_limit
         if rate is NoLimit.UNREADABLE:
-            self._tell_unreadable(entry)
+            self._log_unreadable(entry)
             return
         self._unreadable.discard(entry.incarnation)
         if rate is NoLimit.NOT_NAMED and not traits.is_sealed:
             return
         limit = None if isinstance(rate, NoLimit) else rate
         if self._named.hear(entry.incarnation, limit, sent_s, self._clock()):
-            self._tell(entry, limit)
+            self._log_limit(entry, limit)
 
     def forget(self, incarnation: str) -> None:
         """Notes that an upstream has left for good."""
         self._named.forget(incarnation)
         self._unreadable.discard(incarnation)
 
-    def _tell(self, entry: UpstreamEntry, rate: float | None) -> None:
+    def _log_limit(self, entry: UpstreamEntry, rate: float | None) -> None:
         if rate is None:
             self._log.line("limit_withdrawn", upstream=entry.incarnation)
         else:
             self._log.line("limit_named", upstream=entry.incarnation, rate=rate)
 
-    def _tell_unreadable(self, entry: UpstreamEntry) -> None:
+    def _log_unreadable(self, entry: UpstreamEntry) -> None:
         if entry.incarnation not in self._unreadable:
             self._unreadable.add(entry.incarnation)
             self._log.line("limit_unreadable", upstream=entry.incarnation)
--- a/packages/gateway/src/hollyknot_gateway/_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/_stalls.py
@@ -17,21 +17,21 @@
 from hollyknot_gateway._exchange import Exchange
 from hollyknot_state.routes import Route, RouteKind, UpstreamEntry
 
-FIRST_PATIENCE = 3.0
+FIRST_TIMEOUT_FACTOR = 3.0
 """Of a route's target, before an answer that has not begun is given up."""
 
-LEAST_FIRST_S = 0.5
+MIN_FIRST_TIMEOUT_S = 0.5
 """A busy engine answers after some hundreds of milliseconds; ending its work
 then would throw away what it has read in."""
 
-GAP_PATIENCE = 5.0
+GAP_TIMEOUT_FACTOR = 5.0
 """Of a route's pause target, before a stream is taken to hang."""
 
-LEAST_GAP_S = 0.8
+MIN_GAP_TIMEOUT_S = 0.8
 """Callers leave a silent stream after two seconds; this leaves time to go on
 with it elsewhere."""
 
-AWAY_SILENCE_S = 0.2
+UNREACHABLE_SILENCE_S = 0.2
 """Silence after which a try at an upstream that can't be reached is cut off
 too: a connection that still carries bytes is better than a new try."""
 
@@ -80,8 +80,10 @@
         """
         if not route.is_repeatable or route.max_attempts <= 1:
             return
-        gap_s = max(GAP_PATIENCE * route.gap_target_s, LEAST_GAP_S)
-        first_s = max(FIRST_PATIENCE * route.target_s, LEAST_FIRST_S)
+        gap_s = max(GAP_TIMEOUT_FACTOR * route.gap_target_s, MIN_GAP_TIMEOUT_S)
+        first_s = max(
+            FIRST_TIMEOUT_FACTOR * route.target_s, MIN_FIRST_TIMEOUT_S
+        )
         if route.kind is not RouteKind.STREAM:
             gap_s = first_s
         self._watched[exchange] = _Watched(
@@ -103,7 +105,7 @@
         Returns:
             How many.
         """
-        since_s = self._clock() - AWAY_SILENCE_S
+        since_s = self._clock() - UNREACHABLE_SILENCE_S
         cut_off = [
             watched.exchange
             for watched in self._watched.values()
@@ -111,7 +113,7 @@
             and watched.exchange.last_byte_s < since_s
         ]
         for exchange in cut_off:
-            exchange.give_up()
+            exchange.fail_as_silent()
         return len(cut_off)
 
     def sweep(self) -> int:
@@ -131,5 +133,5 @@
         for watched in stalled:
             if watched.retries_left() - ended[watched.service] >= 1.0:
                 ended[watched.service] += 1
-                watched.exchange.give_up()
+                watched.exchange.fail_as_silent()
         return ended.total()
--- a/packages/gateway/src/hollyknot_gateway/_suspension.py
+++ b/packages/gateway/src/hollyknot_gateway/_suspension.py
@@ -3,12 +3,12 @@
 import time
 from collections.abc import Callable
 
-SUSPENDED_S = 0.5
+MIN_SUSPENSION_S = 0.5
 """Difference of the clocks from which a host counts as suspended: between two
 readings of both a busy host may be held up for some milliseconds."""
 
 
-def _stood_still_s() -> float:
+def _suspended_since_boot_s() -> float:
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
 
 
@@ -16,7 +16,7 @@
     """Compares a clock that counts suspensions with one that does not."""
 
     def __init__(
-        self, difference: Callable[[], float] = _stood_still_s
+        self, difference: Callable[[], float] = _suspended_since_boot_s
     ) -> None:
         """Starts from now.
 
@@ -24,11 +24,11 @@
             difference: Returns by how much one clock is ahead, in seconds.
         """
         self._difference = difference
-        self._before_s = difference()
+        self._previous_s = difference()
 
-    def passed_s(self) -> float:
+    def suspended_s(self) -> float:
         """Returns for how long the host was suspended since the last call."""
         now_s = self._difference()
-        passed_s = now_s - self._before_s
-        self._before_s = now_s
-        return passed_s if passed_s > SUSPENDED_S else 0.0
+        suspended_s = now_s - self._previous_s
+        self._previous_s = now_s
+        return suspended_s if suspended_s > MIN_SUSPENSION_S else 0.0
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -31,7 +31,7 @@
     {Reason.CONNECT_FAILED, Reason.NO_UPSTREAM, Reason.RATE_LIMITED}
 )
 
-MOST_PERMITS_REFUSED = 3
+MAX_PERMITS_REFUSED = 3
 """Upstreams with a limit that one request asks a permit for in vain: each time
 may take some tens of milliseconds."""
 
@@ -106,7 +106,7 @@
         closed |= parts.permits.closed(
             entries, now_s, is_least_urgent=job.is_least_urgent
         )
-        if job.permits_refused >= MOST_PERMITS_REFUSED:
+        if job.permits_refused >= MAX_PERMITS_REFUSED:
             closed |= {
                 entry.incarnation
                 for entry in entries
@@ -114,7 +114,7 @@
             }
         return closed
 
-    def nowhere(self, job: Job) -> Result:
+    def no_upstream_result(self, job: Job) -> Result:
         """Returns the result of a request that no upstream can be sent."""
         parts = self._parts
         now = parts.clock()
@@ -145,12 +145,12 @@
         found: Choice | NoPlace = NoPlace.NONE_KNOWN
         # One that fails often, or could not be reached lately, is better than
         # none at all.
-        for kept_away in (away | ejected, away, frozenset[str]()):
+        for avoided in (away | ejected, away, frozenset[str]()):
             found = parts.placement.choose(
                 job.service,
                 usable,
                 job.call,
-                job.tried | kept_away | closed,
+                job.tried | avoided | closed,
                 now,
                 is_loose=job.is_loose,
                 urgency=job.urgency,
@@ -164,16 +164,16 @@
     async def run(self, job: Job, choice: Choice) -> Result:
         """Sends a request and waits for the end of the try."""
         result = await self._try(job, choice)
-        self._note(job, choice, result)
+        self._record_result(job, choice, result)
         return result
 
     async def _try(self, job: Job, choice: Choice) -> Result:
         parts = self._parts
         entry = choice.entry
-        began_limited = parts.permits.is_limited(entry)
-        if began_limited and not await self._has_permit(job, entry):
-            return self.nowhere(job)
-        began_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
+        was_limited = parts.permits.is_limited(entry)
+        if was_limited and not await self._has_permit(job, entry):
+            return self.no_upstream_result(job)
+        was_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
         if not parts.cold_starts.take(entry.incarnation, parts.clock()):
             return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
         work = parts.placement.begin(
@@ -195,8 +195,8 @@
                     Outcome.NOT_RUN, Reason.CONNECT_FAILED, connection.value
                 )
                 return Result(verdict)
-            if not self._is_still_open(
-                entry, began_cold=began_cold, began_limited=began_limited
+            if not self._still_accepts(
+                entry, was_cold=was_cold, was_limited=was_limited
             ):
                 connection.close()
                 return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
@@ -210,11 +210,11 @@
             try:
                 result = await asyncio.shield(exchange.done)
             except asyncio.CancelledError:
-                is_detached = self._leave(job, choice, work, exchange)
+                is_detached = self._end_unwaited(job, choice, work, exchange)
                 raise
             finally:
                 parts.stalls.discard(exchange)
-            self._give_back(entry, connection)
+            self._release(entry, connection)
             return result
         finally:
             if not is_detached:
@@ -234,8 +234,8 @@
         )
         return is_issued
 
-    def _is_still_open(
-        self, entry: UpstreamEntry, *, began_cold: bool, began_limited: bool
+    def _still_accepts(
+        self, entry: UpstreamEntry, *, was_cold: bool, was_limited: bool
     ) -> bool:
         """Whether an upstream takes work now that a connection is made.
 
@@ -248,8 +248,8 @@
         is_limited = parts.permits.is_limited(entry)
         return (
             is_usable
-            and (began_cold or not is_cold)
-            and (began_limited or not is_limited)
+            and (was_cold or not is_cold)
+            and (was_limited or not is_limited)
         )
 
     def _retries_left(self, job: Job, entry: UpstreamEntry) -> float:
@@ -264,10 +264,10 @@
             return 0.0
         return parts.budget.left(job.service.name, now)
 
-    def _give_back(
+    def _release(
         self, entry: UpstreamEntry, connection: UpstreamConnection
     ) -> None:
-        self._parts.pool.give_back(entry.incarnation, connection)
+        self._parts.pool.release(entry.incarnation, connection)
         if not connection.is_reusable:
             connection.abandon()
 
@@ -291,7 +291,7 @@
             connection,
             parts.clock,
             lambda: parts.placement.start(work),
-            lambda interval_s: self._note_interval(entry, interval_s),
+            lambda interval_s: self._record_interval(entry, interval_s),
             lambda traits, sent_s: parts.rate_limits.hear(
                 entry, traits, sent_s
             ),
@@ -309,7 +309,7 @@
         connection.send(data, exchange, is_head=is_head)
         return exchange
 
-    def _note_interval(self, entry: UpstreamEntry, interval_s: float) -> None:
+    def _record_interval(self, entry: UpstreamEntry, interval_s: float) -> None:
         parts = self._parts
         parts.forecasts.note_interval(
             entry.incarnation, interval_s, parts.clock()
@@ -336,7 +336,7 @@
         line = f"{request.method} {request.target} HTTP/1.1"
         return write_head(line.encode("latin-1"), headers) + request.body
 
-    def _leave(
+    def _end_unwaited(
         self,
         job: Job,
         choice: Choice,
@@ -353,7 +353,7 @@
         gone = attrs.evolve(
             _CALLER_GONE, detail=_TIME_IS_UP if is_late else _CALLER_LEFT
         )
-        self._log_try(job, choice, exchange.so_far(gone))
+        self._log_try(job, choice, exchange.partial_result(gone))
         if not is_call or is_late:
             exchange.connection.abandon()
             self._parts.losses.ended(
@@ -382,27 +382,27 @@
                 result = await exchange.done
             verdict = result.verdict
             self._log_try(job, choice, result)
-            self._give_back(choice.entry, exchange.connection)
+            self._release(choice.entry, exchange.connection)
         except TimeoutError:
             exchange.connection.abandon()
             gone = attrs.evolve(_CALLER_GONE, detail=_TIME_IS_UP)
-            self._log_try(job, choice, exchange.so_far(gone))
+            self._log_try(job, choice, exchange.partial_result(gone))
         finally:
             self._parts.placement.end(work)
             self._parts.losses.ended(choice.entry, job.fingerprint, verdict)
 
-    def _note(self, job: Job, choice: Choice, result: Result) -> None:
+    def _record_result(self, job: Job, choice: Choice, result: Result) -> None:
         entry = choice.entry
         verdict = result.verdict
-        self._note_health(entry, verdict)
+        self._record_health(entry, verdict)
         if job.sent > job.sent_before:
             job.sent_before = job.sent
             self._parts.losses.ended(entry, job.fingerprint, verdict)
         job.tried |= {entry.incarnation}
         if verdict.is_proved_not_run:
-            job.may_have_run = job.ran_before
+            job.may_have_run = job.may_have_run_before
         else:
-            job.ran_before = True
+            job.may_have_run_before = True
         if result.is_other_upstream:
             self._parts.in_force.fleet.mark_gone(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
@@ -455,7 +455,7 @@
                 metrics.GAP, result.gap_s, route=job.route.name
             )
 
-    def _note_health(self, entry: UpstreamEntry, verdict: Verdict) -> None:
+    def _record_health(self, entry: UpstreamEntry, verdict: Verdict) -> None:
         parts = self._parts
         if verdict.reason in _NOT_SENT:
             return
--- a/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
@@ -29,7 +29,7 @@
 silently died is known before the next request is lost on it."""
 
 KEEPALIVE_PROBES = 2
-_NEVER_PAUSED = 2**26
+_UNREACHED_LIMIT_BYTES = 2**26
 _HEAD_END = b"\r\n\r\n"
 _INFORMATIONAL = 200
 
@@ -87,7 +87,7 @@
         self._receiver: Receiver | None = None
         self._payload: StreamReader | None = None
         self._head = b""
-        self._keeps = True
+        self._is_kept_alive = True
         self._idle_since = self._loop.time()
         self.keeps_s = 0.0
 
@@ -99,7 +99,7 @@
     @property
     def is_reusable(self) -> bool:
         """Whether the last answer left the connection in a known state."""
-        return self.is_open and self._receiver is None and self._keeps
+        return self.is_open and self._receiver is None and self._is_kept_alive
 
     @property
     def idle_since(self) -> float:
@@ -127,7 +127,7 @@
             # It calls no more of it than the methods below.
             cast(BaseProtocol, self),
             self._loop,
-            _NEVER_PAUSED,
+            _UNREACHED_LIMIT_BYTES,
             max_line_size=MAX_HEAD_BYTES,
             max_field_size=MAX_HEAD_BYTES,
             response_with_body=not is_head,
@@ -147,13 +147,13 @@
         if self._transport is not None:
             self._transport.close()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Stops reading, while the caller is slow."""
         if self.is_open:
             assert self._transport is not None
             self._transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Reads again."""
         if self.is_open:
             assert self._transport is not None
@@ -176,22 +176,22 @@
         if self._receiver is None:
             # Nobody has asked: a late or a second answer, which must not be
             # taken for the answer to the next request.
-            self._keeps = False
+            self._is_kept_alive = False
             if self._transport is not None:
                 self._transport.abort()
             return
         try:
             self._parse(data)
         except HttpProcessingError:
-            self._lose(Lost.GARBLED)
+            self._fail(Lost.GARBLED)
 
     def eof_received(self) -> None:
         """The upstream has closed its side."""
-        self._end_by_close(is_clean=True)
+        self._on_close(is_clean=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended."""
-        self._end_by_close(is_clean=exc is None)
+        self._on_close(is_clean=exc is None)
         self._transport = None
 
     def _parse(self, data: bytes) -> None:
@@ -200,28 +200,28 @@
             end = self._head.find(_HEAD_END)
             if end < 0:
                 if len(self._head) > MAX_HEAD_BYTES:
-                    self._lose(Lost.GARBLED)
+                    self._fail(Lost.GARBLED)
                 return
             end += len(_HEAD_END)
             head, data = self._head[:end], self._head[end:]
             self._head = b""
-            if not self._take_head(head):
+            if not self._parse_head(head):
                 return
-        self._take_body(data)
+        self._parse_body(data)
 
-    def _take_head(self, data: bytes) -> bool:
+    def _parse_head(self, data: bytes) -> bool:
         """Returns whether there is more to parse."""
         assert self._parser is not None
         assert self._receiver is not None
         messages, is_upgraded, _ = self._parser.feed_data(data)
         if not messages or is_upgraded:
-            self._lose(Lost.GARBLED)
+            self._fail(Lost.GARBLED)
             return False
         message, payload = messages[0]
         if message.code < _INFORMATIONAL:
             return True
         self._payload = payload
-        self._keeps = not message.should_close
+        self._is_kept_alive = not message.should_close
         self._receiver.on_head(
             Head(
                 message.code,
@@ -232,20 +232,20 @@
         )
         return self._receiver is not None
 
-    def _take_body(self, data: bytes) -> None:
+    def _parse_body(self, data: bytes) -> None:
         payload = self._payload
         assert payload is not None
         assert self._parser is not None
         if payload.is_eof():
-            self._keeps = self._keeps and not data
+            self._is_kept_alive = self._is_kept_alive and not data
         elif data:
             try:
                 messages, _, _ = self._parser.feed_data(data)
-                self._keeps = self._keeps and not messages
+                self._is_kept_alive = self._is_kept_alive and not messages
             except HttpProcessingError:
                 # What follows a whole answer belongs to no request; the
                 # answer itself is good.
-                self._keeps = False
+                self._is_kept_alive = False
                 if not payload.is_eof():
                     raise
             if part := payload.read_nowait():
@@ -259,36 +259,36 @@
         self._receiver = None
         self._parser = None
         self._idle_since = self._loop.time()
-        if not self._keeps and self._transport is not None:
+        if not self._is_kept_alive and self._transport is not None:
             self._transport.close()
         if receiver is not None:
             receiver.on_end()
 
-    def _end_by_close(self, *, is_clean: bool) -> None:
+    def _on_close(self, *, is_clean: bool) -> None:
         if self._receiver is None:
             return
         payload = self._payload
         if payload is None:
-            self._lose(Lost.CLOSED if is_clean else Lost.RESET)
+            self._fail(Lost.CLOSED if is_clean else Lost.RESET)
             return
         if not is_clean:
             # A reset may have thrown bytes away, so that a body which ends
             # with its connection is not known to be whole.
-            self._lose(Lost.RESET)
+            self._fail(Lost.RESET)
             return
         assert self._parser is not None
         try:
             self._parser.feed_eof()
         except HttpProcessingError:
-            self._lose(Lost.TRUNCATED)
+            self._fail(Lost.TRUNCATED)
             return
-        self._keeps = False
+        self._is_kept_alive = False
         self._finish()
 
-    def _lose(self, lost: Lost) -> None:
+    def _fail(self, lost: Lost) -> None:
         receiver = self._receiver
         self._receiver = None
-        self._keeps = False
+        self._is_kept_alive = False
         if self._transport is not None:
             self._transport.abort()
         if receiver is not None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -23,22 +23,22 @@
 LOST = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
 CULPRIT = 99
 UPSTREAMS = 45
-BESIDE = 20
+CONCURRENT_REQUESTS = 20
 """Other requests that are in flight where it runs."""
 
-JUDGE_S = 0.83
+VERDICT_DELAY_S = 0.83
 """From a crash to the host's verdict."""
 
 CONTACT_S = 4.0
-MOST_CRASHES = 3
-MOST_LATE = 3
+MAX_CRASHES = 3
+MAX_LATE_SENDS = 3
 """What the rule allows after the third crash and the time to tell of it."""
 
-LEARN_S = 12.0
+DISCOVERY_S = 12.0
 """Until all hosts know each other."""
 
-LENGTH_S = 18.0
-LOST_PART = 0.02
+DURATION_S = 18.0
+LOSS_FRACTION = 0.02
 """Of datagrams."""
 
 
@@ -62,15 +62,15 @@
     @property
     def late(self) -> int:
         """Sends after the third crash and the time to tell of it."""
-        if len(self.crashes) < MOST_CRASHES:
+        if len(self.crashes) < MAX_CRASHES:
             return 0
-        last_s = self.crashes[MOST_CRASHES - 1] + CONTACT_S
+        last_s = self.crashes[MAX_CRASHES - 1] + CONTACT_S
         return sum(at_s > last_s for at_s in self.sent)
 
     async def repeat(self, a_second: float) -> None:
         """Is sent again and again."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + LENGTH_S
+        until_s = loop.time() + DURATION_S
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < until_s:
                 await asyncio.sleep(self.rng.expovariate(a_second))
@@ -88,25 +88,25 @@
         upstream = self.rng.choice(names)
         self.sent.append(loop.time())
         host.suspects.on_dispatch(CULPRIT, upstream)
-        beside = {
+        concurrent = {
             self.rng.getrandbits(60): self.rng.choice(self.hosts)
-            for _ in range(BESIDE)
+            for _ in range(CONCURRENT_REQUESTS)
         }
-        for number, other in beside.items():
+        for number, other in concurrent.items():
             other.suspects.on_dispatch(number, upstream)
         await asyncio.sleep(0.05)
         self.crashes.append(loop.time())
-        await asyncio.sleep(JUDGE_S)
+        await asyncio.sleep(VERDICT_DELAY_S)
         host.suspects.on_end(CULPRIT, upstream, LOST, loop.time())
-        for number, other in beside.items():
+        for number, other in concurrent.items():
             other.suspects.on_end(number, upstream, LOST, loop.time())
 
 
-def _play(hosts: int, seed: int, a_second: float) -> _Culprit:
+def _simulate(hosts: int, seed: int, a_second: float) -> _Culprit:
     async def main() -> _Culprit:
         network = Network(hosts, seed, is_busy=True)
         network.start()
-        await asyncio.sleep(LEARN_S)
+        await asyncio.sleep(DISCOVERY_S)
         culprit = _Culprit(network.hosts, random.Random(seed))
         await culprit.repeat(a_second)
         network.stop()
@@ -116,15 +116,15 @@
 
 
 @attrs.define(eq=False, repr=False)
-class _Teller:
+class _NewsHost:
     """A host that only passes on news."""
 
-    peers: list["_Teller"] = attrs.Factory(list)
+    peers: list["_NewsHost"] = attrs.Factory(list)
     suspects: SuspectRegister = attrs.Factory(
         lambda: SuspectRegister(SuspectOptions())
     )
 
-    def pass_on(self, now_s: float, rng: random.Random) -> None:
+    def gossip(self, now_s: float, rng: random.Random) -> None:
         """Passes on what is new; some of it is lost."""
         data = self.suspects.take_news(now_s)
         if not data:
@@ -132,25 +132,25 @@
         message = decode_message(encode_news(data))
         assert isinstance(message, SuspectNews)
         for peer in rng.sample(self.peers, NEWS_TARGETS):
-            if rng.random() >= LOST_PART:
+            if rng.random() >= LOSS_FRACTION:
                 peer.suspects.on_records(message.suspects, now_s)
 
 
-def _play_news(hosts: int, heard: int, seed: int) -> _Culprit:
+def _simulate_news_only(hosts: int, heard: int, seed: int) -> _Culprit:
     """Plays hosts that tell each other nothing but news of crashes."""
 
     async def main() -> _Culprit:
         rng = random.Random(seed)
-        tellers = [_Teller() for _ in range(hosts)]
-        for teller in tellers:
-            teller.peers = rng.sample(tellers, heard)
-        culprit = _Culprit(tellers, rng)
+        news_hosts = [_NewsHost() for _ in range(hosts)]
+        for news_host in news_hosts:
+            news_host.peers = rng.sample(news_hosts, heard)
+        culprit = _Culprit(news_hosts, rng)
         playing = asyncio.create_task(culprit.repeat(2.0))
         while not playing.done():
             await asyncio.sleep(REPORT_S)
             now_s = asyncio.get_running_loop().time()
-            for teller in tellers:
-                teller.pass_on(now_s, rng)
+            for news_host in news_hosts:
+                news_host.gossip(now_s, rng)
         return culprit
 
     return run_virtually(main())
@@ -159,18 +159,18 @@
 class TestCulpritBeforeManyHosts:
     """Hosts that tell each other seldom still learn of crashes in time."""
 
-    def test_is_not_sent_on_where_reports_come_seldom(self) -> None:
+    def test_rare_reports_still_stop_a_crashing_request(self) -> None:
         """A request goes on crashing upstreams through hosts not yet told."""
         late = {
-            (hosts, seed): _play(hosts, seed, a_second=2.0).late
+            (hosts, seed): _simulate(hosts, seed, a_second=2.0).late
             for hosts in (8, 83)
             for seed in (1, 2)
         }
-        assert max(late.values()) <= MOST_LATE, late
+        assert max(late.values()) <= MAX_LATE_SENDS, late
 
     @pytest.mark.parametrize(("hosts", "heard"), [(300, 200), (2500, 400)])
-    def test_is_not_sent_on_where_only_news_is_told(
+    def test_crash_news_alone_stops_a_crashing_request(
         self, hosts: int, heard: int
     ) -> None:
         """A request goes on crashing upstreams where no bytes are left."""
-        assert _play_news(hosts, heard, seed=1).late <= MOST_LATE
+        assert _simulate_news_only(hosts, heard, seed=1).late <= MAX_LATE_SENDS
--- a/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
@@ -33,7 +33,7 @@
     async def take(self, *_: object) -> "_Server":
         return self
 
-    def give_back(self, *_: object) -> None:
+    def release(self, *_: object) -> None:
         return
 
     def send(self, _: bytes, receiver: Receiver, *, is_head: bool) -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
@@ -5,12 +5,12 @@
 import attrs
 
 from hollyknot_gateway._exchange import Exchange
-from hollyknot_gateway._stalls import FIRST_PATIENCE, Stalls
+from hollyknot_gateway._stalls import FIRST_TIMEOUT_FACTOR, Stalls
 from hollyknot_state import Address
 from hollyknot_state.routes import Route, RouteKind, Share, UpstreamEntry
 
 TARGET_S = 0.4
-SILENT_S = FIRST_PATIENCE * TARGET_S + 0.1
+SILENT_S = FIRST_TIMEOUT_FACTOR * TARGET_S + 0.1
 
 _ENTRY = UpstreamEntry("i-1", "s", Address("127.0.0.1", 7), "north", 8)
 _ROUTE = Route(
@@ -35,7 +35,7 @@
     has_head: bool = False
     is_ended: bool = False
 
-    def give_up(self) -> None:
+    def fail_as_silent(self) -> None:
         self.is_ended = True
 
 
@@ -62,18 +62,18 @@
 class TestStalls:
     """Tries that hang, while a retry can follow and while none can."""
 
-    def test_a_silent_try_is_ended_while_a_retry_can_follow(self) -> None:
+    def test_silent_try_ends_while_a_retry_is_left(self) -> None:
         watch = _Watch(1, 5.0)
         watch.now_s = SILENT_S
         assert watch.stalls.sweep() == 1
         assert watch.ended == 1
 
-    def test_one_that_is_not_silent_yet_goes_on(self) -> None:
+    def test_try_goes_on_until_the_time_limit(self) -> None:
         watch = _Watch(1, 5.0)
-        watch.now_s = FIRST_PATIENCE * TARGET_S - 0.1
+        watch.now_s = FIRST_TIMEOUT_FACTOR * TARGET_S - 0.1
         assert watch.stalls.sweep() == 0
 
-    def test_it_is_waited_for_if_none_can(self) -> None:
+    def test_silent_try_is_kept_without_a_retry_left(self) -> None:
         """Urgent streams get nothing while others begin beside them.
 
         Sequence: a burst; urgent streams wait in engines' queues for longer
@@ -87,13 +87,13 @@
         watch.retries_left = 1.0
         assert watch.stalls.sweep() == 1
 
-    def test_no_more_are_ended_than_retries_are_left(self) -> None:
+    def test_no_more_tries_end_than_retries_are_left(self) -> None:
         watch = _Watch(10, 4.5)
         watch.now_s = SILENT_S
         assert watch.stalls.sweep() == 4
         assert watch.ended == 4
 
-    def test_those_at_an_upstream_that_is_away_are_ended(self) -> None:
+    def test_silent_tries_at_an_unreachable_upstream_end(self) -> None:
         watch = _Watch(2, 0.0)
         watch.now_s = SILENT_S
         assert watch.stalls.upstream_away("i-1") == 2
--- a/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
@@ -6,7 +6,7 @@
 class TestSuspension:
     """Two clocks that differ, or do not."""
 
-    def test_a_host_that_stood_still(self) -> None:
+    def test_suspension_is_noticed_once(self) -> None:
         """The first requests after a suspension are lost.
 
         Sequence: a host is suspended for a minute; it wakes and sends on kept
@@ -15,6 +15,6 @@
         """
         ahead_s = iter([5.0, 5.0, 65.0, 65.001])
         suspension = Suspension(lambda: next(ahead_s))
-        assert suspension.passed_s() == 0.0
-        assert suspension.passed_s() == 60.0
-        assert suspension.passed_s() == 0.0
+        assert suspension.suspended_s() == 0.0
+        assert suspension.suspended_s() == 60.0
+        assert suspension.suspended_s() == 0.0
