--- a/packages/gateway/src/hollyknot_gateway/_answers.py
+++ b/packages/gateway/src/hollyknot_gateway/_answers.py
@@ -1,4 +1,4 @@
-"""The one answer that a caller gets, whatever became of its request."""
+"""Writes the final answer to a caller, with its log line and counters."""
 
 from hollyknot_coordination.forwarding import GiveUp
 from hollyknot_gateway import _metrics as metrics
@@ -10,37 +10,37 @@
 from hollyknot_state.routes import CallTraits
 
 RETRY_AFTER_S = 0.5
-"""When a refused caller is told to come back, on the mean: long enough for an
-upstream to be tried again, short against every time limit met so far."""
+"""Mean Retry-After of a refusal, in seconds: long enough for an upstream to be
+usable again, short compared with the time limits of routes."""
 
 RETRY_JITTER = 0.5
-"""By how much of it that time varies either way: crowds that are refused
-together would return together."""
+"""Fraction by which Retry-After varies either way: callers that are refused
+together would otherwise return together."""
 
 NO_ROUTE = ""
-"""Stands for the route of a request that has none, in lines and counters."""
+"""The route in log lines and counters of a request that matches none."""
 
 _UNAVAILABLE = 503
 _TIMEOUT = 504
 _OK = 200
 _NONE = 0
-"""Counted as the status where a caller got no whole answer."""
+"""The status in log lines and counters if no complete answer was sent."""
 
-_LATE = "the time that the route or the caller gives is over"
+_LATE = "the time limit of the route or the caller has passed"
 
 
 class Answers:
-    """Writes answers, and a line and a count for each refusal."""
+    """Writes answers, counts them and logs refusals."""
 
     def __init__(self, parts: FlowParts) -> None:
-        """Wires the parts."""
+        """Builds the writer of answers from the flow's parts."""
         self._parts = parts
 
     def answer_if_settled(self, job: Job, result: Result) -> bool:
-        """Answers the caller if a try has settled its request.
+        """Answers the caller if a try has completed its request.
 
         Returns:
-            Whether it has.
+            Whether the request is answered.
         """
         if job.reply.has_ended:
             self._count(job.route.name, result.verdict, _OK)
@@ -54,7 +54,7 @@
         return True
 
     def give_up(self, job: Job, result: Result, step: GiveUp) -> None:
-        """Answers a request that no further try can help."""
+        """Answers a request that is not tried again."""
         if job.reply.has_begun:
             self._cut_off(job, step.verdict)
         elif result.answer is not None:
@@ -65,7 +65,7 @@
             self.refuse(job.reply, job.call, step, job.route.name)
 
     def time_out(self, job: Job) -> None:
-        """Answers a request whose time is over."""
+        """Answers a request whose deadline has passed."""
         if job.may_have_run:
             verdict = Verdict(
                 Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT, _LATE
@@ -81,7 +81,7 @@
         )
 
     def caller_gone(self, job: Job) -> None:
-        """Notes a request that nobody waits for any more."""
+        """Counts and logs a request whose caller has disconnected."""
         outcome = Outcome.MAY_HAVE_RUN if job.may_have_run else Outcome.NOT_RUN
         verdict = Verdict(outcome, Reason.CALLER_GONE)
         self._count(job.route.name, verdict, _NONE)
@@ -95,7 +95,7 @@
     def refuse(
         self, reply: Reply, call: CallTraits, step: GiveUp, route: str
     ) -> None:
-        """Answers a request with a status of the host's own."""
+        """Answers a request with a status that the host itself chooses."""
         verdict = step.verdict
         headers = [(b"Content-Type", b"text/plain")]
         if call.attempt_id:
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -1,4 +1,4 @@
-"""One request, from its head to its verdict."""
+"""Handles one request from its arrival to its verdict."""
 
 import asyncio
 
@@ -31,16 +31,16 @@
 
 
 class Flow:
-    """Answers each request once."""
+    """Routes requests to upstreams and gives each exactly one answer."""
 
     def __init__(self, parts: FlowParts) -> None:
-        """Wires the parts."""
+        """Builds the flow from its parts."""
         self._parts = parts
         self._tries = Tries(parts)
         self._answers = Answers(parts)
 
     async def handle(self, request: CallerRequest, reply: Reply) -> None:
-        """Takes one request to its end."""
+        """Handles one request until it is answered, late or cancelled."""
         call = self._parts.dialect.read_call(request.fields)
         job = self._admit(request, reply, call)
         if isinstance(job, GiveUp):
@@ -111,8 +111,8 @@
                 self._answers.give_up(job, result, step)
                 return
             await self._tries.ask(job, gate)
-            # Once: a request that was admitted is not refused because of an
-            # upstream that could not be connected to.
+            # Admission is decided once: an admitted request is not shed later
+            # because its first upstream could not be connected to.
             refusal = None if is_admitted else self._shed_by_load(job)
             if refusal is not None:
                 self._answers.give_up(job, result, refusal)
@@ -144,7 +144,7 @@
                 self._log_retry(job, is_sent=True)
 
     def _log_retry(self, job: Job, *, is_sent: bool) -> None:
-        """Tells by which account a retry was sent or denied."""
+        """Logs a sent or denied retry with the state of its retry budget."""
         parts = self._parts
         account = parts.budget.account(job.service.name, parts.clock())
         parts.log.line(
@@ -163,7 +163,7 @@
         )
 
     def _log_quarantine(self, job: Job) -> None:
-        """Tells of which crashes a refused request is suspected."""
+        """Logs the upstreams that a refused request may have crashed."""
         parts = self._parts
         upstreams = parts.suspects.upstreams(job.fingerprint)
         parts.log.line(
@@ -174,10 +174,14 @@
         )
 
     def _shed_by_load(self, job: Job) -> GiveUp | None:
-        """Refuses a request that would only make others late.
+        """Sheds one of the least urgent requests while engines are overloaded.
 
-        Where loads were asked for, those upstreams stand for all: they are a
-        random part of them, and what is known of the others is old.
+        If loads were queried for this request, the decision uses only the
+        upstreams queried: they are a random sample, and the loads known of
+        the others are out of date.
+
+        Returns:
+            The refusal, or None if the request may be sent.
         """
         parts = self._parts
         if not job.call.prompt or not job.is_least_urgent:
@@ -186,7 +190,7 @@
         usable = parts.in_force.fleet.usable(job.service.name, now)
         away = parts.reachability.away(usable)
         entries = job.asked or [e for e in usable if e.incarnation not in away]
-        # Free slots of one with a limit are no help to the others.
+        # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
         found = parts.shedding.decide(unlimited or entries, job.sheds_from, now)
         if not isinstance(found, Shed):
@@ -194,7 +198,11 @@
         return _shed(f"{found.taken} in flight, {found.slots} slots")
 
     def _shed_by_time(self, job: Job, choice: Choice) -> GiveUp | None:
-        """Refuses a request whose answer would hardly end in time."""
+        """Sheds a request whose answer is unlikely to end before its deadline.
+
+        Returns:
+            The refusal, or None if the request may be sent.
+        """
         parts = self._parts
         if not job.call.prompt or not job.is_least_urgent:
             return None
--- a/packages/gateway/src/hollyknot_gateway/_flow_parts.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow_parts.py
@@ -1,4 +1,4 @@
-"""What the handling of requests is made of."""
+"""Lists the components that request handling depends on."""
 
 import random
 from collections.abc import Callable
@@ -31,30 +31,30 @@
 
 @attrs.frozen
 class FlowParts:
-    """What the flow is made of.
+    """The components that a host's request handling shares.
 
     Attributes:
         dialect: Reads and writes headers.
-        in_force: Routes and upstreams.
-        placement: Chooses upstreams.
+        in_force: Current routes and upstreams.
+        placement: Chooses an upstream for each try.
         shedding: Refuses streams while engines are nearly full.
-        loads: Work in flight.
-        forecasts: Learns how long streams take there at the moment.
-        reachability: Knows which upstreams can't be connected to.
-        health: Knows which upstreams fail much of their work.
-        cold_starts: Bounds what upstreams get that have just started.
-        rate_limits: Reads the limits that upstreams name.
+        loads: In-flight work at each upstream.
+        forecasts: Estimates how long streams take at each upstream.
+        reachability: Tracks upstreams that refuse or ignore connections.
+        health: Tracks upstreams that fail a large part of their requests.
+        cold_starts: Bounds requests to upstreams that have just started.
+        rate_limits: Reads the rate limits that upstreams announce.
         neighbours: Asks other hosts for loads and permits.
-        permits: Knows which upstreams with a limit are not worth asking for.
-        prober: Finds that out by new connections.
-        suspects: Knows which requests may crash upstreams.
-        losses: Tells it how tries ended.
-        stalls: Ends tries that hang.
-        budget: Bounds retries.
-        pool: Connections to upstreams.
-        log: Takes a line for each decision.
-        metrics: Counts ends and times.
-        rng: Spreads times to come back and the shares of a split.
+        permits: Tracks which rate-limited upstreams have no permits left.
+        prober: Checks by new connections whether upstreams can be reached.
+        suspects: Tracks requests that may crash upstreams.
+        losses: Reports to `suspects` how each try ended.
+        stalls: Ends tries that have stopped receiving data.
+        budget: The retry budget of each service.
+        pool: Idle and new connections to upstreams.
+        log: Writes a line for each decision.
+        metrics: Counts results and records durations.
+        rng: Draws Retry-After jitter and the service of a split route.
         clock: The loop's monotonic clock, in seconds.
     """
 
--- a/packages/gateway/src/hollyknot_gateway/_headers.py
+++ b/packages/gateway/src/hollyknot_gateway/_headers.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only, and those that a host writes."""
+"""Filters hop-by-hop headers and writes message heads."""
 
 from collections.abc import Iterable
 
@@ -24,9 +24,10 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Returns the headers that are passed on.
+    """Returns the headers to forward, without hop-by-hop headers.
 
-    The body's framing is left out too: whoever writes the message states it.
+    Content-Length and Transfer-Encoding are left out too: whoever writes the
+    message adds its own framing.
     """
     dropped = _CONNECTION_ONLY
     for name, value in headers:
@@ -39,7 +40,11 @@
 def write_head(
     first_line: bytes, headers: Iterable[tuple[bytes, bytes]]
 ) -> bytes:
-    """Returns a message's head; names and values come from a checked parser."""
+    """Returns a message's head.
+
+    Names and values are not checked: they come from a validating parser or
+    from this host.
+    """
     lines = [first_line]
     lines += [name + b": " + value for name, value in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/packages/gateway/src/hollyknot_gateway/_job.py
+++ b/packages/gateway/src/hollyknot_gateway/_job.py
@@ -1,4 +1,4 @@
-"""A request on its way through a host."""
+"""Holds the state of one request while a host handles it."""
 
 import hashlib
 from collections.abc import Sequence
@@ -19,29 +19,30 @@
 
 @attrs.define
 class Job:
-    """A request whose route and customer are known, and its tries so far.
+    """A request with a known route and customer, and its tries so far.
 
     Attributes:
-        request: As the caller sent it.
-        reply: Its answer.
-        call: What its headers say.
-        route: Where it goes.
-        service: The service that this request was given to.
-        owner: Whose it is.
-        fingerprint: Of its method, target, customer and body.
-        urgency: The same at all hosts; 0 is the first.
-        is_loose: Whether its stream bears long pauses.
-        sheds_from: The urgency from which it may be refused under load.
-        deadline_s: When it times out, on the loop's clock.
-        stream: What the caller has got of a stream.
-        sent: Upstreams that it was sent to.
-        sent_before: The same without the try in work.
-        may_have_run: Whether one of them may have run it.
-        ran_before: The same without the try in work.
-        tried: Those upstreams, and those that could not be connected to.
-        asked: Upstreams whose loads were asked for before the next choice.
-        asked_s: How long all such questions took so far.
-        permits_refused: Permits for upstreams with a limit that it did not get.
+        request: The request as the caller sent it.
+        reply: Writes the answer to the caller.
+        call: What the request's headers say.
+        route: The route that matches the request's host and target.
+        service: The service of the route that this request goes to.
+        owner: The owner of the request's key.
+        fingerprint: Hash of the method, target, customer key and body.
+        urgency: Scheduling class, the same at all hosts; 0 is the most urgent.
+        is_loose: Whether the stream tolerates long inter-token gaps.
+        sheds_from: The urgency from which requests may be shed under load.
+        deadline_s: When the request times out, on the loop's clock.
+        stream: The part of an event stream that the caller has received.
+        sent: How many times the request was sent to an upstream.
+        sent_before: `sent` without the current try.
+        may_have_run: Whether any upstream may have run the request.
+        may_have_run_before: `may_have_run` without the current try.
+        tried: Incarnations that were sent the request or could not be
+            connected to.
+        asked: Upstreams whose loads were queried for the next choice.
+        asked_s: Seconds spent on all load queries so far.
+        permits_refused: Permits for rate-limited upstreams that were refused.
     """
 
     request: CallerRequest
@@ -67,12 +68,12 @@
 
     @property
     def is_least_urgent(self) -> bool:
-        """Whether it is among the least urgent of its service."""
+        """Whether the request is among the least urgent of its service."""
         return self.urgency >= self.sheds_from
 
 
 def fingerprint(request: CallerRequest, call: CallTraits) -> int:
-    """Returns what is equal when a request comes again, at any host."""
+    """Returns a hash that is the same at each host if a request is repeated."""
     head = f"{request.method} {request.target} {call.key}\n"
     digest = hashlib.blake2b(head.encode("utf-8", "replace"), digest_size=8)
     digest.update(request.body)
--- a/packages/gateway/src/hollyknot_gateway/_pool.py
+++ b/packages/gateway/src/hollyknot_gateway/_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstreams, by incarnation."""
+"""Pools keep-alive connections to upstreams by incarnation."""
 
 import asyncio
 import enum
@@ -8,54 +8,60 @@
 from hollyknot_state import Address
 
 CONNECT_TIMEOUT_S = 0.3
-"""A new connection in a data centre or a region takes milliseconds. A lost
-opening packet is sent again only after a second: another upstream is sooner."""
+"""A new connection in a data centre or a region takes milliseconds. The kernel
+resends a lost SYN only after a second; trying another upstream is faster."""
 
 DEFAULT_IDLE_S = 4.0
-"""How long a connection is kept if its upstream does not say how long."""
+"""How long an idle connection is kept if its upstream names no time."""
 
 _CLOSE_MARGIN_S = 1.0
-"""How much sooner than the upstream a host gives an idle connection up: a
-request that crosses the upstream's close may or may not have been read."""
+"""How much earlier than the upstream a host closes an idle connection: if a
+request crosses the upstream's close, it is unknown whether it was read."""
 
 _MIN_KEPT_FRACTION = 0.5
-"""Of the time that an upstream says, where the margin would leave nothing."""
+"""Least fraction of the upstream's keep-alive time for which a connection is
+kept: the margin could use up a short time."""
 
 
 class ConnectFailure(enum.Enum):
-    """No byte of a request has left: it is proved not to have run."""
+    """Why a connection failed; no byte was sent, so the request has not run."""
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
 
 
 class Pool:
-    """The host's connections to all upstreams."""
+    """Opens connections to all upstreams and keeps the idle ones."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Holds none yet; `close` ends what it holds."""
+        """Builds an empty pool; `close` closes its connections.
+
+        Args:
+            clock: The loop's monotonic clock, in seconds.
+        """
         self._clock = clock
         self._idle: dict[str, list[UpstreamConnection]] = {}
         self._opened = 0
 
     @property
     def opened(self) -> int:
-        """Connections opened so far."""
+        """Connection attempts so far."""
         return self._opened
 
     def has_idle(self, incarnation: str) -> bool:
-        """Whether a connection is kept that carries no request."""
+        """Whether an idle connection to an upstream is kept."""
         return incarnation in self._idle
 
     async def take(
         self, incarnation: str, address: Address, timeout_s: float
     ) -> UpstreamConnection | ConnectFailure:
-        """Returns a connection that carries no request.
+        """Returns an idle connection or opens a new one.
 
         Args:
-            incarnation: The upstream.
-            address: Where it answers.
-            timeout_s: The longest wait for a new connection.
+            incarnation: The upstream's incarnation.
+            address: The upstream's address.
+            timeout_s: The longest wait for a new connection, in seconds; at
+                most `CONNECT_TIMEOUT_S` counts.
         """
         idle = self._idle.get(incarnation)
         while idle:
@@ -69,12 +75,12 @@
         return await self.open(address, min(timeout_s, CONNECT_TIMEOUT_S))
 
     def release(self, incarnation: str, connection: UpstreamConnection) -> None:
-        """Keeps a connection for the next request, if it is in order."""
+        """Keeps a connection for the next request, if it can be reused."""
         if connection.is_reusable:
             self._idle.setdefault(incarnation, []).append(connection)
 
     def drop(self, incarnation: str) -> None:
-        """Closes the idle connections to an upstream that has gone."""
+        """Closes all idle connections to an upstream."""
         for connection in self._idle.pop(incarnation, ()):
             connection.close()
 
@@ -105,7 +111,7 @@
     async def open(
         self, address: Address, timeout_s: float
     ) -> UpstreamConnection | ConnectFailure:
-        """Makes a new connection."""
+        """Opens a new connection."""
         loop = asyncio.get_running_loop()
         self._opened += 1
         try:
--- a/packages/gateway/src/hollyknot_gateway/_ports.py
+++ b/packages/gateway/src/hollyknot_gateway/_ports.py
@@ -1,7 +1,7 @@
-"""Where another interface or platform is plugged in: four sets of functions.
+"""Defines the functions by which a platform plugs into the gateway.
 
-The gateway itself knows no header's name, no document's shape and no store.
-Each set below is given at the start by the package that starts a host.
+The gateway itself knows no header names, document formats or stores. The
+package that starts a host passes a `Dialect` and its `Source`s in.
 """
 
 import enum
@@ -13,24 +13,25 @@
 from hollyknot_state.routes import AnswerTraits, CallTraits, Dispatch
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""As they were received, in order."""
+"""Names and values as they were received, in order."""
 
 Fields = Any
-"""A mapping from header names, without regard to case, to texts."""
+"""A mapping from case-insensitive header names to text values."""
 
 T = TypeVar("T")
 
 
 @attrs.frozen
 class Dialect:
-    """The names that callers, hosts and upstreams use in headers.
+    """Reads and writes the headers of callers, hosts and upstreams.
 
     Attributes:
-        read_call: Returns what a request says of itself.
-        upstream_headers: Returns the headers that an upstream gets, from the
-            caller's, without those of the connection.
-        read_answer: Returns what an answer's head says of itself.
-        attempt_header: Names the request in answers of the host's own.
+        read_call: Returns what a request's headers say.
+        upstream_headers: Returns the headers to send to an upstream, made
+            from the caller's end-to-end headers.
+        read_answer: Returns what an answer's status and headers say.
+        attempt_header: Name of the header that carries the caller's request
+            id in answers that the host writes itself.
     """
 
     read_call: Callable[[Fields], CallTraits]
@@ -41,11 +42,11 @@
 
 @attrs.frozen
 class Unreadable:
-    """An item that holds nothing of use, whoever wrote it.
+    """An item of a collection that can't be parsed.
 
     Attributes:
-        name: Of the item in its collection.
-        reason: What is wrong with it.
+        name: The item's name in its collection.
+        reason: What is wrong with the item.
     """
 
     name: str
@@ -54,14 +55,15 @@
 
 @attrs.frozen
 class Listing(Generic[T]):
-    """A whole collection.
+    """All items of a collection.
 
     Attributes:
-        items: By name.
-        revision: From which to watch.
-        unreadable: Those that could not be read.
-        changed: The newest revision at which an item of it was written.
-        era: In which the revisions were given out; None if it isn't told.
+        items: Readable items by name.
+        revision: The revision after which to watch.
+        unreadable: Items that could not be read.
+        changed: The newest revision at which an item was written.
+        era: The era that the revisions belong to; None if the source doesn't
+            name it.
     """
 
     items: dict[str, T]
@@ -73,15 +75,16 @@
 
 @attrs.frozen
 class Changes(Generic[T]):
-    """What has changed in a collection.
+    """The changes in a collection since a revision.
 
     Attributes:
-        items: Written, by name.
-        removed: Names that are gone.
-        revision: From which to go on.
-        unreadable: Written, but could not be read.
+        items: New and changed items by name.
+        removed: Names of removed items.
+        revision: The revision after which to go on watching.
+        unreadable: New and changed items that could not be read.
         changed: The newest revision among the changes; 0 for none.
-        era: As of a listing.
+        era: The era that the revisions belong to; None if the source doesn't
+            name it.
     """
 
     items: dict[str, T]
@@ -93,18 +96,18 @@
 
 
 class Compacted(enum.Enum):
-    """The history since the revision asked for is no longer kept."""
+    """The source no longer keeps the history since the requested revision."""
 
     COMPACTED = "compacted"
 
 
 @attrs.frozen
 class SourceFailure:
-    """A read that told nothing.
+    """A failed read of a collection.
 
     Attributes:
         reason: A slug for logs.
-        detail: What went wrong.
+        detail: What went wrong, for logs.
     """
 
     reason: str
@@ -116,10 +119,11 @@
     """A collection that can be listed and watched.
 
     Attributes:
-        name: For logs.
-        list: Reads all of it.
-        watch: Waits for changes after a revision, for some seconds at most.
-            Calls its last argument each time a part of the answer arrives.
+        name: The collection's name in logs.
+        list: Reads the whole collection.
+        watch: Waits for changes after a revision, at most for the given
+            seconds. Calls its last argument whenever a part of the answer
+            arrives.
     """
 
     name: str
--- a/packages/gateway/src/hollyknot_gateway/_prober.py
+++ b/packages/gateway/src/hollyknot_gateway/_prober.py
@@ -1,9 +1,10 @@
-"""Tells by new connections whether upstreams can be reached.
+"""Checks by opening new connections whether upstreams can be reached.
 
-A connection that is open may be silent for good, and a request that waits for
-a timeout on it tells little and late. A new connection takes a round trip, is
-no request, and its end says much: made, the upstream lives; refused, its
-process is gone; silent, the way there is cut.
+An open connection may be dead without a sign, and a request that times out on
+it shows little, and late. A connection attempt takes one round trip, runs no
+request, and its result is telling: if it succeeds, the upstream is alive; if
+it is refused, the upstream's process is gone; if it times out, the network
+path is cut.
 """
 
 import asyncio
@@ -16,11 +17,11 @@
 from hollyknot_state.routes import UpstreamEntry
 
 PROBE_TIMEOUT_S = 0.3
-"""A round trip takes milliseconds, also between regions tens of them."""
+"""A round trip takes milliseconds, between regions tens of milliseconds."""
 
 
 class Prober:
-    """Connects to upstreams in the background, once at a time to each."""
+    """Probes upstreams in the background, each with one connection at a time."""
 
     def __init__(
         self,
@@ -31,14 +32,14 @@
         log: Log,
         clock: Callable[[], float],
     ) -> None:
-        """Probes nothing yet; `close` ends all probes.
+        """Builds a prober without running probes; `close` ends all probes.
 
         Args:
-            pool: Makes and keeps connections.
-            reachability: Is told what was found.
-            on_away: Told of an upstream that can't be reached any more.
-            on_back: Told of one that can be reached again.
-            log: Likewise.
+            pool: Opens connections and keeps those that succeed.
+            reachability: Records the results of probes.
+            on_unreachable: Called when an upstream becomes unreachable.
+            on_reachable: Called when an upstream is reachable again.
+            log: Logs both changes.
             clock: The loop's monotonic clock, in seconds.
         """
         self._pool = pool
@@ -59,10 +60,11 @@
     def check(
         self, entry: UpstreamEntry
     ) -> "asyncio.Task[ConnectFailure | None]":
-        """Probes an upstream, unless that is being done.
+        """Probes an upstream, unless a probe of it is running already.
 
         Returns:
-            A task whose result is the failure, or None if it was reached.
+            The probe's task; its result is the failure, or None if the
+            upstream was reached.
         """
         name = entry.incarnation
         probe = self._probes.get(name)
@@ -73,18 +75,18 @@
         return probe
 
     def check_all(self, entries: Iterable[UpstreamEntry]) -> None:
-        """Probes upstreams that may all have been cut off at once."""
+        """Probes several upstreams, such as those behind the same network cut."""
         for entry in entries:
             self.check(entry)
 
     def failed(self, entry: UpstreamEntry, failure: ConnectFailure) -> None:
-        """Notes a connection that could not be made."""
+        """Records a connection attempt that failed."""
         if not self._reachability.failed(entry, self._clock()):
             return
         self._log.line(
             "unreachable", upstream=entry.incarnation, reason=failure.value
         )
-        # What is kept open to it may be silent for good.
+        # Idle connections to it may be dead without a sign.
         self._pool.drop(entry.incarnation)
         self._on_unreachable(entry, failure)
 
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -1,4 +1,4 @@
-"""What upstreams say of the rate that they take."""
+"""Reads the rate limits that upstreams announce in their answers."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 
 
 class RateLimits:
-    """Reads rate limits from answers, and logs what is new."""
+    """Reads rate limits from answers and logs their changes."""
 
     def __init__(
         self, named: NamedLimits, log: Log, clock: Callable[[], float]
     ) -> None:
-        """Wires the parts.
+        """Builds the reader of rate limits.
 
         Args:
-            named: What is known.
-            log: Told of limits that are named, changed and withdrawn.
+            named: Stores the limit of each upstream.
+            log: Logs limits that are announced, changed or withdrawn.
             clock: The loop's monotonic clock, in seconds.
         """
         self._named = named
@@ -26,18 +26,18 @@
         self._unreadable: set[str] = set()
 
     def rate(self, entry: UpstreamEntry) -> float | None:
-        """Returns an upstream's limit in requests a second; None for none."""
+        """Returns an upstream's limit in requests per second; None for none."""
         return self._named.rate(entry.incarnation)
 
     def hear(
         self, entry: UpstreamEntry, traits: AnswerTraits, sent_s: float
     ) -> None:
-        """Takes what the head of an answer says.
+        """Records the rate limit that the head of an answer announces.
 
         Args:
-            entry: The upstream that was asked.
-            traits: What its answer says.
-            sent_s: When the request was sent.
+            entry: The upstream that the request was sent to.
+            traits: What the answer's head says.
+            sent_s: When the request was sent, on the loop's clock.
         """
         if traits.is_other_upstream:
             return
@@ -53,7 +53,7 @@
             self._log_limit(entry, limit)
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Discards the limit of an upstream that has left for good."""
         self._named.forget(incarnation)
         self._unreadable.discard(incarnation)
 
