--- a/packages/gateway/src/hollyknot_gateway/_caller_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_connection.py
@@ -1,9 +1,9 @@
-"""One HTTP connection of a caller, on the library's parser.
+"""Serves one HTTP connection of a caller with aiohttp's request parser.
 
-The library's own server answers through several coroutines for each part of an
-answer, and closes idle connections as it likes. Here an answer is written at
-once, and a connection is closed only between two requests or to tell that an
-answer is cut short.
+aiohttp's own server runs several coroutines for each part of an answer and
+closes idle connections by rules of its own. Here each part is written at once,
+and a connection is closed only between two requests or to show that an answer
+is incomplete.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 _BODY_BUFFER_BYTES = 65_536
 _MAX_PIPELINED_REQUESTS = 16
-"""Requests that a caller may send ahead of their answers."""
+"""Requests that a caller may send without waiting for the answers."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
@@ -40,16 +40,16 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A request that was read in full.
+    """A request that has been read in full.
 
     Attributes:
-        method: In capitals.
-        target: Path and query, as they were sent.
-        headers: As they were sent.
-        fields: The same, by name.
-        body: Without its framing.
-        has_body: Whether its framing announced one, even an empty one.
-        arrived_s: When its head was read, on the loop's clock.
+        method: The HTTP method in capitals.
+        target: Path and query as they were sent.
+        headers: Names and values as they were sent, in order.
+        fields: The same headers, looked up by case-insensitive name.
+        body: The body without its framing.
+        has_body: Whether the head announced a body, even an empty one.
+        arrived_s: When the head was read, on the loop's clock.
     """
 
     method: str
@@ -62,12 +62,18 @@
 
 
 class Reply:
-    """The one answer to one request."""
+    """Writes the one answer to a request."""
 
     def __init__(
         self, connection: "CallerConnection", method: str, *, is_http11: bool
     ) -> None:
-        """Nothing is sent yet."""
+        """Builds a reply of which nothing has been written.
+
+        Args:
+            connection: The caller's connection.
+            method: The request's method; HEAD gets no body.
+            is_http11: Whether the caller understands chunked bodies.
+        """
         self._connection = connection
         self._method = method
         self._is_http11 = is_http11
@@ -81,22 +87,22 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the answer has been written in full, or cut."""
+        """Whether the answer has been written in full or cut off."""
         return self._has_ended
 
     @property
     def is_slow(self) -> bool:
-        """Whether the caller takes its answer more slowly than it comes."""
+        """Whether unsent bytes to the caller exceed the high-water mark."""
         return self._connection.writing_paused
 
     async def drained(self) -> None:
-        """Waits until the caller has taken most of what was written."""
+        """Waits until unsent bytes fall below the low-water mark."""
         await self._connection.drained()
 
     def respond(
         self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Writes an answer."""
+        """Writes a complete answer."""
         self._has_begun = self._has_ended = True
         framed = list(headers)
         if status not in _STATUSES_WITHOUT_BODY and self._method != "HEAD":
@@ -109,7 +115,7 @@
     def start(
         self, status: int, headers: Iterable[tuple[bytes, bytes]], data: bytes
     ) -> None:
-        """Writes the head of an answer of unknown length, and a first part."""
+        """Writes the head of an answer of unknown length and its first part."""
         self._has_begun = True
         framed = list(headers)
         if self._is_http11:
@@ -120,20 +126,20 @@
         self._connection.write(head + self._framed(data))
 
     def write(self, data: bytes) -> None:
-        """Writes a part."""
+        """Writes a further part of the body."""
         self._connection.write(self._framed(data))
 
     def finish(self) -> None:
-        """Marks the answer as complete."""
+        """Ends the body of an answer that is complete."""
         self._has_ended = True
         if self._is_http11:
             self._connection.write(_LAST_CHUNK)
 
     def cut(self) -> None:
-        """Breaks off an answer, so that it can't be taken for a whole one.
+        """Resets the connection, so that the answer is seen to be incomplete.
 
-        A close would do that for a body in chunks only: one that ends with
-        its connection looks whole unless the connection is reset.
+        A plain close would show that only for a chunked body: a body that is
+        delimited by the end of the connection would look complete.
         """
         self._has_ended = True
         self._connection.abort()
@@ -158,11 +164,12 @@
 
 Handler = Callable[[CallerRequest, Reply], Awaitable[None]]
 OnUnread = Callable[[int, str], None]
-"""Told the status and the reason of a request that was not read."""
+"""Called with the status and the reason if a request could not be read; the
+status is 0 if no answer was sent."""
 
 
 class CallerConnection(BaseProtocol):
-    """Reads requests one after the other and hands them to the handler."""
+    """Reads requests and passes them to the handler one after the other."""
 
     __slots__ = (
         "_closes",
@@ -185,13 +192,13 @@
         on_lost: Callable[["CallerConnection"], None],
         on_unread: OnUnread,
     ) -> None:
-        """Waits for a caller.
+        """Builds a connection that waits for its first request.
 
         Args:
-            handler: Answers each request; cancelled if the caller goes away.
-            limits: Of this connection's requests.
-            on_lost: Told when the connection has ended.
-            on_unread: Told of what can't be read as a request.
+            handler: Answers each request; cancelled if the caller disconnects.
+            limits: Limits on the size and duration of requests.
+            on_lost: Called when the connection has ended.
+            on_unread: Called for each request that can't be read.
         """
         loop = asyncio.get_running_loop()
         super().__init__(loop)
@@ -226,11 +233,11 @@
         return self._closes
 
     def close_after_answer(self) -> None:
-        """Takes no more requests after the one in work."""
+        """Closes the connection after the current request's answer."""
         self._closes = True
 
     def write(self, data: bytes) -> None:
-        """Writes bytes; those to a caller that has gone are dropped."""
+        """Writes bytes; drops them if the caller has disconnected."""
         if self.transport is not None and data:
             self.transport.write(data)
 
@@ -245,16 +252,16 @@
             self.transport.close()
 
     async def drained(self) -> None:
-        """Waits until the caller has taken most of what was written."""
+        """Waits until unsent bytes fall below the low-water mark."""
         if self.transport is not None:
             await self._drain_helper()
 
     def is_overdue(self, now_s: float) -> bool:
-        """Whether the caller has been silent for too long.
+        """Whether the connection exceeds its idle or head timeout.
 
-        A caller that sends its head a byte a second would else keep its
-        connection for ever: such connections pile up until no file descriptor
-        is left.
+        The head timeout counts from the first byte: a caller that sends its
+        head at a byte per second would otherwise keep its connection for ever,
+        and such connections accumulate until no file descriptor is left.
         """
         if self._has_request:
             return False
@@ -272,7 +279,7 @@
         set_socket_options(cast(asyncio.Transport, transport))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Ends the work on the caller's request."""
+        """Cancels the handling of the caller's requests."""
         super().connection_lost(exc)
         self._queue.clear()
         if self._task is not None:
@@ -280,7 +287,7 @@
         self._on_lost(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses requests."""
+        """Parses requests and starts to handle the next one."""
         assert self._parser is not None
         try:
             messages, is_upgraded, _ = self._parser.feed_data(data)
@@ -292,7 +299,7 @@
             return
         self._queue.extend(messages)
         if len(self._queue) > _MAX_PIPELINED_REQUESTS:
-            self._on_unread(0, "too many requests ahead of their answers")
+            self._on_unread(0, "too many pipelined requests")
             self.abort()
             return
         if not messages and data and not self._has_request:
@@ -342,8 +349,8 @@
         try:
             await self._handler(request, reply)
         except Exception:
-            # A caller that is left without an answer would wait for its whole
-            # time limit. The error goes on to the loop, which logs it.
+            # Without a reset the caller would wait for an answer until its
+            # own timeout. The event loop logs the error.
             self.abort()
             raise
 
@@ -359,7 +366,7 @@
     async def _body(
         self, message: RawRequestMessage, payload: Any
     ) -> bytes | None:
-        """Returns a request's body, or None if it is too large."""
+        """Reads a request's body; returns None if it is too large."""
         max_bytes = self._limits.max_body_bytes
         announced = message.headers.get("Content-Length", "0")
         if int(announced) > max_bytes:
@@ -376,10 +383,11 @@
         return b"".join(parts)
 
     def _reject_unparsable(self, error: HttpProcessingError) -> None:
-        """Answers what isn't a request; nothing after it can be understood."""
+        """Rejects unparsable input, after which the connection is unusable."""
         self._closes = True
         if self._has_request and not self._is_reading_body:
-            # Its own answer comes first. The rest of the connection is lost.
+            # The request in progress is answered first. Then the connection
+            # closes without an answer to the unparsable input.
             self._queue.clear()
             self._on_unread(0, type(error).__name__)
             return
--- a/packages/gateway/src/hollyknot_gateway/_caller_server.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers and ends their connections in a planned stop."""
+"""Accepts callers' connections and closes them when the host shuts down."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 from hollyknot_state.routes import CallerLimits
 
 BACKLOG = 1024
-"""Callers that come back together after a fault; a full queue would cost each
-of them a second or more until its opening packet is sent again."""
+"""Accept queue, large enough for callers that reconnect together after a fault:
+if it is full, each waits a second or more until its SYN is resent."""
 
 
 class CallerServer:
-    """All connections of callers to one address."""
+    """Accepts and tracks all connections of callers to one address."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         limits: Callable[[], CallerLimits],
         on_unread: OnUnread,
     ) -> None:
-        """Prepares to listen.
+        """Builds a server that does not listen yet.
 
         Args:
             handler: Answers each request.
             limits: Returns the limits for a new connection.
-            on_unread: Told of what can't be read as a request.
+            on_unread: Called for each request that can't be read.
         """
         self._handler = handler
         self._limits = limits
@@ -41,22 +41,22 @@
 
     @property
     def in_work(self) -> int:
-        """Connections with a request that has not been answered in full."""
+        """How many connections have a request not answered in full."""
         return sum(c.has_request for c in self._connections)
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """How many connections are open."""
         return len(self._connections)
 
     async def start(self, address: Address) -> int:
         """Starts to listen.
 
         Returns:
-            The port.
+            The port that the server listens on.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The address can't be bound.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -66,16 +66,16 @@
         return port
 
     def announce_close(self) -> None:
-        """Makes each answer from now on the last of its connection."""
+        """Closes each connection after its current or next answer."""
         self._is_last_answer = True
         for connection in self._connections:
             connection.close_after_answer()
 
     def close_idle(self) -> None:
-        """Takes no new connections and ends those without a request.
+        """Stops accepting connections and closes those without a request.
 
         A request that crosses the close is not read, so that its caller may
-        send it again elsewhere.
+        safely send it to another host.
         """
         if self._server is not None:
             self._server.close()
@@ -84,10 +84,10 @@
                 connection.close()
 
     def sweep(self, now_s: float) -> int:
-        """Closes connections whose callers are silent for too long.
+        """Closes connections that exceed their idle or head timeout.
 
         Returns:
-            How many.
+            How many connections were closed.
         """
         overdue = [c for c in self._connections if c.is_overdue(now_s)]
         for connection in overdue:
@@ -95,7 +95,7 @@
         return len(overdue)
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
--- a/packages/gateway/src/hollyknot_gateway/_exchange.py
+++ b/packages/gateway/src/hollyknot_gateway/_exchange.py
@@ -1,8 +1,8 @@
-"""One try of a request at one upstream, ended by a verdict.
+"""Receives the answer to one try and decides whether the request has run.
 
-Whether the request may have run is decided here and nowhere else. Before its
-first byte is written it has not. After that only the upstream's own refusal
-proves it; a reset, a close or silence proves nothing.
+That decision is made only here. Before the first byte of the request is written
+it has not run. After that only a refusal by the upstream itself proves that it
+has not; a reset, a close or silence proves nothing.
 """
 
 import asyncio
@@ -23,14 +23,15 @@
 from hollyknot_state.routes import AnswerTraits
 
 MAX_BUFFERED_BYTES = 1_048_576
-"""A whole answer up to this size is read before the caller gets any of it, so
-that a truncated one can be tried elsewhere and never looks whole."""
+"""An answer up to this size is read in full before any of it is sent to the
+caller, so that after a truncated one the request can be tried elsewhere and
+the caller never takes a truncated answer for a complete one."""
 
 _OK = 200
 _MIN_ERROR_STATUS = 300
 _MIN_SERVER_ERROR_STATUS = 500
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request has not run."""
+"""Statuses by which a caller concludes that its request has not run."""
 
 _ENCODING = "Content-Encoding"
 
@@ -44,12 +45,12 @@
 
 @attrs.frozen
 class Answer:
-    """An upstream's whole answer.
+    """An upstream's complete answer.
 
     Attributes:
         status: The HTTP status.
-        headers: Those that the caller gets.
-        body: All of it.
+        headers: The headers to forward to the caller.
+        body: The complete body.
     """
 
     status: int
@@ -59,18 +60,18 @@
 
 @attrs.frozen
 class Result:
-    """What became of a try.
+    """The result of a try.
 
     Attributes:
-        verdict: Whether it ran.
-        answer: To be handed on; None if there is none, or if it has been
-            relayed.
-        first_s: Seconds from the sending to the head of the answer, of a
-            stream to its first event; 0 if it never came.
-        gap_s: The longest pause between two parts of a stream.
-        intervals: How many pauses there were.
-        is_other_upstream: Whether another incarnation has the address.
-        took_s: Seconds from the sending to the end of the try.
+        verdict: Whether the request ran, and why the try failed if it did.
+        answer: The answer to forward; None if there is none or if it has been
+            relayed already.
+        first_s: Seconds from sending the request to the head of the answer,
+            or to the first event of a stream; 0 if neither arrived.
+        gap_s: The longest gap between two parts of a stream, in seconds.
+        intervals: How many gaps between parts of a stream were seen.
+        is_other_upstream: Whether another incarnation now has the address.
+        took_s: Seconds from sending the request to the end of the try.
     """
 
     verdict: Verdict
@@ -84,11 +85,11 @@
 
 @attrs.define
 class StreamState:
-    """What a caller has got of a stream, over all tries of its request.
+    """The part of a stream that the caller has received in all tries so far.
 
     Attributes:
-        cutter: Holds back torn events.
-        resumes_after: The last event before this try; empty for none.
+        cutter: Holds back events that are not complete yet.
+        resumes_after: Id of the last event before this try; empty for none.
     """
 
     cutter: EventCutter = attrs.Factory(EventCutter)
@@ -96,7 +97,7 @@
 
 
 class Exchange:
-    """Takes the answer of one try."""
+    """Receives the answer to one try and sets its result."""
 
     def __init__(
         self,
@@ -110,19 +111,22 @@
         on_interval: Callable[[float], None],
         on_traits: Callable[[AnswerTraits, float], None],
     ) -> None:
-        """Waits for the answer.
+        """Builds an exchange whose request is about to be sent.
 
         Args:
             dialect: Reads the answer's head.
-            attempt_id: Which request the answer has to be for.
-            reply: Takes a stream as it comes.
-            stream: What the caller has got of it so far.
-            connection: Held back while the caller is slow.
+            attempt_id: Id of the request that the answer has to name.
+            reply: Writes a stream or a large answer to the caller.
+            stream: The part of the stream that the caller has received.
+            connection: The upstream's connection; paused while the caller is
+                slow.
             clock: The loop's monotonic clock, in seconds.
-            on_first_event: Told when the first event of a stream is in.
-            on_interval: Told the seconds between two parts of a stream.
-            on_traits: Told what the answer's head says, and when the request
-                was sent.
+            on_first_event: Called before the first bytes of a relayed answer
+                are written to the caller.
+            on_interval: Called with the seconds between two parts of a
+                stream.
+            on_traits: Called with what the answer's head says and the time at
+                which the request was sent.
         """
         self._dialect = dialect
         self._attempt_id = attempt_id
@@ -152,21 +156,21 @@
 
     @property
     def connection(self) -> UpstreamConnection:
-        """The connection that the answer comes on."""
+        """The connection to the upstream."""
         return self._connection
 
     @property
     def last_byte_s(self) -> float:
-        """When something last arrived, or when the try began."""
+        """When the last byte arrived or, before that, when the try began."""
         return self._last_byte_s
 
     @property
     def has_head(self) -> bool:
-        """Whether the upstream has begun to answer."""
+        """Whether the head of the answer has arrived."""
         return self._head is not None
 
     def on_head(self, head: Head) -> None:
-        """Takes the head of the answer."""
+        """Reads the head and rejects answers that must not be forwarded."""
         self._head = head
         self._last_byte_s = self._clock()
         self._first_s = self._last_byte_s - self._sent_s
@@ -175,22 +179,22 @@
         self._connection.keeps_s = traits.keeps_s
         answered_id = traits.attempt_id
         if answered_id and answered_id != self._attempt_id:
-            # The answer to a request before this one, come late. What this
-            # request did is not known.
+            # This is a late answer to an earlier request. Whether this request
+            # ran is unknown.
             self._reject("the answer names another request")
             return
         self._on_traits(traits, self._sent_s)
         if _ENCODING in head.fields:
-            self._reject("the body was encoded on its way")
+            self._reject("the body has a Content-Encoding")
         elif head.status == _OK and traits.is_event_stream:
             self._is_relayed = traits.is_sealed or self._reply.has_begun
             if not self._is_relayed:
-                self._reject("the stream has no proof of origin")
+                self._reject("an event stream without proof of origin")
         elif self._reply.has_begun and not traits.is_refusal:
-            self._reject("no stream to go on with")
+            self._reject("the answer does not resume the caller's stream")
 
     def on_data(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Buffers or relays a part of the body."""
         now_s = self._clock()
         if self._is_relayed and self._reply.has_begun:
             interval_s = now_s - self._last_byte_s
@@ -212,7 +216,7 @@
             self._start_unbuffered()
 
     def on_end(self) -> None:
-        """The answer is whole."""
+        """Completes the try after the end of the answer."""
         if self.done.done():
             return
         if self._is_relayed:
@@ -227,7 +231,7 @@
         self._set_result(self._classify(self._head, self._traits))
 
     def fail_as_silent(self) -> None:
-        """Ends a try that has been silent for too long."""
+        """Fails a try that has received nothing for too long."""
         self._fail(Reason.UPSTREAM_SILENT, "no byte in time")
 
     def partial_result(self, verdict: Verdict) -> Result:
@@ -235,7 +239,7 @@
         return self._build_result(verdict, None)
 
     def on_lost(self, lost: Lost) -> None:
-        """The answer will not be whole."""
+        """Fails a try whose answer can't be completed."""
         self._fail(_REASONS[lost], lost.value)
 
     def _classify(self, head: Head, traits: AnswerTraits) -> Result:
@@ -250,11 +254,11 @@
                 Outcome.MAY_HAVE_RUN,
                 Reason.UPSTREAM_ERROR,
                 status,
-                detail="a success without proof of origin",
+                detail="a success status without proof of origin",
             )
         if status in _NOT_RUN_STATUSES:
-            # It gives no proof, so that handing it on would be a promise that
-            # nobody can keep.
+            # Without proof, forwarding the status could wrongly tell the
+            # caller that its request has not run.
             return self._result(
                 Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR, status
             )
@@ -315,7 +319,7 @@
         self._connection.resume()
 
     def _start_unbuffered(self) -> None:
-        """Relays an answer that is too large to be held."""
+        """Starts to relay an answer that is too large to buffer."""
         assert self._head is not None
         assert self._traits is not None
         if not self._traits.is_sealed or self._head.status in _NOT_RUN_STATUSES:
@@ -339,7 +343,7 @@
         self._set_result(self._result(Outcome.COMPLETE, Reason.NONE, _OK))
 
     def _reject(self, detail: str) -> None:
-        """Ends a try whose answer must not reach the caller."""
+        """Fails a try whose answer must not reach the caller."""
         self._fail(Reason.UPSTREAM_ERROR, detail)
 
     def _fail(self, reason: Reason, detail: str) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_prober.py
+++ b/packages/gateway/src/hollyknot_gateway/_prober.py
@@ -21,7 +21,7 @@
 
 
 class Prober:
-    """Probes upstreams in the background, each with one connection at a time."""
+    """Probes upstreams in the background, each by one connection at a time."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         return probe
 
     def check_all(self, entries: Iterable[UpstreamEntry]) -> None:
-        """Probes several upstreams, such as those behind the same network cut."""
+        """Probes several upstreams, such as all behind a network cut."""
         for entry in entries:
             self.check(entry)
 
--- a/packages/gateway/src/hollyknot_gateway/_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/_stalls.py
@@ -1,12 +1,12 @@
-"""Ends tries that have fallen silent, while another one can still be in time.
+"""Ends silent tries early enough for a retry to succeed in time.
 
 An upstream that hangs holds its connection open, so that nothing ends the try
-before the request's own timeout. Only what may be repeated is ended early: the
-silence of a request that can't be proves nothing and is waited for.
+before the request's own timeout. Only requests that may be repeated are ended
+early: if any other is silent, it may still have run, so its answer is awaited.
 
-And only while a retry can follow. A request that waits in the queue of a busy
-engine is silent too; ended on its last try, or with the budget of retries
-spent, it gets nothing at all, though it would have been answered later.
+A try is ended only while a retry can follow. A request that waits in the queue
+of a busy engine is silent too; if its last try is ended, or if the retry budget
+is spent, it gets no answer at all, though it would have got one later.
 """
 
 from collections import Counter
@@ -18,22 +18,23 @@
 from hollyknot_state.routes import Route, RouteKind, UpstreamEntry
 
 FIRST_TIMEOUT_FACTOR = 3.0
-"""Of a route's target, before an answer that has not begun is given up."""
+"""Multiple of the route's target after which a try whose answer has not begun
+is ended."""
 
 MIN_FIRST_TIMEOUT_S = 0.5
-"""A busy engine answers after some hundreds of milliseconds; ending its work
-then would throw away what it has read in."""
+"""Least time before a try whose answer has not begun is ended: a busy engine
+answers after some hundreds of milliseconds, and its prefill would be lost."""
 
 GAP_TIMEOUT_FACTOR = 5.0
-"""Of a route's pause target, before a stream is taken to hang."""
+"""Multiple of the route's gap target after which a silent stream is ended."""
 
 MIN_GAP_TIMEOUT_S = 0.8
-"""Callers leave a silent stream after two seconds; this leaves time to go on
-with it elsewhere."""
+"""Least silence before a stream is ended: callers leave a silent stream after
+two seconds, which leaves time to resume it at another upstream."""
 
 UNREACHABLE_SILENCE_S = 0.2
-"""Silence after which a try at an upstream that can't be reached is cut off
-too: a connection that still carries bytes is better than a new try."""
+"""Silence after which a try at an unreachable upstream is ended: a connection
+that still carries data is better than a new try."""
 
 
 @attrs.frozen
@@ -51,10 +52,10 @@
 
 
 class Stalls:
-    """All tries that may be ended early."""
+    """Watches the tries in flight that may be ended early."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Watches none.
+        """Builds a watch over no tries.
 
         Args:
             clock: The loop's monotonic clock, in seconds.
@@ -69,14 +70,14 @@
         route: Route,
         retries_left: Callable[[], float],
     ) -> None:
-        """Watches a try, if its request may be sent again.
+        """Starts to watch a try if its request may be sent again.
 
         Args:
             exchange: The try.
-            entry: Its upstream.
-            route: Of its request.
-            retries_left: How many retries the service's budget still allows;
-                0 if this request can't be sent to another upstream.
+            entry: The upstream that the request is sent to.
+            route: The request's route.
+            retries_left: Returns how many retries the service's budget still
+                allows; 0 if this request can't be sent to another upstream.
         """
         if not route.is_repeatable or route.max_attempts <= 1:
             return
@@ -96,14 +97,14 @@
         )
 
     def discard(self, exchange: Exchange) -> None:
-        """Watches a try no longer."""
+        """Stops watching a try."""
         self._watched.pop(exchange, None)
 
     def upstream_away(self, incarnation: str) -> int:
         """Ends the silent tries at an upstream that can't be reached.
 
         Returns:
-            How many.
+            How many tries were ended.
         """
         since_s = self._clock() - UNREACHABLE_SILENCE_S
         cut_off = [
@@ -120,7 +121,7 @@
         """Ends the tries that have been silent for too long.
 
         Returns:
-            How many.
+            How many tries were ended.
         """
         now_s = self._clock()
         stalled = [
@@ -128,7 +129,8 @@
             for watched in self._watched.values()
             if watched.is_stalled(now_s)
         ]
-        # Retries are spent only when the ended tries' requests go on.
+        # The budget is charged only when the retries are sent, so the tries
+        # ended in this sweep are subtracted here.
         ended: Counter[str] = Counter()
         for watched in stalled:
             if watched.retries_left() - ended[watched.service] >= 1.0:
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -1,4 +1,4 @@
-"""Tries of a request at upstreams: the choice, the sending, the end."""
+"""Chooses upstreams for a request, sends it and records each try's result."""
 
 import asyncio
 from collections.abc import Sequence
@@ -25,30 +25,30 @@
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 _CALLER_GONE = Verdict(Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE)
-_TIME_IS_UP = "the request's time is up"
+_TIME_IS_UP = "the request's deadline has passed"
 _CALLER_LEFT = "the caller has left"
 _NOT_SENT = frozenset(
     {Reason.CONNECT_FAILED, Reason.NO_UPSTREAM, Reason.RATE_LIMITED}
 )
 
 MAX_PERMITS_REFUSED = 3
-"""Upstreams with a limit that one request asks a permit for in vain: each time
-may take some tens of milliseconds."""
+"""Refused permits after which a request avoids rate-limited upstreams: asking
+for a permit may take tens of milliseconds."""
 
 
 class Tries:
-    """Sends requests to upstreams, one upstream at a time."""
+    """Runs the tries of requests, one upstream at a time."""
 
     def __init__(self, parts: FlowParts) -> None:
-        """Wires the parts."""
+        """Builds the runner of tries from the flow's parts."""
         self._parts = parts
         self._detached: set[asyncio.Task[None]] = set()
 
     async def ask(self, job: Job, gate: Clear | Isolate) -> None:
-        """Asks for the loads of a few upstreams before the choice.
+        """Queries the current loads of a few upstreams before the choice.
 
-        Where nothing is asked, the choice is among all: by loads as old as
-        reports no few stand for the others.
+        If no loads are queried, the choice is among all upstreams: with loads
+        only as recent as the last reports, a small sample has no advantage.
         """
         parts = self._parts
         if not parts.neighbours.asks:
@@ -85,7 +85,7 @@
         excluded: frozenset[str],
         usable: Sequence[UpstreamEntry],
     ) -> list[UpstreamEntry]:
-        """Returns a cold upstream that may get a request, if there is one."""
+        """Returns a random cold upstream that may get a request, if any."""
         parts = self._parts
         permitted = [
             entry
@@ -97,9 +97,9 @@
     def closed(
         self, job: Job, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
-        """Returns the incarnations that can't be sent a request now.
+        """Returns the incarnations that must not be sent a request now.
 
-        They are cold, or have a limit that is used up.
+        These upstreams are cold or have used up their rate limit.
         """
         parts = self._parts
         closed = parts.cold_starts.closed(entries, now_s)
@@ -132,7 +132,7 @@
         return Result(verdict)
 
     def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoPlace:
-        """Returns where a request is to be sent next."""
+        """Returns the upstream to send a request to next."""
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
@@ -143,8 +143,8 @@
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
         found: Choice | NoPlace = NoPlace.NONE_KNOWN
-        # One that fails often, or could not be reached lately, is better than
-        # none at all.
+        # An upstream that fails often or was unreachable lately is better than
+        # none: the exclusions are relaxed step by step.
         for avoided in (away | ejected, away, frozenset[str]()):
             found = parts.placement.choose(
                 job.service,
@@ -162,7 +162,7 @@
         return found
 
     async def run(self, job: Job, choice: Choice) -> Result:
-        """Sends a request and waits for the end of the try."""
+        """Sends a request to an upstream and returns the result of the try."""
         result = await self._try(job, choice)
         self._record_result(job, choice, result)
         return result
@@ -221,7 +221,7 @@
                 parts.placement.end(work)
 
     async def _has_permit(self, job: Job, entry: UpstreamEntry) -> bool:
-        """Asks for a permit to send a request to an upstream with a limit."""
+        """Asks for a permit to send a request to a rate-limited upstream."""
         parts = self._parts
         is_issued = await parts.neighbours.ask_permit(
             entry, is_least_urgent=job.is_least_urgent
@@ -237,9 +237,15 @@
     def _still_accepts(
         self, entry: UpstreamEntry, *, was_cold: bool, was_limited: bool
     ) -> bool:
-        """Whether an upstream takes work now that a connection is made.
+        """Whether an upstream still takes the request after connecting.
 
-        It may have begun to leave meanwhile, started again or named a limit.
+        While the connection was made, the upstream may have begun to shut
+        down, restarted or announced a rate limit.
+
+        Args:
+            entry: The upstream.
+            was_cold: Whether it was cold when the try began.
+            was_limited: Whether it had a rate limit when the try began.
         """
         parts = self._parts
         now = parts.clock()
@@ -253,7 +259,7 @@
         )
 
     def _retries_left(self, job: Job, entry: UpstreamEntry) -> float:
-        """Returns how many retries there are, 0 if none can help a request."""
+        """Returns the retries left, or 0 if none can help the request."""
         parts = self._parts
         now = parts.clock()
         tried = job.tried | {entry.incarnation}
@@ -303,7 +309,7 @@
             )
         job.sent += 1
         parts.suspects.on_dispatch(job.fingerprint, entry.incarnation)
-        # From here on the request may run, whatever happens to this task.
+        # From here on the request may run, even if this task is cancelled.
         job.may_have_run = True
         is_head = job.request.method == "HEAD"
         connection.send(data, exchange, is_head=is_head)
@@ -343,10 +349,11 @@
         work: Work,
         exchange: Exchange,
     ) -> bool:
-        """Ends a try whose caller has gone or whose time is up.
+        """Ends a try whose caller has left or whose deadline has passed.
 
         Returns:
-            Whether the work goes on upstream and is counted until its end.
+            Whether the request goes on at the upstream and counts as in
+            flight until its end.
         """
         is_call = job.route.kind is RouteKind.NON_IDEMPOTENT
         is_late = self._parts.clock() >= job.deadline_s
@@ -360,8 +367,8 @@
                 choice.entry, job.fingerprint, _CALLER_GONE
             )
             return False
-        # What can't be repeated is not broken off half-way either: its end is
-        # awaited, so that the upstream's slot is counted as taken.
+        # A request that can't be repeated is not cancelled half-way either: its
+        # end is awaited, so that it counts as in flight at the upstream.
         task = asyncio.ensure_future(
             self._await_end(job, choice, work, exchange)
         )
@@ -407,7 +414,7 @@
             self._parts.in_force.fleet.mark_gone(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
         if verdict.is_complete and result.intervals and job.sent == 1:
-            # Of a stream that was resumed only the rest was counted.
+            # The intervals of a resumed stream cover only its last part.
             self._parts.forecasts.note_answer(
                 job.route.name, job.call.answer_tokens, result.intervals
             )
--- a/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
@@ -1,9 +1,9 @@
-"""One HTTP connection to an upstream, on the library's parser.
+"""Sends requests on one HTTP connection, with aiohttp's response parser.
 
-The library's client sends an idempotent method again by itself when a kept
-connection turns out to be closed, and takes bytes that arrive after an answer
-for the start of the next one. Here a request goes out once, the end of each
-answer is known, and whatever comes on an idle connection closes it.
+aiohttp's client resends a request with an idempotent method by itself if its
+kept connection turns out to be closed, and takes bytes that arrive after an
+answer for the start of the next one. Here a request is sent once, the end of
+each answer is known, and bytes that arrive on an idle connection close it.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from aiohttp.http_parser import HttpResponseParser
 
 MAX_HEAD_BYTES = 65_536
-"""Of an answer; more is taken for rubbish."""
+"""Largest head of an answer; a larger one is treated as malformed."""
 
 USER_TIMEOUT_MS = 1_000
-"""Sent bytes that no one acknowledges for so long end a connection: behind a
-cut no reset ever arrives, and the request would wait for its whole timeout."""
+"""A connection ends if sent bytes are not acknowledged for this long: behind a
+network cut no reset arrives, and the request would wait until its timeout."""
 
 KEEPALIVE_IDLE_S = 1
-"""Silence after which the kernel probes the other end: a connection that has
-silently died is known before the next request is lost on it."""
+"""Idle seconds after which the kernel probes the peer: a dead connection is
+detected before the next request is lost on it."""
 
 KEEPALIVE_PROBES = 2
 _UNREACHED_LIMIT_BYTES = 2**26
@@ -35,7 +35,7 @@
 
 
 class Lost(enum.Enum):
-    """Why an answer did not arrive whole."""
+    """Why an answer did not arrive complete."""
 
     CLOSED = "closed"
     TRUNCATED = "truncated"
@@ -45,13 +45,13 @@
 
 @attrs.frozen
 class Head:
-    """The first part of an answer.
+    """The status and headers of an answer.
 
     Attributes:
         status: The HTTP status.
-        headers: As received, in order.
-        fields: The same, looked up by name without regard to case.
-        should_close: Whether the upstream keeps the connection no longer.
+        headers: Names and values as received, in order.
+        fields: The same headers, looked up by case-insensitive name.
+        should_close: Whether the upstream closes the connection afterwards.
     """
 
     status: int
@@ -61,26 +61,26 @@
 
 
 class Receiver(Protocol):
-    """Takes one answer as it arrives; called from within the event loop."""
+    """Receives one answer as it arrives; called from the event loop."""
 
     def on_head(self, head: Head) -> None:
-        """Takes the head; called once, first."""
+        """Receives the head; called once, before all others but `on_lost`."""
 
     def on_data(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Receives a part of the body."""
 
     def on_end(self) -> None:
-        """The answer is whole; nothing follows."""
+        """Called when the answer is complete; no call follows."""
 
     def on_lost(self, lost: Lost) -> None:
-        """The answer will not be whole; nothing follows."""
+        """Called when the answer can't be completed; no call follows."""
 
 
 class UpstreamConnection(asyncio.Protocol):
     """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
-        """Not connected yet."""
+        """Builds a connection that is not yet established."""
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser: HttpResponseParser | None = None
@@ -98,7 +98,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the last answer left the connection in a known state."""
+        """Whether the connection is idle and can carry another request."""
         return self.is_open and self._receiver is None and self._is_kept_alive
 
     @property
@@ -108,23 +108,24 @@
 
     @property
     def connected(self) -> bool:
-        """Read by the library's body reader."""
+        """Whether the connection is open; read by aiohttp's StreamReader."""
         return self.is_open
 
     def send(self, data: bytes, receiver: Receiver, *, is_head: bool) -> None:
-        """Writes a whole request.
+        """Writes a complete request.
 
         Args:
-            data: Head and body.
-            receiver: Takes the answer.
-            is_head: Whether the answer has no body, whatever its head says.
+            data: The request's head and body.
+            receiver: Receives the answer.
+            is_head: Whether the method is HEAD, whose answer has no body even
+                if its headers announce one.
         """
         assert self._transport is not None
         self._receiver = receiver
         self._payload = None
         self._head = b""
         self._parser = HttpResponseParser(
-            # It calls no more of it than the methods below.
+            # The parser calls only the protocol methods that are defined here.
             cast(BaseProtocol, self),
             self._loop,
             _UNREACHED_LIMIT_BYTES,
@@ -137,45 +138,45 @@
         self._transport.write(data)
 
     def abandon(self) -> None:
-        """Ends the connection and with it the request's work upstream."""
+        """Resets the connection, which cancels the request at the upstream."""
         self._receiver = None
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Ends an idle connection."""
+        """Closes an idle connection."""
         if self._transport is not None:
             self._transport.close()
 
     def pause(self) -> None:
-        """Stops reading, while the caller is slow."""
+        """Stops reading while the caller is slow."""
         if self.is_open:
             assert self._transport is not None
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads again."""
+        """Starts to read again."""
         if self.is_open:
             assert self._transport is not None
             self._transport.resume_reading()
 
     def pause_reading(self) -> None:
-        """Called by the library's reader, whose limit is never reached."""
+        """Does nothing; StreamReader would call it at a limit never reached."""
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Called by the library's reader at the end of each body."""
+        """Does nothing; StreamReader calls it at the end of each body."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sets the socket's options."""
-        # The event loop's own class does not derive from the library's.
+        # The event loop's transport need not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         set_socket_options(self._transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what has arrived and hands it on at once."""
+        """Parses received bytes and passes them to the receiver at once."""
         if self._receiver is None:
-            # Nobody has asked: a late or a second answer, which must not be
-            # taken for the answer to the next request.
+            # No request is in flight: this is a late or duplicate answer, which
+            # must not be taken for the answer to the next request.
             self._is_kept_alive = False
             if self._transport is not None:
                 self._transport.abort()
@@ -186,11 +187,11 @@
             self._fail(Lost.GARBLED)
 
     def eof_received(self) -> None:
-        """The upstream has closed its side."""
+        """Ends the answer in progress after the upstream closed its side."""
         self._on_close(is_clean=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Ends the answer in progress after the connection ended."""
         self._on_close(is_clean=exc is None)
         self._transport = None
 
@@ -210,7 +211,7 @@
         self._parse_body(data)
 
     def _parse_head(self, data: bytes) -> bool:
-        """Returns whether there is more to parse."""
+        """Parses a head; returns whether parsing goes on after it."""
         assert self._parser is not None
         assert self._receiver is not None
         messages, is_upgraded, _ = self._parser.feed_data(data)
@@ -243,8 +244,8 @@
                 messages, _, _ = self._parser.feed_data(data)
                 self._is_kept_alive = self._is_kept_alive and not messages
             except HttpProcessingError:
-                # What follows a whole answer belongs to no request; the
-                # answer itself is good.
+                # Bytes after a complete answer belong to no request; the
+                # answer itself is valid.
                 self._is_kept_alive = False
                 if not payload.is_eof():
                     raise
@@ -272,8 +273,8 @@
             self._fail(Lost.CLOSED if is_clean else Lost.RESET)
             return
         if not is_clean:
-            # A reset may have thrown bytes away, so that a body which ends
-            # with its connection is not known to be whole.
+            # A reset may have discarded bytes, so a body that is delimited by
+            # the end of the connection may be incomplete.
             self._fail(Lost.RESET)
             return
         assert self._parser is not None
@@ -296,7 +297,7 @@
 
 
 def set_socket_options(transport: asyncio.Transport) -> None:
-    """Makes a dead or silent other end known within seconds."""
+    """Sets socket options that detect a dead peer within seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -1,4 +1,4 @@
-"""Tests of a request that crashes upstreams, before many hosts."""
+"""Tests that a request that crashes upstreams is stopped by many hosts."""
 
 import asyncio
 import random
@@ -24,35 +24,35 @@
 CULPRIT = 99
 UPSTREAMS = 45
 CONCURRENT_REQUESTS = 20
-"""Other requests that are in flight where it runs."""
+"""Other requests in flight at the upstream that the culprit crashes."""
 
 VERDICT_DELAY_S = 0.83
-"""From a crash to the host's verdict."""
+"""Seconds from a crash to the verdict of the host that sent the request."""
 
 CONTACT_S = 4.0
 MAX_CRASHES = 3
 MAX_LATE_SENDS = 3
-"""What the rule allows after the third crash and the time to tell of it."""
+"""Sends allowed after the third crash and `CONTACT_S` to spread its news."""
 
 DISCOVERY_S = 12.0
-"""Until all hosts know each other."""
+"""Seconds until all hosts know each other."""
 
 DURATION_S = 18.0
 LOSS_FRACTION = 0.02
-"""Of datagrams."""
+"""Fraction of datagrams that are lost."""
 
 
 class _Host(Protocol):
-    """What a culprit meets of a host."""
+    """The part of a host that a culprit's requests pass through."""
 
     @property
     def suspects(self) -> SuspectRegister:
-        """Its register."""
+        """The host's register of suspects."""
 
 
 @attrs.define
 class _Culprit:
-    """A request whose caller sends it again for ever, through any host."""
+    """A request that crashes upstreams and is resent through random hosts."""
 
     hosts: Sequence[_Host]
     rng: random.Random
@@ -61,14 +61,14 @@
 
     @property
     def late(self) -> int:
-        """Sends after the third crash and the time to tell of it."""
+        """Sends later than `CONTACT_S` after the third crash."""
         if len(self.crashes) < MAX_CRASHES:
             return 0
         last_s = self.crashes[MAX_CRASHES - 1] + CONTACT_S
         return sum(at_s > last_s for at_s in self.sent)
 
     async def repeat(self, a_second: float) -> None:
-        """Is sent again and again."""
+        """Sends the request at random times for `DURATION_S`."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + DURATION_S
         async with asyncio.TaskGroup() as tasks:
@@ -117,7 +117,7 @@
 
 @attrs.define(eq=False, repr=False)
 class _NewsHost:
-    """A host that only passes on news."""
+    """A host that only gossips news of crashes."""
 
     peers: list["_NewsHost"] = attrs.Factory(list)
     suspects: SuspectRegister = attrs.Factory(
@@ -125,7 +125,7 @@
     )
 
     def gossip(self, now_s: float, rng: random.Random) -> None:
-        """Passes on what is new; some of it is lost."""
+        """Gossips new records to random peers; some datagrams are lost."""
         data = self.suspects.take_news(now_s)
         if not data:
             return
@@ -137,7 +137,7 @@
 
 
 def _simulate_news_only(hosts: int, heard: int, seed: int) -> _Culprit:
-    """Plays hosts that tell each other nothing but news of crashes."""
+    """Simulates hosts that exchange nothing but news of crashes."""
 
     async def main() -> _Culprit:
         rng = random.Random(seed)
@@ -157,10 +157,10 @@
 
 
 class TestCulpritBeforeManyHosts:
-    """Hosts that tell each other seldom still learn of crashes in time."""
+    """Hosts that exchange few reports still learn of crashes in time."""
 
     def test_rare_reports_still_stop_a_crashing_request(self) -> None:
-        """A request goes on crashing upstreams through hosts not yet told."""
+        """A request goes on crashing upstreams through uninformed hosts."""
         late = {
             (hosts, seed): _simulate(hosts, seed, a_second=2.0).late
             for hosts in (8, 83)
@@ -172,5 +172,8 @@
     def test_crash_news_alone_stops_a_crashing_request(
         self, hosts: int, heard: int
     ) -> None:
-        """A request goes on crashing upstreams where no bytes are left."""
+        """A request goes on crashing upstreams if news gets little bandwidth.
+
+        No reports are sent; hosts exchange only news of crashes.
+        """
         assert _simulate_news_only(hosts, heard, seed=1).late <= MAX_LATE_SENDS
--- a/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Tests of ending tries that have fallen silent."""
+"""Tests of ending silent tries."""
 
 from typing import cast
 
@@ -29,7 +29,7 @@
 
 @attrs.define(eq=False)
 class _Try:
-    """A try of which nothing has been heard."""
+    """A try that has received nothing."""
 
     last_byte_s: float = 0.0
     has_head: bool = False
@@ -40,15 +40,15 @@
 
 
 class _Watch:
-    """Some silent tries, and the retries that are left."""
+    """Watched silent tries, and a settable number of retries left."""
 
     def __init__(self, tries: int, retries_left: float) -> None:
         self.now_s = 0.0
         self.retries_left = retries_left
         self.stalls = Stalls(lambda: self.now_s)
         self.tries = [_Try() for _ in range(tries)]
-        for one in self.tries:
-            exchange = cast(Exchange, one)
+        for silent in self.tries:
+            exchange = cast(Exchange, silent)
             self.stalls.add(exchange, _ENTRY, _ROUTE, self._left)
 
     def _left(self) -> float:
@@ -56,11 +56,11 @@
 
     @property
     def ended(self) -> int:
-        return sum(one.is_ended for one in self.tries)
+        return sum(silent.is_ended for silent in self.tries)
 
 
 class TestStalls:
-    """Tries that hang, while a retry can follow and while none can."""
+    """Silent tries end early, but only while a retry can follow."""
 
     def test_silent_try_ends_while_a_retry_is_left(self) -> None:
         watch = _Watch(1, 5.0)
@@ -74,11 +74,11 @@
         assert watch.stalls.sweep() == 0
 
     def test_silent_try_is_kept_without_a_retry_left(self) -> None:
-        """Urgent streams get nothing while others begin beside them.
+        """Queued urgent streams get no answer, although one would come later.
 
-        Sequence: a burst; urgent streams wait in engines' queues for longer
-        than three times their target; the budget of retries is spent, or it
-        is their last try. Cause: they were ended all the same.
+        In a burst, urgent streams wait in engines' queues for longer than
+        three times their target. Their tries were ended even if the retry
+        budget was spent or it was their last try.
         """
         watch = _Watch(3, 0.9)
         watch.now_s = SILENT_S
--- a/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
@@ -1,17 +1,17 @@
-"""Tests of noticing a suspension, by clocks that tests set."""
+"""Tests of detecting a suspension, with clocks that tests set."""
 
 from hollyknot_gateway._suspension import Suspension
 
 
 class TestSuspension:
-    """Two clocks that differ, or do not."""
+    """The difference of two clocks shows a suspension."""
 
     def test_suspension_is_noticed_once(self) -> None:
         """The first requests after a suspension are lost.
 
-        Sequence: a host is suspended for a minute; it wakes and sends on kept
-        connections that the other ends gave up. Cause: the steady clock says
-        that they were idle for a moment.
+        A host that was suspended for a minute wakes and sends on keep-alive
+        connections that its peers have closed, since by its monotonic clock
+        they were idle only for a moment.
         """
         ahead_s = iter([5.0, 5.0, 65.0, 65.001])
         suspension = Suspension(lambda: next(ahead_s))
