--- a/packages/gateway/src/hollyknot_gateway/_answers.py
+++ b/packages/gateway/src/hollyknot_gateway/_answers.py
@@ -23,10 +23,10 @@
 _UNAVAILABLE = 503
 _TIMEOUT = 504
 _OK = 200
-_NONE = 0
+_NO_STATUS = 0
 """The status in log lines and counters if no complete answer was sent."""
 
-_LATE = "the time limit of the route or the caller has passed"
+_TIME_LIMIT_PASSED = "the time limit of the route or the caller has passed"
 
 
 class Answers:
@@ -68,10 +68,12 @@
         """Answers a request whose deadline has passed."""
         if job.may_have_run:
             verdict = Verdict(
-                Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT, _LATE
+                Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT, _TIME_LIMIT_PASSED
             )
         else:
-            verdict = Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM, _LATE)
+            verdict = Verdict(
+                Outcome.NOT_RUN, Reason.NO_UPSTREAM, _TIME_LIMIT_PASSED
+            )
         if job.reply.has_begun:
             self._cut_off(job, verdict)
             return
@@ -84,13 +86,15 @@
         """Counts and logs a request whose caller has disconnected."""
         outcome = Outcome.MAY_HAVE_RUN if job.may_have_run else Outcome.NOT_RUN
         verdict = Verdict(outcome, Reason.CALLER_GONE)
-        self._count(job.route.name, verdict, _NONE)
-        self._log_end("caller_gone", job.call, job.route.name, verdict, _NONE)
+        self._count(job.route.name, verdict, _NO_STATUS)
+        self._log_end(
+            "caller_gone", job.call, job.route.name, verdict, _NO_STATUS
+        )
 
     def _cut_off(self, job: Job, verdict: Verdict) -> None:
-        job.reply.cut()
-        self._count(job.route.name, verdict, _NONE)
-        self._log_end("cut_off", job.call, job.route.name, verdict, _NONE)
+        job.reply.abort_answer()
+        self._count(job.route.name, verdict, _NO_STATUS)
+        self._log_end("cut_off", job.call, job.route.name, verdict, _NO_STATUS)
 
     def refuse(
         self, reply: Reply, call: CallTraits, step: GiveUp, route: str
--- a/packages/gateway/src/hollyknot_gateway/_caller_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_connection.py
@@ -135,7 +135,7 @@
         if self._is_http11:
             self._connection.write(_LAST_CHUNK)
 
-    def cut(self) -> None:
+    def abort_answer(self) -> None:
         """Resets the connection, so that the answer is seen to be incomplete.
 
         A plain close would show that only for a chunked body: a body that is
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -192,10 +192,12 @@
         entries = job.asked or [e for e in usable if e.incarnation not in away]
         # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
-        found = parts.shedding.decide(unlimited or entries, job.sheds_from, now)
-        if not isinstance(found, Shed):
+        decision = parts.shedding.decide(
+            unlimited or entries, job.sheds_from, now
+        )
+        if not isinstance(decision, Shed):
             return None
-        return _shed(f"{found.taken} in flight, {found.slots} slots")
+        return _shed(f"{decision.taken} in flight, {decision.slots} slots")
 
     def _shed_by_time(self, job: Job, choice: Choice) -> GiveUp | None:
         """Sheds a request whose answer is unlikely to end before its deadline.
@@ -213,8 +215,8 @@
         if needed_s is None:
             return None
         left_s = job.deadline_s - now - job.route.target_s
-        found = parts.shedding.decide_by_time(needed_s, left_s)
-        if not isinstance(found, TooSlow):
+        decision = parts.shedding.decide_by_time(needed_s, left_s)
+        if not isinstance(decision, TooSlow):
             return None
         return _shed(f"needs {needed_s:.2f} s of {left_s:.2f}")
 
--- a/packages/gateway/src/hollyknot_gateway/_prober.py
+++ b/packages/gateway/src/hollyknot_gateway/_prober.py
@@ -91,11 +91,11 @@
         self._on_unreachable(entry, failure)
 
     async def _probe(self, entry: UpstreamEntry) -> ConnectFailure | None:
-        found = await self._pool.open(entry.address, PROBE_TIMEOUT_S)
-        if isinstance(found, ConnectFailure):
-            self.failed(entry, found)
-            return found
-        self._pool.release(entry.incarnation, found)
+        result = await self._pool.open(entry.address, PROBE_TIMEOUT_S)
+        if isinstance(result, ConnectFailure):
+            self.failed(entry, result)
+            return result
+        self._pool.release(entry.incarnation, result)
         if self._reachability.succeeded(entry.incarnation, self._clock()):
             self._log.line("reachable", upstream=entry.incarnation)
             self._on_reachable(entry)
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -25,7 +25,7 @@
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 _CALLER_GONE = Verdict(Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE)
-_TIME_IS_UP = "the request's deadline has passed"
+_DEADLINE_PASSED = "the request's deadline has passed"
 _CALLER_LEFT = "the caller has left"
 _NOT_SENT = frozenset(
     {Reason.CONNECT_FAILED, Reason.NO_UPSTREAM, Reason.RATE_LIMITED}
@@ -70,7 +70,7 @@
             is_loose=job.is_loose,
             limited=parts.permits.limited(usable),
         )
-        job.asked += self._cold_one(job, excluded, usable)
+        job.asked += self._pick_cold(job, excluded, usable)
         is_known = await parts.neighbours.ask(
             job.asked, runs_of(job.call.prompt)
         )
@@ -79,7 +79,7 @@
         outcome = "known" if is_known else "old"
         parts.metrics.observe(metrics.ASKED, asked_s, outcome=outcome)
 
-    def _cold_one(
+    def _pick_cold(
         self,
         job: Job,
         excluded: frozenset[str],
@@ -142,11 +142,11 @@
         ejected = parts.health.ejected(usable, now)
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
-        found: Choice | NoPlace = NoPlace.NONE_KNOWN
+        chosen: Choice | NoPlace = NoPlace.NONE_KNOWN
         # An upstream that fails often or was unreachable lately is better than
         # none: the exclusions are relaxed step by step.
         for avoided in (away | ejected, away, frozenset[str]()):
-            found = parts.placement.choose(
+            chosen = parts.placement.choose(
                 job.service,
                 usable,
                 job.call,
@@ -157,9 +157,9 @@
                 among=frozenset(entry.incarnation for entry in job.asked),
                 limited=limited,
             )
-            if isinstance(found, Choice):
+            if isinstance(chosen, Choice):
                 break
-        return found
+        return chosen
 
     async def run(self, job: Job, choice: Choice) -> Result:
         """Sends a request to an upstream and returns the result of the try."""
@@ -357,10 +357,10 @@
         """
         is_call = job.route.kind is RouteKind.NON_IDEMPOTENT
         is_late = self._parts.clock() >= job.deadline_s
-        gone = attrs.evolve(
-            _CALLER_GONE, detail=_TIME_IS_UP if is_late else _CALLER_LEFT
+        caller_gone_verdict = attrs.evolve(
+            _CALLER_GONE, detail=_DEADLINE_PASSED if is_late else _CALLER_LEFT
         )
-        self._log_try(job, choice, exchange.partial_result(gone))
+        self._log_try(job, choice, exchange.partial_result(caller_gone_verdict))
         if not is_call or is_late:
             exchange.connection.abandon()
             self._parts.losses.ended(
@@ -392,8 +392,12 @@
             self._release(choice.entry, exchange.connection)
         except TimeoutError:
             exchange.connection.abandon()
-            gone = attrs.evolve(_CALLER_GONE, detail=_TIME_IS_UP)
-            self._log_try(job, choice, exchange.partial_result(gone))
+            caller_gone_verdict = attrs.evolve(
+                _CALLER_GONE, detail=_DEADLINE_PASSED
+            )
+            self._log_try(
+                job, choice, exchange.partial_result(caller_gone_verdict)
+            )
         finally:
             self._parts.placement.end(work)
             self._parts.losses.ended(choice.entry, job.fingerprint, verdict)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -67,13 +67,13 @@
         last_s = self.crashes[MAX_CRASHES - 1] + CONTACT_S
         return sum(at_s > last_s for at_s in self.sent)
 
-    async def repeat(self, a_second: float) -> None:
+    async def repeat(self, sends_per_s: float) -> None:
         """Sends the request at random times for `DURATION_S`."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + DURATION_S
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < until_s:
-                await asyncio.sleep(self.rng.expovariate(a_second))
+                await asyncio.sleep(self.rng.expovariate(sends_per_s))
                 host = self.rng.choice(self.hosts)
                 tasks.create_task(self._send(host))
 
@@ -102,13 +102,13 @@
             other.suspects.on_end(number, upstream, LOST, loop.time())
 
 
-def _simulate(hosts: int, seed: int, a_second: float) -> _Culprit:
+def _simulate(hosts: int, seed: int, sends_per_s: float) -> _Culprit:
     async def main() -> _Culprit:
         network = Network(hosts, seed, is_busy=True)
         network.start()
         await asyncio.sleep(DISCOVERY_S)
         culprit = _Culprit(network.hosts, random.Random(seed))
-        await culprit.repeat(a_second)
+        await culprit.repeat(sends_per_s)
         network.stop()
         return culprit
 
@@ -145,8 +145,8 @@
         for news_host in news_hosts:
             news_host.peers = rng.sample(news_hosts, heard)
         culprit = _Culprit(news_hosts, rng)
-        playing = asyncio.create_task(culprit.repeat(2.0))
-        while not playing.done():
+        simulation = asyncio.create_task(culprit.repeat(2.0))
+        while not simulation.done():
             await asyncio.sleep(REPORT_S)
             now_s = asyncio.get_running_loop().time()
             for news_host in news_hosts:
@@ -162,7 +162,7 @@
     def test_rare_reports_still_stop_a_crashing_request(self) -> None:
         """A request goes on crashing upstreams through uninformed hosts."""
         late = {
-            (hosts, seed): _simulate(hosts, seed, a_second=2.0).late
+            (hosts, seed): _simulate(hosts, seed, sends_per_s=2.0).late
             for hosts in (8, 83)
             for seed in (1, 2)
         }
