--- a/packages/gateway/src/hollyknot_gateway/_caller_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_connection.py
@@ -87,7 +87,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the answer has been written in full or cut off."""
+        """Whether the answer has been completed or aborted."""
         return self._has_ended
 
     @property
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -218,7 +218,7 @@
         decision = parts.shedding.decide_by_time(needed_s, left_s)
         if not isinstance(decision, TooSlow):
             return None
-        return _shed(f"needs {needed_s:.2f} s of {left_s:.2f}")
+        return _shed(f"needs {needed_s:.2f} s, {left_s:.2f} s left")
 
     def _try_state(self, job: Job) -> TryState:
         parts = self._parts
--- a/packages/gateway/src/hollyknot_gateway/_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/_stalls.py
@@ -6,7 +6,7 @@
 
 A try is ended only while a retry can follow. A request that waits in the queue
 of a busy engine is silent too; if its last try is ended, or if the retry budget
-is spent, it gets no answer at all, though it would have got one later.
+is spent, it gets no answer, although it would have got one later.
 """
 
 from collections import Counter
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -47,8 +47,8 @@
     async def ask(self, job: Job, gate: Clear | Isolate) -> None:
         """Queries the current loads of a few upstreams before the choice.
 
-        If no loads are queried, the choice is among all upstreams: with loads
-        only as recent as the last reports, a small sample has no advantage.
+        If no loads are queried, the choice is among all upstreams: a small
+        sample with loads as old as the last reports would not represent them.
         """
         parts = self._parts
         if not parts.neighbours.asks:
@@ -99,7 +99,9 @@
     ) -> frozenset[str]:
         """Returns the incarnations that must not be sent a request now.
 
-        These upstreams are cold or have used up their rate limit.
+        These upstreams are cold without a permit for a request, have used up
+        their rate limit, or are rate-limited after the request was refused
+        `MAX_PERMITS_REFUSED` permits.
         """
         parts = self._parts
         closed = parts.cold_starts.closed(entries, now_s)
@@ -144,7 +146,7 @@
         limited = parts.permits.limited(usable)
         chosen: Choice | NoPlace = NoPlace.NONE_KNOWN
         # An upstream that fails often or was unreachable lately is better than
-        # none: the exclusions are relaxed step by step.
+        # none, so the exclusions are relaxed step by step.
         for avoided in (away | ejected, away, frozenset[str]()):
             chosen = parts.placement.choose(
                 job.service,
