--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -1,4 +1,4 @@
-"""One request, from its head to its verdict."""
+"""Handles one request from its arrival to its verdict."""
 
 import asyncio
 
@@ -31,16 +31,16 @@
 
 
 class Flow:
-    """Answers each request once."""
+    """Routes requests to upstreams and gives each exactly one answer."""
 
     def __init__(self, parts: FlowParts) -> None:
-        """Wires the parts."""
+        """Builds the flow from its parts."""
         self._parts = parts
         self._tries = Tries(parts)
         self._answers = Answers(parts)
 
     async def handle(self, request: CallerRequest, reply: Reply) -> None:
-        """Takes one request to its end."""
+        """Handles one request until it is answered, late or cancelled."""
         call = self._parts.dialect.read_call(request.fields)
         job = self._admit(request, reply, call)
         if isinstance(job, GiveUp):
@@ -106,41 +106,45 @@
         while True:
             gate = parts.suspects.gate(job.fingerprint, parts.clock())
             if isinstance(gate, Refuse):
-                self._tell_quarantine(job)
-                step = give_up(gate.verdict, self._state(job))
+                self._log_quarantine(job)
+                step = give_up(gate.verdict, self._try_state(job))
                 self._answers.give_up(job, result, step)
                 return
             await self._tries.ask(job, gate)
-            # Once: a request that was admitted is not refused because of an
-            # upstream that could not be connected to.
-            refusal = None if is_admitted else self._refusal(job)
+            # Admission is decided once: an admitted request is not shed later
+            # because its first upstream could not be connected to.
+            refusal = None if is_admitted else self._shed_by_load(job)
             if refusal is not None:
                 self._answers.give_up(job, result, refusal)
                 return
             choice = self._tries.choose(job, gate)
             if isinstance(choice, Choice):
-                too_slow = None if is_admitted else self._too_slow(job, choice)
+                too_slow = (
+                    None if is_admitted else self._shed_by_time(job, choice)
+                )
                 if too_slow is not None:
                     self._answers.give_up(job, result, too_slow)
                     return
                 is_admitted = True
                 result = await self._tries.run(job, choice)
-                if self._answers.settle(job, result):
+                if self._answers.answer_if_settled(job, result):
                     return
             elif not job.sent:
-                result = self._tries.nowhere(job)
-            following = next_step(job.route, result.verdict, self._state(job))
+                result = self._tries.no_upstream_result(job)
+            following = next_step(
+                job.route, result.verdict, self._try_state(job)
+            )
             if isinstance(following, GiveUp):
                 if following.is_unpaid:
-                    self._tell_retry(job, is_sent=False)
+                    self._log_retry(job, is_sent=False)
                 self._answers.give_up(job, result, following)
                 return
             if following.is_retry:
                 parts.budget.spend(job.service.name, parts.clock())
-                self._tell_retry(job, is_sent=True)
+                self._log_retry(job, is_sent=True)
 
-    def _tell_retry(self, job: Job, *, is_sent: bool) -> None:
-        """Tells by which account a retry was sent or denied."""
+    def _log_retry(self, job: Job, *, is_sent: bool) -> None:
+        """Logs a sent or denied retry with the state of its retry budget."""
         parts = self._parts
         account = parts.budget.account(job.service.name, parts.clock())
         parts.log.line(
@@ -158,8 +162,8 @@
             outcome="sent" if is_sent else "denied",
         )
 
-    def _tell_quarantine(self, job: Job) -> None:
-        """Tells of which crashes a refused request is suspected."""
+    def _log_quarantine(self, job: Job) -> None:
+        """Logs the upstreams that a refused request may have crashed."""
         parts = self._parts
         upstreams = parts.suspects.upstreams(job.fingerprint)
         parts.log.line(
@@ -169,11 +173,15 @@
             upstreams=",".join(upstreams),
         )
 
-    def _refusal(self, job: Job) -> GiveUp | None:
-        """Refuses a request that would only make others late.
+    def _shed_by_load(self, job: Job) -> GiveUp | None:
+        """Sheds one of the least urgent requests while engines are overloaded.
 
-        Where loads were asked for, those upstreams stand for all: they are a
-        random part of them, and what is known of the others is old.
+        If loads were queried for this request, the decision uses only the
+        upstreams queried: they are a random sample, and the loads known of
+        the others are out of date.
+
+        Returns:
+            The refusal, or None if the request may be sent.
         """
         parts = self._parts
         if not job.call.prompt or not job.is_least_urgent:
@@ -182,15 +190,21 @@
         usable = parts.in_force.fleet.usable(job.service.name, now)
         away = parts.reachability.away(usable)
         entries = job.asked or [e for e in usable if e.incarnation not in away]
-        # Free slots of one with a limit are no help to the others.
+        # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
-        found = parts.shedding.decide(unlimited or entries, job.sheds_from, now)
-        if not isinstance(found, Shed):
+        decision = parts.shedding.decide(
+            unlimited or entries, job.sheds_from, now
+        )
+        if not isinstance(decision, Shed):
             return None
-        return _shed(f"{found.taken} in flight, {found.slots} slots")
+        return _shed(f"{decision.taken} in flight, {decision.slots} slots")
 
-    def _too_slow(self, job: Job, choice: Choice) -> GiveUp | None:
-        """Refuses a request whose answer would hardly end in time."""
+    def _shed_by_time(self, job: Job, choice: Choice) -> GiveUp | None:
+        """Sheds a request whose answer is unlikely to end before its deadline.
+
+        Returns:
+            The refusal, or None if the request may be sent.
+        """
         parts = self._parts
         if not job.call.prompt or not job.is_least_urgent:
             return None
@@ -201,22 +215,22 @@
         if needed_s is None:
             return None
         left_s = job.deadline_s - now - job.route.target_s
-        found = parts.shedding.decide_by_time(needed_s, left_s)
-        if not isinstance(found, TooSlow):
+        decision = parts.shedding.decide_by_time(needed_s, left_s)
+        if not isinstance(decision, TooSlow):
             return None
-        return _shed(f"needs {needed_s:.2f} s of {left_s:.2f}")
+        return _shed(f"needs {needed_s:.2f} s, {left_s:.2f} s left")
 
-    def _state(self, job: Job) -> TryState:
+    def _try_state(self, job: Job) -> TryState:
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        kept_from = job.tried | self._tries.closed(job, usable, now)
+        excluded = job.tried | self._tries.closed(job, usable, now)
         return TryState(
             sent=job.sent,
             may_have_run=job.may_have_run,
             left_s=job.deadline_s - now,
             budget_left=parts.budget.left(job.service.name, now),
-            candidates=sum(e.incarnation not in kept_from for e in usable),
+            candidates=sum(e.incarnation not in excluded for e in usable),
         )
 
 
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -1,4 +1,4 @@
-"""Tries of a request at upstreams: the choice, the sending, the end."""
+"""Chooses upstreams for a request, sends it and records each try's result."""
 
 import asyncio
 from collections.abc import Sequence
@@ -25,30 +25,30 @@
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 _CALLER_GONE = Verdict(Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE)
-_TIME_IS_UP = "the request's time is up"
+_DEADLINE_PASSED = "the request's deadline has passed"
 _CALLER_LEFT = "the caller has left"
 _NOT_SENT = frozenset(
     {Reason.CONNECT_FAILED, Reason.NO_UPSTREAM, Reason.RATE_LIMITED}
 )
 
-MOST_PERMITS_REFUSED = 3
-"""Upstreams with a limit that one request asks a permit for in vain: each time
-may take some tens of milliseconds."""
+MAX_PERMITS_REFUSED = 3
+"""Refused permits after which a request avoids rate-limited upstreams: asking
+for a permit may take tens of milliseconds."""
 
 
 class Tries:
-    """Sends requests to upstreams, one upstream at a time."""
+    """Runs the tries of requests, one upstream at a time."""
 
     def __init__(self, parts: FlowParts) -> None:
-        """Wires the parts."""
+        """Builds the runner of tries from the flow's parts."""
         self._parts = parts
         self._detached: set[asyncio.Task[None]] = set()
 
     async def ask(self, job: Job, gate: Clear | Isolate) -> None:
-        """Asks for the loads of a few upstreams before the choice.
+        """Queries the current loads of a few upstreams before the choice.
 
-        Where nothing is asked, the choice is among all: by loads as old as
-        reports no few stand for the others.
+        If no loads are queried, the choice is among all upstreams: a small
+        sample with loads as old as the last reports would not represent them.
         """
         parts = self._parts
         if not parts.neighbours.asks:
@@ -70,7 +70,7 @@
             is_loose=job.is_loose,
             limited=parts.permits.limited(usable),
         )
-        job.asked += self._cold_one(job, excluded, usable)
+        job.asked += self._pick_cold(job, excluded, usable)
         is_known = await parts.neighbours.ask(
             job.asked, runs_of(job.call.prompt)
         )
@@ -79,13 +79,13 @@
         outcome = "known" if is_known else "old"
         parts.metrics.observe(metrics.ASKED, asked_s, outcome=outcome)
 
-    def _cold_one(
+    def _pick_cold(
         self,
         job: Job,
         excluded: frozenset[str],
         usable: Sequence[UpstreamEntry],
     ) -> list[UpstreamEntry]:
-        """Returns a cold upstream that may get a request, if there is one."""
+        """Returns a random cold upstream that may get a request, if any."""
         parts = self._parts
         permitted = [
             entry
@@ -97,16 +97,18 @@
     def closed(
         self, job: Job, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
-        """Returns the incarnations that can't be sent a request now.
+        """Returns the incarnations that must not be sent a request now.
 
-        They are cold, or have a limit that is used up.
+        These upstreams are cold without a permit for a request, have used up
+        their rate limit, or are rate-limited after the request was refused
+        `MAX_PERMITS_REFUSED` permits.
         """
         parts = self._parts
         closed = parts.cold_starts.closed(entries, now_s)
         closed |= parts.permits.closed(
             entries, now_s, is_least_urgent=job.is_least_urgent
         )
-        if job.permits_refused >= MOST_PERMITS_REFUSED:
+        if job.permits_refused >= MAX_PERMITS_REFUSED:
             closed |= {
                 entry.incarnation
                 for entry in entries
@@ -114,7 +116,7 @@
             }
         return closed
 
-    def nowhere(self, job: Job) -> Result:
+    def no_upstream_result(self, job: Job) -> Result:
         """Returns the result of a request that no upstream can be sent."""
         parts = self._parts
         now = parts.clock()
@@ -132,7 +134,7 @@
         return Result(verdict)
 
     def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoPlace:
-        """Returns where a request is to be sent next."""
+        """Returns the upstream to send a request to next."""
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
@@ -142,38 +144,38 @@
         ejected = parts.health.ejected(usable, now)
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
-        found: Choice | NoPlace = NoPlace.NONE_KNOWN
-        # One that fails often, or could not be reached lately, is better than
-        # none at all.
-        for kept_away in (away | ejected, away, frozenset[str]()):
-            found = parts.placement.choose(
+        chosen: Choice | NoPlace = NoPlace.NONE_KNOWN
+        # An upstream that fails often or was unreachable lately is better than
+        # none, so the exclusions are relaxed step by step.
+        for avoided in (away | ejected, away, frozenset[str]()):
+            chosen = parts.placement.choose(
                 job.service,
                 usable,
                 job.call,
-                job.tried | kept_away | closed,
+                job.tried | avoided | closed,
                 now,
                 is_loose=job.is_loose,
                 urgency=job.urgency,
                 among=frozenset(entry.incarnation for entry in job.asked),
                 limited=limited,
             )
-            if isinstance(found, Choice):
+            if isinstance(chosen, Choice):
                 break
-        return found
+        return chosen
 
     async def run(self, job: Job, choice: Choice) -> Result:
-        """Sends a request and waits for the end of the try."""
+        """Sends a request to an upstream and returns the result of the try."""
         result = await self._try(job, choice)
-        self._note(job, choice, result)
+        self._record_result(job, choice, result)
         return result
 
     async def _try(self, job: Job, choice: Choice) -> Result:
         parts = self._parts
         entry = choice.entry
-        began_limited = parts.permits.is_limited(entry)
-        if began_limited and not await self._has_permit(job, entry):
-            return self.nowhere(job)
-        began_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
+        was_limited = parts.permits.is_limited(entry)
+        if was_limited and not await self._has_permit(job, entry):
+            return self.no_upstream_result(job)
+        was_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
         if not parts.cold_starts.take(entry.incarnation, parts.clock()):
             return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
         work = parts.placement.begin(
@@ -195,8 +197,8 @@
                     Outcome.NOT_RUN, Reason.CONNECT_FAILED, connection.value
                 )
                 return Result(verdict)
-            if not self._is_still_open(
-                entry, began_cold=began_cold, began_limited=began_limited
+            if not self._still_accepts(
+                entry, was_cold=was_cold, was_limited=was_limited
             ):
                 connection.close()
                 return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
@@ -210,18 +212,18 @@
             try:
                 result = await asyncio.shield(exchange.done)
             except asyncio.CancelledError:
-                is_detached = self._leave(job, choice, work, exchange)
+                is_detached = self._end_unwaited(job, choice, work, exchange)
                 raise
             finally:
                 parts.stalls.discard(exchange)
-            self._give_back(entry, connection)
+            self._release(entry, connection)
             return result
         finally:
             if not is_detached:
                 parts.placement.end(work)
 
     async def _has_permit(self, job: Job, entry: UpstreamEntry) -> bool:
-        """Asks for a permit to send a request to an upstream with a limit."""
+        """Asks for a permit to send a request to a rate-limited upstream."""
         parts = self._parts
         is_issued = await parts.neighbours.ask_permit(
             entry, is_least_urgent=job.is_least_urgent
@@ -234,12 +236,18 @@
         )
         return is_issued
 
-    def _is_still_open(
-        self, entry: UpstreamEntry, *, began_cold: bool, began_limited: bool
+    def _still_accepts(
+        self, entry: UpstreamEntry, *, was_cold: bool, was_limited: bool
     ) -> bool:
-        """Whether an upstream takes work now that a connection is made.
+        """Whether an upstream still takes the request after connecting.
 
-        It may have begun to leave meanwhile, started again or named a limit.
+        While the connection was made, the upstream may have begun to shut
+        down, restarted or announced a rate limit.
+
+        Args:
+            entry: The upstream.
+            was_cold: Whether it was cold when the try began.
+            was_limited: Whether it had a rate limit when the try began.
         """
         parts = self._parts
         now = parts.clock()
@@ -248,12 +256,12 @@
         is_limited = parts.permits.is_limited(entry)
         return (
             is_usable
-            and (began_cold or not is_cold)
-            and (began_limited or not is_limited)
+            and (was_cold or not is_cold)
+            and (was_limited or not is_limited)
         )
 
     def _retries_left(self, job: Job, entry: UpstreamEntry) -> float:
-        """Returns how many retries there are, 0 if none can help a request."""
+        """Returns the retries left, or 0 if none can help the request."""
         parts = self._parts
         now = parts.clock()
         tried = job.tried | {entry.incarnation}
@@ -264,10 +272,10 @@
             return 0.0
         return parts.budget.left(job.service.name, now)
 
-    def _give_back(
+    def _release(
         self, entry: UpstreamEntry, connection: UpstreamConnection
     ) -> None:
-        self._parts.pool.give_back(entry.incarnation, connection)
+        self._parts.pool.release(entry.incarnation, connection)
         if not connection.is_reusable:
             connection.abandon()
 
@@ -291,7 +299,7 @@
             connection,
             parts.clock,
             lambda: parts.placement.start(work),
-            lambda interval_s: self._note_interval(entry, interval_s),
+            lambda interval_s: self._record_interval(entry, interval_s),
             lambda traits, sent_s: parts.rate_limits.hear(
                 entry, traits, sent_s
             ),
@@ -303,13 +311,13 @@
             )
         job.sent += 1
         parts.suspects.on_dispatch(job.fingerprint, entry.incarnation)
-        # From here on the request may run, whatever happens to this task.
+        # From here on the request may run, even if this task is cancelled.
         job.may_have_run = True
         is_head = job.request.method == "HEAD"
         connection.send(data, exchange, is_head=is_head)
         return exchange
 
-    def _note_interval(self, entry: UpstreamEntry, interval_s: float) -> None:
+    def _record_interval(self, entry: UpstreamEntry, interval_s: float) -> None:
         parts = self._parts
         parts.forecasts.note_interval(
             entry.incarnation, interval_s, parts.clock()
@@ -336,32 +344,33 @@
         line = f"{request.method} {request.target} HTTP/1.1"
         return write_head(line.encode("latin-1"), headers) + request.body
 
-    def _leave(
+    def _end_unwaited(
         self,
         job: Job,
         choice: Choice,
         work: Work,
         exchange: Exchange,
     ) -> bool:
-        """Ends a try whose caller has gone or whose time is up.
+        """Ends a try whose caller has left or whose deadline has passed.
 
         Returns:
-            Whether the work goes on upstream and is counted until its end.
+            Whether the request goes on at the upstream and counts as in
+            flight until its end.
         """
         is_call = job.route.kind is RouteKind.NON_IDEMPOTENT
         is_late = self._parts.clock() >= job.deadline_s
-        gone = attrs.evolve(
-            _CALLER_GONE, detail=_TIME_IS_UP if is_late else _CALLER_LEFT
+        caller_gone_verdict = attrs.evolve(
+            _CALLER_GONE, detail=_DEADLINE_PASSED if is_late else _CALLER_LEFT
         )
-        self._log_try(job, choice, exchange.so_far(gone))
+        self._log_try(job, choice, exchange.partial_result(caller_gone_verdict))
         if not is_call or is_late:
             exchange.connection.abandon()
             self._parts.losses.ended(
                 choice.entry, job.fingerprint, _CALLER_GONE
             )
             return False
-        # What can't be repeated is not broken off half-way either: its end is
-        # awaited, so that the upstream's slot is counted as taken.
+        # A request that can't be repeated is not cancelled half-way either: its
+        # end is awaited, so that it counts as in flight at the upstream.
         task = asyncio.ensure_future(
             self._await_end(job, choice, work, exchange)
         )
@@ -382,32 +391,36 @@
                 result = await exchange.done
             verdict = result.verdict
             self._log_try(job, choice, result)
-            self._give_back(choice.entry, exchange.connection)
+            self._release(choice.entry, exchange.connection)
         except TimeoutError:
             exchange.connection.abandon()
-            gone = attrs.evolve(_CALLER_GONE, detail=_TIME_IS_UP)
-            self._log_try(job, choice, exchange.so_far(gone))
+            caller_gone_verdict = attrs.evolve(
+                _CALLER_GONE, detail=_DEADLINE_PASSED
+            )
+            self._log_try(
+                job, choice, exchange.partial_result(caller_gone_verdict)
+            )
         finally:
             self._parts.placement.end(work)
             self._parts.losses.ended(choice.entry, job.fingerprint, verdict)
 
-    def _note(self, job: Job, choice: Choice, result: Result) -> None:
+    def _record_result(self, job: Job, choice: Choice, result: Result) -> None:
         entry = choice.entry
         verdict = result.verdict
-        self._note_health(entry, verdict)
+        self._record_health(entry, verdict)
         if job.sent > job.sent_before:
             job.sent_before = job.sent
             self._parts.losses.ended(entry, job.fingerprint, verdict)
         job.tried |= {entry.incarnation}
         if verdict.is_proved_not_run:
-            job.may_have_run = job.ran_before
+            job.may_have_run = job.may_have_run_before
         else:
-            job.ran_before = True
+            job.may_have_run_before = True
         if result.is_other_upstream:
             self._parts.in_force.fleet.mark_gone(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
         if verdict.is_complete and result.intervals and job.sent == 1:
-            # Of a stream that was resumed only the rest was counted.
+            # The intervals of a resumed stream cover only its last part.
             self._parts.forecasts.note_answer(
                 job.route.name, job.call.answer_tokens, result.intervals
             )
@@ -455,7 +468,7 @@
                 metrics.GAP, result.gap_s, route=job.route.name
             )
 
-    def _note_health(self, entry: UpstreamEntry, verdict: Verdict) -> None:
+    def _record_health(self, entry: UpstreamEntry, verdict: Verdict) -> None:
         parts = self._parts
         if verdict.reason in _NOT_SENT:
             return
