--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -12,11 +12,11 @@
     Follower,
     FollowOptions,
 )
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._metrics import UNREADABLE, Metrics
 from hollyknot_gateway._pool import Pool
 from hollyknot_gateway._ports import Changes, Listing, Source, Unreadable
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import Position, ReadRevisions
 from hollyknot_state.routes import (
     Bounds,
@@ -26,11 +26,11 @@
     UpstreamEntry,
 )
 
-LAPSE_S = 1.7
+LAPSE_GRACE_S = 1.7
 """How long an upstream keeps its work whose entry has gone while the directory
 was away: entries that only lapsed are back within two seconds."""
 
-NOTICE_PART = 0.4
+READ_PAUSE_FRACTION = 0.4
 """Of the bound for leaving upstreams, the pause between two reads of them. The
 rest is for the read itself and for what is on its way."""
 
@@ -42,7 +42,7 @@
 """The longest wait, in a large fleet. A host whose watch is silent learns of a
 change by its peers; with this it also notices by itself, soon after."""
 
-RENEWALS_A_SECOND = 4.0
+FLEET_WATCH_ENDS_PER_S = 4.0
 """How many hosts of a fleet end a watch each second. A source that returns in
 silence, so that no open watch is ever answered, is noticed by one of them
 within a second and by the others by what that one tells."""
@@ -53,10 +53,10 @@
 old, in heartbeats of upstreams. Live ones have renewed theirs by then, and
 those of upstreams that have ended have lapsed after three."""
 
-TRIES_A_SECOND = 40.0
+FLEET_RETRIES_PER_S = 40.0
 """How many hosts of a fleet try a lost source again each second."""
 
-RETURN_PART = 0.25
+RETRY_PAUSE_FRACTION = 0.25
 """Of the time in which an outage counts as over, the longest pause between two
 tries: what changed meanwhile is then read well before it has to be in force."""
 
@@ -81,7 +81,7 @@
 
     published: Source[Published]
     upstreams: Source[UpstreamEntry]
-    in_force: InForce
+    in_force: RoutingState
     cold_starts: ColdStarts
     pool: Pool
     on_ended: Callable[[Ended], None]
@@ -117,10 +117,12 @@
             tables.revision, upstreams.revision, tables.era, upstreams.era
         )
 
-    def tell(self, read: ReadRevisions) -> None:
+    def on_peer_read(self, read: ReadRevisions) -> None:
         """Takes what a peer has read: what lacks here is read at once."""
-        self._published.tell(Position(read.tables_era, read.tables))
-        self._upstreams.tell(Position(read.upstreams_era, read.upstreams))
+        self._published.on_peer_read(Position(read.tables_era, read.tables))
+        self._upstreams.on_peer_read(
+            Position(read.upstreams_era, read.upstreams)
+        )
 
     def set_bounds(self, bounds: Bounds) -> None:
         """Puts other bounds in force from the next read on."""
@@ -139,8 +141,8 @@
         return Follower(
             parts.published,
             lambda: self._options(0.0),
-            lambda listing, _: self._take_all_published(listing),
-            lambda changes, _: self._take_published(changes),
+            lambda listing, _: self._apply_published_listing(listing),
+            lambda changes, _: self._apply_published_changes(changes),
             parts.log,
             parts.rng,
             parts.clock,
@@ -152,16 +154,16 @@
             parts.upstreams,
             # Entries are renewed all the time, so that a watch ends at once:
             # without a pause each renewal would cost a read.
-            lambda: self._options(self._bounds.drain_s * NOTICE_PART),
-            self._take_listing,
-            self._take_changes,
+            lambda: self._options(self._bounds.drain_s * READ_PAUSE_FRACTION),
+            self._apply_upstream_listing,
+            self._apply_upstream_changes,
             parts.log,
             parts.rng,
             parts.clock,
         )
 
     def _options(self, pause_s: float) -> FollowOptions:
-        wanted_s = self._parts.hosts() / RENEWALS_A_SECOND
+        wanted_s = self._parts.hosts() / FLEET_WATCH_ENDS_PER_S
         wait_s = min(max(wanted_s, SHORTEST_WATCH_S), LONGEST_WATCH_S)
         return FollowOptions(
             wait_s=wait_s,
@@ -177,38 +179,40 @@
 
         All hosts try at once, and the source refuses them all.
         """
-        wanted_s = self._parts.hosts() / TRIES_A_SECOND
-        longest_s = max(LONGEST_PAUSE_S, self._bounds.contact_s * RETURN_PART)
+        wanted_s = self._parts.hosts() / FLEET_RETRIES_PER_S
+        longest_s = max(
+            LONGEST_PAUSE_S, self._bounds.contact_s * RETRY_PAUSE_FRACTION
+        )
         return min(max(wanted_s, LONGEST_PAUSE_S), longest_s)
 
-    def _take_all_published(self, listing: Listing[Published]) -> None:
+    def _apply_published_listing(self, listing: Listing[Published]) -> None:
         """Takes all that is published: an evacuation that lacks is over.
 
         Not while the source may have lost it: operators write it again.
         """
-        self._tell_unreadable(listing.unreadable)
+        self._report_unreadable(listing.unreadable)
         if not self._published.is_restored:
             self._evacuations.clear()
         # First, so that no new route leads to an evacuated data centre.
-        self._take_evacuations(listing.items)
-        self._take_tables(listing.items)
+        self._apply_evacuations(listing.items)
+        self._apply_tables(listing.items)
 
-    def _take_published(self, changes: Changes[Published]) -> None:
+    def _apply_published_changes(self, changes: Changes[Published]) -> None:
         """Takes what has changed; what can't be read changes nothing."""
-        self._tell_unreadable(changes.unreadable)
+        self._report_unreadable(changes.unreadable)
         for name in changes.removed:
             self._evacuations.pop(name, None)
-        self._take_evacuations(changes.items)
-        self._take_tables(changes.items)
+        self._apply_evacuations(changes.items)
+        self._apply_tables(changes.items)
 
-    def _tell_unreadable(self, unreadable: tuple[Unreadable, ...]) -> None:
+    def _report_unreadable(self, unreadable: tuple[Unreadable, ...]) -> None:
         for item in unreadable:
             self._parts.metrics.count(UNREADABLE, source="published")
             self._parts.log.line(
                 "unreadable_item", key=item.name, reason=item.reason
             )
 
-    def _take_evacuations(self, items: dict[str, Published]) -> None:
+    def _apply_evacuations(self, items: dict[str, Published]) -> None:
         """Keeps new work from the data centres that are evacuated now."""
         self._evacuations.update(
             (name, item.data_centre)
@@ -221,9 +225,9 @@
             self._parts.log.line("evacuated", where=data_centre)
         for data_centre in sorted(before - evacuated):
             self._parts.log.line("taken_back", where=data_centre)
-            self._suspect_cold(data_centre)
+            self._mark_possibly_cold(data_centre)
 
-    def _suspect_cold(self, data_centre: str) -> None:
+    def _mark_possibly_cold(self, data_centre: str) -> None:
         """Spares upstreams that may have been restarted while they were idle.
 
         Their entries say so only some time after they are taken back, and idle
@@ -234,14 +238,14 @@
             if entry.data_centre == data_centre:
                 self._parts.cold_starts.suspect(entry, now_s)
 
-    def _take_tables(self, items: dict[str, Published]) -> None:
+    def _apply_tables(self, items: dict[str, Published]) -> None:
         """Puts tables in force."""
         tables = [
             item for item in items.values() if isinstance(item, RouteTable)
         ]
         for table in tables:
             began = time.perf_counter()
-            is_new = self._parts.in_force.take_table(table)
+            is_new = self._parts.in_force.apply_table(table)
             self._parts.log.line(
                 "routes",
                 version=table.version,
@@ -250,11 +254,11 @@
                 ms=round((time.perf_counter() - began) * 1000, 2),
             )
 
-    def _take_listing(
+    def _apply_upstream_listing(
         self, listing: Listing[UpstreamEntry], may_have_lapsed: bool
     ) -> None:
         in_force = self._parts.in_force
-        self._take_unreadable(listing.unreadable, are_all=True)
+        self._remove_unreadable(listing.unreadable, are_all=True)
         now_s = self._parts.clock()
         changed = in_force.fleet.replace(
             listing.items.values(),
@@ -275,20 +279,20 @@
         )
         self._forget_ended()
 
-    def _take_changes(
+    def _apply_upstream_changes(
         self, changes: Changes[UpstreamEntry], may_have_lapsed: bool
     ) -> None:
         for entry in changes.items.values():
-            self._take_entry(entry, changes.revision)
+            self._apply_entry(entry, changes.revision)
         fleet = self._parts.in_force.fleet
         lapsed = may_have_lapsed or fleet.are_lapses(changes.removed)
         for name in changes.removed:
             self._unreadable.pop(name, None)
             self._remove(name, changes.revision, lapsed)
-        self._take_unreadable(changes.unreadable, are_all=False)
+        self._remove_unreadable(changes.unreadable, are_all=False)
         self._forget_ended()
 
-    def _take_unreadable(
+    def _remove_unreadable(
         self, found: tuple[Unreadable, ...], *, are_all: bool
     ) -> None:
         """Takes upstreams whose entries can't be read for gone.
@@ -309,7 +313,7 @@
             self._unreadable.clear()
         self._unreadable.update((item.name, item.reason) for item in found)
 
-    def _take_entry(self, entry: UpstreamEntry, revision: int) -> None:
+    def _apply_entry(self, entry: UpstreamEntry, revision: int) -> None:
         self._unreadable.pop(entry.name, None)
         if self._parts.in_force.fleet.put(entry):
             self._parts.cold_starts.note(entry, self._parts.clock())
--- a/packages/gateway/src/hollyknot_gateway/_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/_fetch.py
@@ -86,7 +86,7 @@
     return
 
 
-def _extending(
+def _deadline_extender(
     timeout: asyncio.Timeout, on_progress: Callable[[], None]
 ) -> Callable[[], None]:
     """Returns what gives an answer more time each time a part of it arrives."""
@@ -135,7 +135,7 @@
             connection = await pool.take(name, address, timeout_s)
             if isinstance(connection, ConnectFailure):
                 return FetchFailure.CONNECT
-            collector = _Collector(_extending(timeout, on_progress))
+            collector = _Collector(_deadline_extender(timeout, on_progress))
             host = f"{address.ip}:{address.port}".encode()
             line = f"GET {target} HTTP/1.1".encode("latin-1")
             head = write_head(line, [(b"Host", host)])
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -55,7 +55,9 @@
             self._answers.caller_gone(job)
             raise
         took_s = self._parts.clock() - request.arrived_s
-        self._parts.metrics.observe(metrics.WHOLE, took_s, route=job.route.name)
+        self._parts.metrics.observe(
+            metrics.ANSWER_SECONDS, took_s, route=job.route.name
+        )
 
     def _admit(
         self, request: CallerRequest, reply: Reply, call: CallTraits
--- a/packages/gateway/src/hollyknot_gateway/_flow_parts.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow_parts.py
@@ -17,7 +17,6 @@
     Shedding,
 )
 from hollyknot_coordination.suspects import SuspectRegister
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._losses import Losses
 from hollyknot_gateway._metrics import Metrics
@@ -26,6 +25,7 @@
 from hollyknot_gateway._ports import Dialect
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._rate_limits import RateLimits
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_gateway._stalls import Stalls
 
 
@@ -59,7 +59,7 @@
     """
 
     dialect: Dialect
-    in_force: InForce
+    in_force: RoutingState
     placement: Placement
     shedding: Shedding
     loads: Loads
--- a/packages/gateway/src/hollyknot_gateway/_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/_follower.py
@@ -37,7 +37,7 @@
 """Between failed reads, where hosts are few: short enough that a version is in
 force within its bound once the source is back."""
 
-_PAUSE_SPREAD = 0.25
+_PAUSE_JITTER = 0.25
 """By how much of it such a pause varies either way, so that all hosts don't
 read at the same moment when a source returns."""
 
@@ -47,15 +47,15 @@
 version that was published meanwhile would be late."""
 
 
-BEHIND_S = 0.3
+BEHIND_TOLERANCE_S = 0.3
 """How long a watch without an answer may lack what a peer has read before it is
 given up. All watches are answered within milliseconds of a change, those of a
 slow source within a few hundred, and a report of it can arrive as soon."""
 
-_FALLEN_ERAS = 3
+_MAX_LOWER_ERAS = 3
 """Answers of a lower era in a row that are taken for late ones."""
 
-_WATCHES_FAILED = 3
+_MAX_FAILED_WATCHES = 3
 """Failed watches after which the list is read instead. A watch tells all that
 has changed meanwhile: after a storm of large versions its answer may not be
 read in time, and a host would stay behind long after the source is back."""
@@ -119,12 +119,12 @@
         self._clock = clock
         self._position = Position()
         self._changed = Position()
-        self._told = Position()
-        self._doubted = Position()
+        self._peer_position = Position()
+        self._unconfirmed = Position()
         self._restored_at = float("-inf")
-        self._fallen_eras = 0
+        self._lower_eras = 0
         self._era_problem = ""
-        self._is_told = asyncio.Event()
+        self._peer_read = asyncio.Event()
         self._failures = 0
         self._failed_at = float("-inf")
 
@@ -143,11 +143,13 @@
         """The newest change that was read."""
         return self._changed
 
-    def tell(self, changed: Position) -> None:
+    def on_peer_read(self, changed: Position) -> None:
         """Takes a peer's word that something was changed at a position."""
-        if changed > max(self._position, self._told, self._doubted):
-            self._told = changed
-            self._is_told.set()
+        if changed > max(
+            self._position, self._peer_position, self._unconfirmed
+        ):
+            self._peer_position = changed
+            self._peer_read.set()
 
     async def run(self) -> None:
         """Reads until it is cancelled."""
@@ -156,14 +158,14 @@
                 await self._watch()
 
     async def _list(self) -> bool:
-        told = self._told
+        told = self._peer_position
         found = await self._source.list()
         if isinstance(found, SourceFailure):
-            await self._failed(found)
+            await self._back_off(found)
             return False
         position = Position(self._era(found), found.revision)
         if position < self._position:
-            self._succeeded()
+            self._record_success()
             self._log.line(
                 "stale_read",
                 source=self._source.name,
@@ -174,30 +176,30 @@
             await self._pause(_FIRST_PAUSE_S)
             return False
         if position.era > self._position.era:
-            self._note_restored(position)
+            self._record_restore(position)
         may_have_lapsed = self._is_settling()
-        self._succeeded()
-        self._note(found, told)
+        self._record_success()
+        self._record_answer(found, told)
         self._on_listing(found, may_have_lapsed)
         return True
 
     async def _watch(self) -> None:
         """Follows changes until the list has to be read again."""
         needs_second_list = self._is_settling()
-        wait_s = self._spread_wait_s()
+        wait_s = self._jittered_wait_s()
         while True:
             options = self._options()
             if self._failures or self._is_behind:
                 wait_s = _PROBE_WAIT_S
-            told = self._told
+            told = self._peer_position
             found = await self._watch_once(wait_s)
             wait_s = options.wait_s
             if found is None:
                 continue
             if isinstance(found, SourceFailure):
-                await self._failed(found)
+                await self._back_off(found)
                 needs_second_list = True
-                if self._failures >= _WATCHES_FAILED:
+                if self._failures >= _MAX_FAILED_WATCHES:
                     return
                 continue
             if found is Compacted.COMPACTED:
@@ -217,12 +219,12 @@
                 await self._pause(_FIRST_PAUSE_S * self._rng.random())
                 return
             may_have_lapsed = self._is_settling()
-            self._succeeded()
-            self._note(found, told)
+            self._record_success()
+            self._record_answer(found, told)
             if found.items or found.removed or found.unreadable:
                 self._on_changes(found, may_have_lapsed)
                 await self._pause(options.pause_s)
-                wait_s = self._spread_wait_s()
+                wait_s = self._jittered_wait_s()
             if needs_second_list and not self._is_settling():
                 return
 
@@ -234,7 +236,7 @@
         Returns:
             The answer; None if it was not waited for.
         """
-        behind = asyncio.ensure_future(self._fall_behind())
+        behind = asyncio.ensure_future(self._wait_until_behind())
 
         def await_answer() -> None:
             behind.cancel()
@@ -259,23 +261,23 @@
             "watch_behind",
             source=self._source.name,
             **_fields(self._position),
-            told_era=self._told.era,
-            told=self._told.revision,
+            told_era=self._peer_position.era,
+            told=self._peer_position.revision,
         )
         return None
 
-    async def _fall_behind(self) -> None:
+    async def _wait_until_behind(self) -> None:
         """Returns once a peer has read what this host still lacks."""
         while True:
-            self._is_told.clear()
+            self._peer_read.clear()
             if self._is_behind:
-                await asyncio.sleep(BEHIND_S)
+                await asyncio.sleep(BEHIND_TOLERANCE_S)
                 return
-            await self._is_told.wait()
+            await self._peer_read.wait()
 
     @property
     def _is_behind(self) -> bool:
-        return self._told > max(self._position, self._doubted)
+        return self._peer_position > max(self._position, self._unconfirmed)
 
     def _era(self, found: Listing[T] | Changes[T]) -> int:
         """Returns the era of an answer.
@@ -286,25 +288,25 @@
         known = self._position.era
         if found.era is None:
             if known:
-                self._tell_era("era_missing")
+                self._log_era_problem("era_missing")
             return known
         if found.era >= known:
-            self._fallen_eras = 0
+            self._lower_eras = 0
             self._era_problem = ""
             return found.era
-        self._tell_era("era_fell", era=found.era, known_era=known)
-        self._fallen_eras += 1
-        if self._fallen_eras <= _FALLEN_ERAS:
+        self._log_era_problem("era_fell", era=found.era, known_era=known)
+        self._lower_eras += 1
+        if self._lower_eras <= _MAX_LOWER_ERAS:
             return found.era
         return known
 
-    def _tell_era(self, event: str, **values: int) -> None:
+    def _log_era_problem(self, event: str, **values: int) -> None:
         """Logs what is wrong with eras, once until they are good again."""
         if self._era_problem != event:
             self._era_problem = event
             self._log.line(event, source=self._source.name, **values)
 
-    def _note_restored(self, position: Position) -> None:
+    def _record_restore(self, position: Position) -> None:
         """Notes that the source has come back from an older copy."""
         if self._position == Position():
             return
@@ -317,7 +319,9 @@
             known=self._position.revision,
         )
 
-    def _note(self, found: Listing[T] | Changes[T], told: Position) -> None:
+    def _record_answer(
+        self, found: Listing[T] | Changes[T], told: Position
+    ) -> None:
         """Notes what an answer covers.
 
         A read that began after a peer told of a change covers it. If it does
@@ -332,7 +336,7 @@
         self._position = max(self._position, Position(era, found.revision))
         self._changed = max(self._changed, Position(era, found.changed))
         if told > self._position:
-            self._doubted = told
+            self._unconfirmed = told
             self._log.line(
                 "peer_ahead",
                 source=self._source.name,
@@ -341,7 +345,7 @@
                 told=told.revision,
             )
 
-    def _spread_wait_s(self) -> float:
+    def _jittered_wait_s(self) -> float:
         """Returns how long the first watch after a change waits."""
         options = self._options()
         least_s = min(options.first_wait_s, options.wait_s)
@@ -351,7 +355,7 @@
         is_failed = self._clock() - self._failed_at < self._options().settle_s
         return is_failed or self.is_restored
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         if self._failures:
             self._log.line(
                 "source_regained",
@@ -361,7 +365,7 @@
             )
         self._failures = 0
 
-    async def _failed(self, failure: SourceFailure) -> None:
+    async def _back_off(self, failure: SourceFailure) -> None:
         self._failures += 1
         self._failed_at = self._clock()
         if self._failures == 1:
@@ -378,7 +382,7 @@
 
     async def _pause(self, seconds: float) -> None:
         if seconds > 0:
-            spread = self._rng.uniform(1 - _PAUSE_SPREAD, 1 + _PAUSE_SPREAD)
+            spread = self._rng.uniform(1 - _PAUSE_JITTER, 1 + _PAUSE_JITTER)
             await asyncio.sleep(seconds * spread)
 
 
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -31,20 +31,24 @@
 from hollyknot_gateway import _metrics as metrics
 from hollyknot_gateway._answers import NO_ROUTE
 from hollyknot_gateway._caller_server import CallerServer
-from hollyknot_gateway._directory import LAPSE_S, Directory, DirectoryParts
+from hollyknot_gateway._directory import (
+    LAPSE_GRACE_S,
+    Directory,
+    DirectoryParts,
+)
 from hollyknot_gateway._flow import Flow
 from hollyknot_gateway._flow_parts import FlowParts
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._losses import Losses
 from hollyknot_gateway._metrics import Metrics
 from hollyknot_gateway._neighbours import Neighbours, Shared
-from hollyknot_gateway._operators import Operators
+from hollyknot_gateway._operator_servers import OperatorServers
 from hollyknot_gateway._pool import ConnectFailure, Pool
 from hollyknot_gateway._ports import Dialect, Source
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._rate_limits import RateLimits
 from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_gateway._stalls import Stalls
 from hollyknot_gateway._suspension import Suspension
 from hollyknot_state import ReadRevisions
@@ -64,7 +68,7 @@
 RELOAD_S = 5.0
 """Between two looks at the settings file, which may change without a signal."""
 
-ROTATION_S = 3.0
+BALANCER_DELAY_S = 3.0
 """How long a stopping host still takes new connections: the balancer asks once
 a second and takes a host out after two misses."""
 
@@ -110,13 +114,13 @@
         """
         clock = asyncio.get_running_loop().time
         self._settings = settings
-        self._last_read = settings
+        self._last_settings = settings
         self._read_settings = read_settings
         self._clock = clock
         self._rng = rng
         self._log = Log(settings.host, settings.data_centre, STANDARD_OUTPUT)
         self._pool = Pool(clock)
-        self._in_force = InForce(Fleet(LAPSE_S))
+        self._routing_state = RoutingState(Fleet(LAPSE_GRACE_S))
         self._metrics = Metrics()
         self._loads = Loads()
         self._demand = Demand()
@@ -131,7 +135,7 @@
         )
         self._budget = RetryBudget(settings.bounds, self._size, rng)
         self._cold_starts = ColdStarts(
-            rng, self._size, self._in_force.cold_start
+            rng, self._size, self._routing_state.cold_start
         )
         self._named_limits = NamedLimits()
         self._rate_limits = RateLimits(self._named_limits, self._log, clock)
@@ -139,8 +143,8 @@
         self._prober = Prober(
             self._pool,
             self._reachability,
-            self._upstream_away,
-            self._upstream_back,
+            self._on_upstream_unreachable,
+            self._on_upstream_reachable,
             self._log,
             clock,
         )
@@ -156,10 +160,10 @@
                 self._size,
                 self._named_limits,
             ),
-            self._in_force,
+            self._routing_state,
             self._reachability,
             self._prober,
-            ReadNews(lambda: self._directory.read, self._peer_has_read),
+            ReadNews(lambda: self._directory.read, self._on_peer_read),
             self._log,
             rng,
             clock,
@@ -168,10 +172,10 @@
             DirectoryParts(
                 published=ports.published(self._pool),
                 upstreams=ports.upstreams(self._pool),
-                in_force=self._in_force,
+                in_force=self._routing_state,
                 cold_starts=self._cold_starts,
                 pool=self._pool,
-                on_ended=self._upstream_ended,
+                on_ended=self._on_upstream_ended,
                 log=self._log,
                 metrics=self._metrics,
                 hosts=lambda: self._neighbours.hosts,
@@ -181,9 +185,11 @@
             settings.bounds,
         )
         flow = Flow(self._flow_parts(ports.dialect))
-        self._callers = CallerServer(flow.handle, self._limits, self._unread)
-        self._operators = Operators(
-            lambda: self.is_ready, self._metrics, self._unread
+        self._callers = CallerServer(
+            flow.handle, self._limits, self._on_unreadable_request
+        )
+        self._operator_servers = OperatorServers(
+            lambda: self.is_ready, self._metrics, self._on_unreadable_request
         )
         self._add_gauges()
         self._is_stopping = False
@@ -193,7 +199,7 @@
     def _flow_parts(self, dialect: Dialect) -> FlowParts:
         return FlowParts(
             dialect=dialect,
-            in_force=self._in_force,
+            in_force=self._routing_state,
             placement=Placement(
                 self._loads,
                 self._demand,
@@ -232,12 +238,12 @@
     @property
     def is_ready(self) -> bool:
         """Whether the balancer may send callers here."""
-        return self._in_force.is_known and not self._is_stopping
+        return self._routing_state.is_complete and not self._is_stopping
 
     @property
     def table_version(self) -> int:
         """The version of the routes in force; 0 for none."""
-        index = self._in_force.index
+        index = self._routing_state.index
         return index.table.version if index is not None else 0
 
     @property
@@ -253,7 +259,7 @@
     @property
     def upstreams(self) -> frozenset[str]:
         """The incarnations that may get work."""
-        usable = self._in_force.fleet.all_usable(self._clock())
+        usable = self._routing_state.fleet.all_usable(self._clock())
         return frozenset(entry.incarnation for entry in usable)
 
     async def __aenter__(self) -> Self:
@@ -268,7 +274,7 @@
         stack.push_async_callback(self._prober.close)
         await self._callers.start(self._settings.callers)
         stack.callback(self._callers.close)
-        await self._operators.start(self._settings, stack)
+        await self._operator_servers.start(self._settings, stack)
         await self._neighbours.open()
         stack.callback(self._neighbours.close)
         for work in (
@@ -277,8 +283,8 @@
             self._neighbours.run(),
             self._sweep(),
             self._flush(),
-            self._reach(),
-            self._reload_now_and_then(),
+            self._probe_unreachable(),
+            self._reload_periodically(),
         ):
             self._spawn(work)
         asyncio.get_running_loop().set_exception_handler(self._on_error)
@@ -316,7 +322,7 @@
         self._callers.announce_close()
         grace_s = self._settings.bounds.grace_s
         last_s = began_s + grace_s - min(STOP_MARGIN_S, grace_s / 2)
-        await asyncio.sleep(min(ROTATION_S, grace_s / 2))
+        await asyncio.sleep(min(BALANCER_DELAY_S, grace_s / 2))
         while self._clock() < last_s:
             self._callers.close_idle()
             if not self._callers.in_work:
@@ -333,18 +339,18 @@
         if isinstance(found, str):
             self._log.line("reload_failed", reason=found)
             return
-        if found == self._last_read:
+        if found == self._last_settings:
             return
-        before = attrs.asdict(self._last_read, recurse=False)
+        before = attrs.asdict(self._last_settings, recurse=False)
         after = attrs.asdict(found, recurse=False)
         changed = [name for name in after if after[name] != before[name]]
-        self._last_read = found
+        self._last_settings = found
         self._settings = attrs.evolve(self._settings, bounds=found.bounds)
         self._budget.set_bounds(found.bounds)
         self._directory.set_bounds(found.bounds)
         self._log.line("reload", changed=",".join(changed))
 
-    async def _reload_now_and_then(self) -> None:
+    async def _reload_periodically(self) -> None:
         """Notices settings that change without a signal."""
         while True:
             await asyncio.sleep(RELOAD_S)
@@ -355,10 +361,10 @@
         self._stack.push_async_callback(_cancel, task)
 
     def _limits(self) -> CallerLimits:
-        index = self._in_force.index
+        index = self._routing_state.index
         return index.table.limits if index is not None else CallerLimits()
 
-    def _unread(self, status: int, reason: str) -> None:
+    def _on_unreadable_request(self, status: int, reason: str) -> None:
         """Tells of a request that could not be read."""
         self._log.line("unread", status=status, reason=reason)
         self._metrics.count(
@@ -404,30 +410,30 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self._look_at_clocks()
+            self._check_suspension()
             self._stalls.sweep()
             self._callers.sweep(self._clock())
-            self._operators.sweep(self._clock())
+            self._operator_servers.sweep(self._clock())
             self._pool.sweep()
 
-    async def _reach(self) -> None:
+    async def _probe_unreachable(self) -> None:
         """Tries to connect to upstreams that could not be reached."""
         while True:
             await asyncio.sleep(SWEEP_S / 2)
             self._prober.check_all(self._reachability.due(self._clock()))
             self._suspects.expire(self._clock())
 
-    def _peer_has_read(self, read: ReadRevisions) -> None:
-        self._directory.tell(read)
+    def _on_peer_read(self, read: ReadRevisions) -> None:
+        self._directory.on_peer_read(read)
 
-    def _upstream_away(
+    def _on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
         """Ends what hangs at an upstream, and looks at those beside it."""
         self._stalls.upstream_away(entry.incarnation)
         self._neighbours.upstream_away(entry, failure)
 
-    def _upstream_back(self, entry: UpstreamEntry) -> None:
+    def _on_upstream_reachable(self, entry: UpstreamEntry) -> None:
         """Spares an upstream that may have started again under its name.
 
         Where entries don't say when a run began, each run has a new name, and
@@ -436,7 +442,7 @@
         if entry.born_ms:
             self._cold_starts.suspect(entry, self._clock())
 
-    def _upstream_ended(self, ended: Ended) -> None:
+    def _on_upstream_ended(self, ended: Ended) -> None:
         """Forgets what was learnt of an incarnation that has left."""
         incarnation = ended.incarnation
         if ended.runs_no_more:
@@ -448,7 +454,7 @@
         self._neighbours.permits.forget(incarnation)
         self._forecasts.forget(incarnation)
 
-    def _look_at_clocks(self) -> None:
+    def _check_suspension(self) -> None:
         """Drops kept connections if the host has been suspended.
 
         The steady clock does not count a suspension, so that connections seem
--- a/packages/gateway/src/hollyknot_gateway/_log.py
+++ b/packages/gateway/src/hollyknot_gateway/_log.py
@@ -19,7 +19,7 @@
 """Of those, what lines of tries that went well may fill. The rest is kept for
 failures and changes of belief, which an engineer looks for afterwards."""
 
-LINES_A_SECOND = 200
+EVENT_LINES_PER_S = 200
 """Of one event; failures have events of their own, so that ordinary lines
 cannot push them out."""
 
@@ -51,10 +51,10 @@
         self._descriptor = descriptor
         self._clock = clock
         self._wall_clock = wall_clock
-        self._same = f"host={host} data_centre={data_centre}"
+        self._common_fields = f"host={host} data_centre={data_centre}"
         self._render = structlog.processors.LogfmtRenderer(bool_as_flag=False)
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._second = 0
         self._in_second: Counter[str] = Counter()
         self._dropped: Counter[str] = Counter()
@@ -76,29 +76,32 @@
         if second != self._second:
             self._second = second
             self._in_second.clear()
-            self._tell_dropped()
+            self._report_dropped()
         self._in_second[event] += 1
         most = ORDINARY_LINES if event in _ORDINARY else BUFFERED_LINES
-        if self._in_second[event] > LINES_A_SECOND or len(self._lines) >= most:
+        if (
+            self._in_second[event] > EVENT_LINES_PER_S
+            or len(self._lines) >= most
+        ):
             self._dropped[event] += 1
             return
         self._add(event, values)
 
     def flush(self) -> None:
         """Writes what the descriptor takes without waiting."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._join()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._join()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more, so that there is nobody to tell.
-                self._rest = b""
+                self._unwritten = b""
                 self._lines.clear()
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _join(self) -> bytes:
         parts = []
@@ -111,10 +114,10 @@
     def _add(self, event: str, values: dict[str, object]) -> None:
         pairs = self._render(None, "", values) if values else ""
         stamp = self._wall_clock()
-        text = f"at={stamp:.3f} event={event} {pairs} {self._same}\n"
+        text = f"at={stamp:.3f} event={event} {pairs} {self._common_fields}\n"
         self._lines.append(text.encode("utf-8", "replace"))
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         # Told later while the buffer is full: a reader that stopped would
         # otherwise have it grow by a line a second.
         if not self._dropped or len(self._lines) >= ORDINARY_LINES:
--- a/packages/gateway/src/hollyknot_gateway/_metrics.py
+++ b/packages/gateway/src/hollyknot_gateway/_metrics.py
@@ -48,7 +48,7 @@
         key = (name, tuple(labels.items()))
         histogram = self._histograms.get(key)
         if histogram is None:
-            is_short = name in (ADDED, ASKED)
+            is_short = name in (ADDED_SECONDS, ASKED_SECONDS)
             bounds = _SHORT_BUCKETS_S if is_short else BUCKETS_S
             histogram = _Histogram(bounds, [0] * (len(bounds) + 1))
             self._histograms[key] = histogram
@@ -107,11 +107,11 @@
 
 REQUESTS = "hollyknot_requests_total"
 TRIES = "hollyknot_tries_total"
-FIRST = "hollyknot_first_event_seconds"
-GAP = "hollyknot_longest_gap_seconds"
-WHOLE = "hollyknot_answer_seconds"
-ADDED = "hollyknot_added_seconds"
-ASKED = "hollyknot_asked_seconds"
+FIRST_EVENT_SECONDS = "hollyknot_first_event_seconds"
+LONGEST_GAP_SECONDS = "hollyknot_longest_gap_seconds"
+ANSWER_SECONDS = "hollyknot_answer_seconds"
+ADDED_SECONDS = "hollyknot_added_seconds"
+ASKED_SECONDS = "hollyknot_asked_seconds"
 PERMITS = "hollyknot_permits_total"
 RETRIES = "hollyknot_retries_total"
 UNREADABLE = "hollyknot_unreadable_items_total"
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -24,7 +24,6 @@
     Trackers,
 )
 from hollyknot_coordination.suspects import SuspectRegister
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._inquirer import Inquirer
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._permit_requester import PermitRequester
@@ -39,6 +38,7 @@
     encode_news,
     encode_report,
 )
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import (
     Address,
     HostReport,
@@ -97,7 +97,7 @@
         self,
         settings: GatewaySettings,
         shared: Shared,
-        in_force: InForce,
+        in_force: RoutingState,
         reachability: Reachability,
         prober: Prober,
         news: ReadNews,
@@ -120,7 +120,7 @@
         """
         self._settings = settings
         self._shared = shared
-        self._in_force = in_force
+        self._routing_state = in_force
         self._reachability = reachability
         self._prober = prober
         self._news = news
@@ -302,7 +302,7 @@
         )
 
     def _own_report(self, now_s: float) -> HostReport:
-        index = self._in_force.index
+        index = self._routing_state.index
         changes = self._changes(now_s, is_whole=True)
         return HostReport(
             host=self._settings.host,
@@ -430,6 +430,6 @@
         """Returns the upstreams of a data centre that may get work."""
         return [
             entry
-            for entry in self._in_force.fleet.all_usable(self._clock())
+            for entry in self._routing_state.fleet.all_usable(self._clock())
             if entry.data_centre == data_centre
         ]
--- a/packages/gateway/src/hollyknot_gateway/_operators.py
+++ b/packages/gateway/src/hollyknot_gateway/_operator_servers.py
@@ -16,7 +16,7 @@
 _NOT_READY = 503
 
 
-class Operators:
+class OperatorServers:
     """Two servers beside that of the callers."""
 
     def __init__(
--- a/packages/gateway/src/hollyknot_gateway/_in_force.py
+++ b/packages/gateway/src/hollyknot_gateway/_routing_state.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define
-class InForce:
+class RoutingState:
     """The newest route table and the upstreams.
 
     Attributes:
@@ -23,7 +23,7 @@
     evacuated: frozenset[str] = frozenset()
 
     @property
-    def is_known(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether a request can be judged by what is known."""
         return self.index is not None and self.has_fleet
 
@@ -46,7 +46,7 @@
             self.fleet.set_evacuated(data_centres)
         return before
 
-    def take_table(self, table: RouteTable) -> bool:
+    def apply_table(self, table: RouteTable) -> bool:
         """Puts a version in force, unless it is older.
 
         A slow read may end after a newer one: going back to it would run
--- a/packages/gateway/src/hollyknot_gateway/_run.py
+++ b/packages/gateway/src/hollyknot_gateway/_run.py
@@ -12,7 +12,7 @@
 from hollyknot_gateway._host import STANDARD_OUTPUT, Host, Ports
 from hollyknot_state.routes import GatewaySettings
 
-_BAD_START = 2
+_EXIT_START_FAILED = 2
 
 
 def run(
@@ -53,5 +53,5 @@
             await host.stop()
     except OSError as error:
         sys.stderr.write(f"can't start: {error}\n")
-        return _BAD_START
+        return _EXIT_START_FAILED
     return 0
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -77,7 +77,7 @@
         asked_s = parts.clock() - now
         job.asked_s += asked_s
         outcome = "known" if is_known else "old"
-        parts.metrics.observe(metrics.ASKED, asked_s, outcome=outcome)
+        parts.metrics.observe(metrics.ASKED_SECONDS, asked_s, outcome=outcome)
 
     def _cold_one(
         self,
@@ -299,7 +299,7 @@
         data = self._request_bytes(job, choice)
         if not job.sent:
             parts.metrics.observe(
-                metrics.ADDED, parts.clock() - job.request.arrived_s
+                metrics.ADDED_SECONDS, parts.clock() - job.request.arrived_s
             )
         job.sent += 1
         parts.suspects.on_dispatch(job.fingerprint, entry.incarnation)
@@ -448,11 +448,13 @@
         )
         if result.first_s:
             parts.metrics.observe(
-                metrics.FIRST, result.first_s, route=job.route.name
+                metrics.FIRST_EVENT_SECONDS,
+                result.first_s,
+                route=job.route.name,
             )
         if result.gap_s:
             parts.metrics.observe(
-                metrics.GAP, result.gap_s, route=job.route.name
+                metrics.LONGEST_GAP_SECONDS, result.gap_s, route=job.route.name
             )
 
     def _note_health(self, entry: UpstreamEntry, verdict: Verdict) -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
@@ -18,11 +18,11 @@
     Reachability,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._neighbours import Neighbours, Shared
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import Address, ReadRevisions
 from hollyknot_state.routes import GatewaySettings
 
@@ -171,7 +171,7 @@
                 size,
                 NamedLimits(),
             ),
-            InForce(Fleet(1.0)),
+            RoutingState(Fleet(1.0)),
             Reachability(),
             cast(Prober, None),
             ReadNews(ReadRevisions, lambda _: None),
--- a/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
@@ -78,7 +78,7 @@
 class TestFetch:
     """Answers that come late, slowly or never."""
 
-    def test_an_answer_that_keeps_coming_is_read(self) -> None:
+    def test_reads_slow_answer_while_parts_arrive(self) -> None:
         """A large document is never read over a slow link.
 
         Sequence: its parts come every half second, for longer than a read
@@ -95,7 +95,7 @@
         found, _ = _read(answer)
         assert found == Document(200, b"part " * 4)
 
-    def test_silence_ends_it(self) -> None:
+    def test_times_out_when_answer_falls_silent(self) -> None:
         async def answer(server: _Server, receiver: Receiver) -> None:
             receiver.on_head(_HEAD)
             server.is_reusable = False
@@ -105,7 +105,7 @@
         assert found is FetchFailure.TIMEOUT
         assert server.abandoned == 1
 
-    def test_one_that_begins_late_has_its_whole_time(self) -> None:
+    def test_late_answer_has_full_read_time(self) -> None:
         """A large version that ends a long watch is never read.
 
         Sequence: an answer begins just before its wait is over, and its parts
@@ -124,7 +124,7 @@
         found, _ = _read(answer)
         assert found == Document(200, b"part " * 4)
 
-    def test_an_answer_without_end_is_ended(self) -> None:
+    def test_times_out_on_endless_answer(self) -> None:
         async def answer(server: _Server, receiver: Receiver) -> None:
             receiver.on_head(_HEAD)
             for _ in range(int(LONGEST_READ_S / (_TIMEOUT_S / 2)) + 2):
--- a/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
@@ -14,7 +14,11 @@
     Source,
     SourceFailure,
 )
-from hollyknot_gateway._follower import BEHIND_S, Follower, FollowOptions
+from hollyknot_gateway._follower import (
+    BEHIND_TOLERANCE_S,
+    Follower,
+    FollowOptions,
+)
 from hollyknot_gateway._log import Log
 from hollyknot_gateway.tests._virtual_time import run_virtually
 from hollyknot_state import Position
@@ -24,7 +28,7 @@
 
 
 @attrs.define
-class _Told:
+class _Transcript:
     """What a follower told, and what it asked."""
 
     listings: list[tuple[Listing[str], bool]] = attrs.Factory(list)
@@ -32,19 +36,19 @@
     asked: list[tuple[int, float]] = attrs.Factory(list)
 
 
-class _EndedError(Exception):
+class _ScriptEndedError(Exception):
     """The script has come to its end."""
 
 
-def _follow(lists: list[Listed], watches: list[Watched]) -> _Told:
+def _follow(lists: list[Listed], watches: list[Watched]) -> _Transcript:
     """Plays a script of answers and returns what was told."""
-    told = _Told()
+    told = _Transcript()
     clock = [0.0]
 
     async def read() -> Listed:
         clock[0] += 0.01
         if not lists:
-            raise _EndedError
+            raise _ScriptEndedError
         return lists.pop(0)
 
     async def watch(
@@ -53,7 +57,7 @@
         told.asked.append((after, wait_s))
         clock[0] += wait_s
         if not watches:
-            raise _EndedError
+            raise _ScriptEndedError
         return watches.pop(0)
 
     follower = Follower(
@@ -69,7 +73,7 @@
     async def main() -> None:
         try:
             await follower.run()
-        except _EndedError:
+        except _ScriptEndedError:
             return
 
     asyncio.run(main())
@@ -82,7 +86,7 @@
 class TestFollower:
     """List, watch, and what goes wrong."""
 
-    def test_watches_from_where_the_list_ended(self) -> None:
+    def test_watch_continues_from_listed_revision(self) -> None:
         told = _follow(
             [Listing({"a": "1"}, 5)],
             [Changes({"b": "2"}, (), 7), Changes({}, ("a",), 9)],
@@ -90,11 +94,11 @@
         assert [after for after, _ in told.asked] == [5, 7, 9]
         assert [lapsed for _, lapsed in told.changes] == [False, False]
 
-    def test_a_failed_watch_goes_on_from_the_same_revision(self) -> None:
+    def test_failed_watch_resumes_at_same_revision(self) -> None:
         told = _follow([Listing({}, 5)], [FAILED, Changes({"b": "2"}, (), 7)])
         assert [after for after, _ in told.asked] == [5, 5, 7]
 
-    def test_a_failed_watch_is_followed_by_short_ones(self) -> None:
+    def test_failed_watch_is_followed_by_short_watches(self) -> None:
         """A version that was published while the source was away is late.
 
         Sequence: the source falls silent; it is back just after a long watch
@@ -106,7 +110,7 @@
         assert waits[0] == waits[3] == 2.0
         assert max(waits[1:3]) < 0.2
 
-    def test_lists_again_after_some_failed_watches(self) -> None:
+    def test_lists_again_after_repeated_failed_watches(self) -> None:
         """A host serves by old routes long after the source is back.
 
         Sequence: the source is away for seconds in which many large versions
@@ -120,27 +124,27 @@
         assert [after for after, _ in told.asked] == [5, 5, 5, 90]
         assert told.listings[-1] == (newest, True)
 
-    def test_removals_just_after_a_failure_may_be_lapses(self) -> None:
+    def test_removals_after_failure_may_be_lapses(self) -> None:
         told = _follow(
             [Listing({"a": "1"}, 5)], [FAILED, Changes({}, ("a",), 7)]
         )
         assert told.changes[0][1]
 
-    def test_lists_again_when_the_history_is_gone(self) -> None:
+    def test_lists_again_when_history_is_compacted(self) -> None:
         told = _follow(
             [Listing({"a": "1"}, 5), Listing({"b": "1"}, 9)],
             [Compacted.COMPACTED],
         )
         assert [listing.revision for listing, _ in told.listings] == [5, 9]
 
-    def test_lists_again_once_lapsed_entries_are_back(self) -> None:
+    def test_lists_again_once_failure_has_settled(self) -> None:
         told = _follow(
             [Listing({"a": "1"}, 5), Listing({}, 8)],
             [FAILED, *(Changes({}, (), 6 + n) for n in range(3))],
         )
         assert [lapsed for _, lapsed in told.listings] == [False, False]
 
-    def test_a_stale_list_is_not_believed(self) -> None:
+    def test_stale_list_is_ignored(self) -> None:
         told = _follow(
             [Listing({}, 9), Listing({}, 4), Listing({}, 9)],
             [Compacted.COMPACTED],
@@ -148,10 +152,12 @@
         assert [listing.revision for listing, _ in told.listings] == [9, 9]
 
 
-class _Fleet:
+class _HostWithPeers:
     """A host that follows a source, and peers that follow it too."""
 
-    def __init__(self, tells: list[int], *, newest: int, seed: int = 1) -> None:
+    def __init__(
+        self, peer_revisions: list[int], *, newest: int, seed: int = 1
+    ) -> None:
         """Lists as of revision 5, and is told of changes during long watches.
 
         Args:
@@ -159,7 +165,7 @@
             newest: The source's revision from the first watch on.
             seed: Of the follower's chance.
         """
-        self._tells = tells
+        self._peer_revisions = peer_revisions
         self._newest = newest
         self.waits: list[float] = []
         self.read: list[int] = []
@@ -185,57 +191,57 @@
         """
         self.waits.append(wait_s)
         if wait_s > 1:
-            if not self._tells:
-                raise _EndedError
-            self.follower.tell(Position(0, self._tells.pop(0)))
+            if not self._peer_revisions:
+                raise _ScriptEndedError
+            self.follower.on_peer_read(Position(0, self._peer_revisions.pop(0)))
             await asyncio.Event().wait()
         is_news = self._newest > after
         items = {"a": "1"} if is_news else {}
         changed = self._newest if is_news else 0
         return Changes(items, (), self._newest, changed=changed)
 
-    def play(self) -> None:
+    def run_script(self) -> None:
         """Follows the source until the play's end."""
 
         async def main() -> None:
             try:
                 await self.follower.run()
-            except _EndedError:
+            except _ScriptEndedError:
                 return
 
         asyncio.run(main())
 
 
-class TestPeersThatReadMore:
+class TestPeersAhead:
     """A long watch on a silent connection must not hide a change."""
 
-    def test_what_a_peer_has_read_is_read_at_once(self) -> None:
+    def test_reads_at_once_what_a_peer_has_read(self) -> None:
         """Keys that were revoked work for as long as a watch waits.
 
         Sequence: the connection of a watch falls silent without a sign; a
         version is written, which all peers read. Cause: this host waits for
         the end of its watch, 18 s in a large fleet.
         """
-        fleet = _Fleet([7], newest=7)
-        fleet.play()
+        fleet = _HostWithPeers([7], newest=7)
+        fleet.run_script()
         assert fleet.read == [7]
         assert fleet.waits[0] > 1
         assert fleet.waits[1] < 0.2
         assert fleet.follower.changed == Position(0, 7)
 
-    def test_a_peer_that_reads_something_else_is_heeded_once(self) -> None:
+    def test_unconfirmed_peer_position_costs_one_read(self) -> None:
         """The source is asked several times a second by each host.
 
         Sequence: a peer tells of a revision that this source does not have.
         Cause: each of its reports was answered by a read.
         """
-        fleet = _Fleet([900], newest=6)
-        fleet.play()
+        fleet = _HostWithPeers([900], newest=6)
+        fleet.run_script()
         assert [wait_s > 1 for wait_s in fleet.waits] == [True, False, True]
-        fleet.follower.tell(Position(0, 900))
+        fleet.follower.on_peer_read(Position(0, 900))
         assert not fleet.follower._is_behind
 
-    def test_ends_of_watches_are_spread_again_after_a_change(self) -> None:
+    def test_watch_waits_are_jittered_after_a_change(self) -> None:
         """A source that returns in silence is noticed only after 18 s.
 
         Sequence: a change ends the watches of all hosts; the source falls
@@ -244,15 +250,15 @@
         """
         waits = set()
         for seed in range(20):
-            fleet = _Fleet([], newest=5, seed=seed)
-            fleet.play()
+            fleet = _HostWithPeers([], newest=5, seed=seed)
+            fleet.run_script()
             waits.add(fleet.waits[0])
         assert len(waits) == 20
         assert 2.0 <= min(waits) < 6.0
         assert 14.0 < max(waits) <= 18.0
 
 
-class _Link:
+class _SlowLink:
     """A host whose source answers over a slow link, and a peer that tells.
 
     Revision 7 is written a second after the host's first watch was begun. The
@@ -300,20 +306,20 @@
         self.read_at_s = asyncio.get_running_loop().time()
         self._done.set()
 
-    async def _tell(self) -> None:
+    async def _report_change(self) -> None:
         """Tells of the change several times a second, as reports do."""
         await asyncio.sleep(1.0)
         while True:
-            self.follower.tell(Position(0, 7))
+            self.follower.on_peer_read(Position(0, 7))
             await asyncio.sleep(0.1)
 
-    def play(self) -> None:
+    def run_script(self) -> None:
         """Follows the source until the change is read, a minute at most."""
 
         async def main() -> None:
             tasks = [
                 asyncio.ensure_future(self.follower.run()),
-                asyncio.ensure_future(self._tell()),
+                asyncio.ensure_future(self._report_change()),
             ]
             async with asyncio.timeout(60):
                 await self._done.wait()
@@ -323,37 +329,37 @@
         run_virtually(main())
 
 
-class TestAnswersThatTakeLong:
+class TestSlowAnswers:
     """What is on its way is not given up for the news that announce it."""
 
-    def test_an_answer_that_has_begun_to_arrive_is_awaited(self) -> None:
+    def test_awaits_answer_that_has_begun_to_arrive(self) -> None:
         """A version is in force twenty seconds after its confirmation.
 
         Sequence: a version of a megabyte begins to arrive over a small link;
         a peer with a larger one has read it and says so. Cause: the watch was
         given up because of that word, and so was each one begun in its place.
         """
-        link = _Link(begins_after_s=0.05, lasts_s=2.5)
-        link.play()
+        link = _SlowLink(begins_after_s=0.05, lasts_s=2.5)
+        link.run_script()
         assert link.watches == 1
         assert link.read_at_s < 1.0 + 0.05 + 2.5 + 0.1
 
-    def test_a_read_begun_for_the_news_is_awaited(self) -> None:
+    def test_awaits_read_begun_for_a_peer_report(self) -> None:
         """The same where the source is slow to begin its answer.
 
         Sequence: a slow source answers after 0.8 s; a peer has read the
         change. Cause: each watch was given up after less.
         """
-        link = _Link(begins_after_s=0.8, lasts_s=0.1)
-        link.play()
+        link = _SlowLink(begins_after_s=0.8, lasts_s=0.1)
+        link.run_script()
         assert link.watches == 2
-        assert link.read_at_s < 1.0 + BEHIND_S + 0.8 + 0.1 + 0.1
+        assert link.read_at_s < 1.0 + BEHIND_TOLERANCE_S + 0.8 + 0.1 + 0.1
 
 
 class TestLostSource:
     """How often a source that is down is tried."""
 
-    def test_it_is_tried_seldom_and_found_again_soon(self) -> None:
+    def test_lost_source_is_retried_rarely_but_found_soon(self) -> None:
         """A store that is down gets most calls of its day just then.
 
         Sequence: it refuses all hosts for ten seconds; each of 83 tries it
--- a/packages/gateway/src/hollyknot_gateway/tests/test_log.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_log.py
@@ -3,7 +3,7 @@
 import os
 import re
 
-from hollyknot_gateway._log import BUFFERED_LINES, LINES_A_SECOND, Log
+from hollyknot_gateway._log import BUFFERED_LINES, EVENT_LINES_PER_S, Log
 
 
 class _Clock:
@@ -37,7 +37,7 @@
 class TestLog:
     """Lines in, key=value text out."""
 
-    def test_a_line_an_event(self) -> None:
+    def test_writes_one_line_per_event(self) -> None:
         log, reading, _, _ = _log()
         log.line("try", request="a1", detail="two words", left=1.5)
         log.flush()
@@ -46,13 +46,13 @@
             " host=h1 data_centre=north"
         ]
 
-    def test_a_line_break_in_a_value_starts_no_line(self) -> None:
+    def test_line_break_in_value_starts_no_new_line(self) -> None:
         log, reading, _, _ = _log()
         log.line("try", request="a\nat=9 event=forged")
         log.flush()
         assert len(_read(reading)) == 1
 
-    def test_a_reader_that_stops_holds_nothing_up(self) -> None:
+    def test_stopped_reader_does_not_block(self) -> None:
         """All streams of a host stop.
 
         Sequence: whoever reads the logs stops, the pipe fills. Cause: a write
@@ -61,7 +61,7 @@
         log, reading, _, clock = _log()
         for second in range(60):
             clock.now_s = float(second)
-            for _ in range(LINES_A_SECOND):
+            for _ in range(EVENT_LINES_PER_S):
                 log.line("try", text="x" * 200)
             log.flush()
         assert log.waiting <= BUFFERED_LINES
@@ -77,17 +77,17 @@
         told = re.findall(r"event=lines_dropped of=try count=(\d+)", str(lines))
         assert sum(map(int, told)) == log.dropped
 
-    def test_many_lines_of_one_event_leave_room_for_others(self) -> None:
+    def test_frequent_event_does_not_crowd_out_others(self) -> None:
         log, reading, _, _ = _log()
-        for _ in range(LINES_A_SECOND * 3):
+        for _ in range(EVENT_LINES_PER_S * 3):
             log.line("try")
         log.line("crash")
         log.flush()
         events = [line.split()[1] for line in _read(reading)]
-        assert events.count("event=try") == LINES_A_SECOND
+        assert events.count("event=try") == EVENT_LINES_PER_S
         assert events.count("event=crash") == 1
 
-    def test_ordinary_lines_leave_the_buffer_room_for_failures(self) -> None:
+    def test_ordinary_lines_leave_room_for_failures(self) -> None:
         """The one line that tells of a lost request is missing.
 
         Sequence: the reader stops for half a minute under load; a request
@@ -96,7 +96,7 @@
         log, reading, _, clock = _log()
         for second in range(30):
             clock.now_s = float(second)
-            for _ in range(LINES_A_SECOND):
+            for _ in range(EVENT_LINES_PER_S):
                 log.line("try")
         log.line("failed_try", request="lost")
         lines = []
@@ -105,7 +105,7 @@
             lines += _read(reading)
         assert any("event=failed_try request=lost" in line for line in lines)
 
-    def test_a_reader_that_is_gone_costs_nothing(self) -> None:
+    def test_closed_reader_discards_lines(self) -> None:
         log, reading, writing, _ = _log()
         os.close(reading)
         log.line("try")
--- a/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
@@ -17,12 +17,12 @@
     Reachability,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._neighbours import Neighbours, Shared
 from hollyknot_gateway._pool import ConnectFailure
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import Address, HostReport, ReadRevisions
 from hollyknot_state.routes import GatewaySettings, UpstreamEntry
 
@@ -77,7 +77,7 @@
                 FleetSize(0.0, is_alone=True),
                 NamedLimits(),
             ),
-            InForce(fleet),
+            RoutingState(fleet),
             self.reachability,
             cast(Prober, self.probes),
             ReadNews(ReadRevisions, lambda _: None),
--- a/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
@@ -45,7 +45,7 @@
     revision: int = 1
     era: int = 1
     written: int = 0
-    is_away: bool = False
+    is_unavailable: bool = False
     delay_s: float = 0.004
     lists: int = 0
     copies: list[_Copy] = attrs.Factory(list)
@@ -54,12 +54,12 @@
     def write(self, name: str) -> None:
         """Writes an item that was never written before."""
         self.written += 1
-        self._note(name, self.written)
+        self._record(name, self.written)
 
     def remove(self, name: str) -> None:
         """Removes an item."""
         if name in self.items:
-            self._note(name, None)
+            self._record(name, None)
 
     def copy(self) -> None:
         """Keeps a copy."""
@@ -75,7 +75,7 @@
         self.era += 1
         self._wake()
 
-    def _note(self, name: str, value: int | None) -> None:
+    def _record(self, name: str, value: int | None) -> None:
         self.revision += 1
         self.events.append((self.revision, name, value))
         if value is None:
@@ -92,7 +92,7 @@
         """Answers a list."""
         self.lists += 1
         await asyncio.sleep(self.delay_s)
-        if self.is_away:
+        if self.is_unavailable:
             return SourceFailure("away")
         found = Listing(
             dict(self.items), self.revision, (), self.revision, self.era
@@ -111,7 +111,7 @@
                     await self.changed.wait()
         except TimeoutError:
             pass
-        if self.is_away:
+        if self.is_unavailable:
             return SourceFailure("away")
         if after > self.revision:
             return Compacted.COMPACTED
@@ -168,36 +168,36 @@
     return host
 
 
-async def _tell(hosts: list[_Host]) -> None:
+async def _exchange_reports(hosts: list[_Host]) -> None:
     """Has hosts tell each other what they have read."""
     while True:
         await asyncio.sleep(0.2)
         # Of several words at one moment only the newest changes anything.
         newest = max(host.follower.changed for host in hosts)
         for host in hosts:
-            host.follower.tell(newest)
+            host.follower.on_peer_read(newest)
 
 
 Step = Callable[[_Directory], None]
 
 
-def _away(directory: _Directory) -> None:
-    directory.is_away = True
+def _become_unavailable(directory: _Directory) -> None:
+    directory.is_unavailable = True
 
 
-def _back(directory: _Directory) -> None:
-    directory.is_away = False
+def _become_available(directory: _Directory) -> None:
+    directory.is_unavailable = False
 
 
-def _slow(directory: _Directory) -> None:
+def _become_slow(directory: _Directory) -> None:
     directory.delay_s = 0.3
 
 
-def _fast(directory: _Directory) -> None:
+def _become_fast(directory: _Directory) -> None:
     directory.delay_s = 0.004
 
 
-def _play(
+def _run_steps(
     steps: list[tuple[float, Step]], hosts: int = HOSTS
 ) -> tuple[_Directory, list[_Host]]:
     """Plays steps, each after a pause, and waits until all is settled."""
@@ -207,12 +207,12 @@
         directory.write("a")
         followers = [_make_host(directory, n) for n in range(hosts)]
         tasks = [asyncio.ensure_future(f.follower.run()) for f in followers]
-        tasks.append(asyncio.ensure_future(_tell(followers)))
+        tasks.append(asyncio.ensure_future(_exchange_reports(followers)))
         await asyncio.sleep(1.0)
         for pause_s, step in steps:
             await asyncio.sleep(pause_s)
             step(directory)
-        directory.is_away = False
+        directory.is_unavailable = False
         directory.delay_s = 0.004
         await asyncio.sleep(SETTLED_S)
         for task in tasks:
@@ -226,7 +226,14 @@
 _WRITES = st.sampled_from(NAMES).map(lambda name: lambda d: d.write(name))
 _REMOVALS = st.sampled_from(NAMES).map(lambda name: lambda d: d.remove(name))
 _FAULTS = st.sampled_from(
-    [_Directory.copy, _Directory.restore, _away, _back, _slow, _fast]
+    [
+        _Directory.copy,
+        _Directory.restore,
+        _become_unavailable,
+        _become_available,
+        _become_slow,
+        _become_fast,
+    ]
 )
 _PAUSES = st.sampled_from([0.0, 0.01, 0.2, 1.0, 3.0])
 _STEPS = st.lists(
@@ -239,38 +246,40 @@
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(_STEPS)
-    def test_any_sequence(self, steps: list[tuple[float, Step]]) -> None:
+    def test_converges_after_any_sequence_of_steps(
+        self, steps: list[tuple[float, Step]]
+    ) -> None:
         """Guards against hosts that go by the revisions of an older era."""
-        directory, hosts = _play(steps)
+        directory, hosts = _run_steps(steps)
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
-    def test_a_lower_revision(self) -> None:
+    def test_lower_revision_of_new_era_is_not_stale(self) -> None:
         """Guards against lists of a new era that are taken for stale."""
         steps: list[tuple[float, Step]] = [(0.5, _Directory.copy)]
         steps += [(0.1, lambda d: d.write("b"))] * 8
         steps += [(0.1, _Directory.restore), (0.5, lambda d: d.write("c"))]
-        directory, hosts = _play(steps)
+        directory, hosts = _run_steps(steps)
         assert set(directory.items) == {"a", "c"}
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
-    def test_a_revision_that_has_passed_the_old_one(self) -> None:
+    def test_new_era_past_old_revision_is_listed(self) -> None:
         """Guards against changes that no watch tells of."""
         steps: list[tuple[float, Step]] = [
             (0.5, _Directory.copy),
             (0.1, lambda d: d.write("b")),
-            (0.1, _away),
+            (0.1, _become_unavailable),
             (0.5, _Directory.restore),
             (0.0, lambda d: d.write("c")),
             (0.0, lambda d: d.write("d")),
             (0.0, lambda d: d.write("d")),
-            (0.5, _back),
+            (0.5, _become_available),
         ]
-        directory, hosts = _play(steps)
+        directory, hosts = _run_steps(steps)
         assert set(directory.items) == {"a", "c", "d"}
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
     @pytest.mark.parametrize("count", [8, 83, 300])
-    def test_costs_two_lists_a_host(self, count: int) -> None:
+    def test_restore_costs_at_most_two_lists_per_host(self, count: int) -> None:
         """Guards against lists that are read again and again."""
         lists_before: list[int] = []
 
@@ -284,6 +293,6 @@
             (5.0, restore),
             (0.2, lambda d: d.write("c")),
         ]
-        directory, hosts = _play(steps, count)
+        directory, hosts = _run_steps(steps, count)
         assert [host.holds for host in hosts] == [directory.items] * count
         assert directory.lists - lists_before[0] <= 2 * count
