--- a/packages/gateway/src/hollyknot_gateway/__init__.py
+++ b/packages/gateway/src/hollyknot_gateway/__init__.py
@@ -1,4 +1,7 @@
-"""A host that forwards HTTP calls by routes, for any platform's interfaces."""
+"""A gateway host that forwards HTTP requests to upstreams by a route table.
+
+Platforms plug in their interfaces through `Ports`.
+"""
 
 from hollyknot_gateway._fetch import Document, FetchFailure, fetch
 from hollyknot_gateway._host import Host, Ports
--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -1,4 +1,7 @@
-"""Keeps what a host's platform lists: what operators publish, and upstreams."""
+"""Follows the platform's directory: published routes and upstreams.
+
+What is read from its two collections is put in force in the routing state.
+"""
 
 import random
 import time
@@ -27,55 +30,60 @@
 )
 
 LAPSE_GRACE_S = 1.7
-"""How long an upstream keeps its work whose entry has gone while the directory
-was away: entries that only lapsed are back within two seconds."""
+"""Seconds that an upstream stays usable after its entry disappeared during a
+directory outage. Entries that only lapsed are renewed within two seconds."""
 
 READ_PAUSE_FRACTION = 0.4
-"""Of the bound for leaving upstreams, the pause between two reads of them. The
-rest is for the read itself and for what is on its way."""
+"""The pause between two reads of the upstreams, as a fraction of the time after
+which a draining upstream must get no new work. The rest of that time is left
+for the read itself and for requests that are already on their way."""
 
 SHORTEST_WATCH_S = 2.0
-"""How long a watch waits where few hosts are heard: a connection that fell
-silent hides a new version for no longer than this and the slack of a read."""
+"""Seconds that a watch waits in a small fleet. A connection that has silently
+failed hides a new version for no longer than this plus the slack of a read."""
 
 LONGEST_WATCH_S = 18.0
-"""The longest wait, in a large fleet. A host whose watch is silent learns of a
-change by its peers; with this it also notices by itself, soon after."""
+"""Seconds that a watch waits at most, in a large fleet. A host whose watch has
+silently failed learns of a change from its peers; this limit lets it notice the
+change by itself soon afterwards."""
 
 FLEET_WATCH_ENDS_PER_S = 4.0
-"""How many hosts of a fleet end a watch each second. A source that returns in
-silence, so that no open watch is ever answered, is noticed by one of them
-within a second and by the others by what that one tells."""
+"""Watches that end per second, over all hosts of a fleet. If a source recovers
+but never answers the watches that were open, one host notices within a second,
+and the others learn it from that host's reports."""
 
 
 RESTORED_HEARTBEATS = 4
-"""After the source came back from an older copy, how long its entries may be
-old, in heartbeats of upstreams. Live ones have renewed theirs by then, and
-those of upstreams that have ended have lapsed after three."""
+"""How long entries may be outdated after the source was restored from an older
+copy, in heartbeats of upstreams. Live upstreams have renewed their entries by
+then, and entries of upstreams that have ended lapse after three heartbeats."""
 
 FLEET_RETRIES_PER_S = 40.0
-"""How many hosts of a fleet try a lost source again each second."""
+"""Reads of a lost source that are retried per second, over all hosts of a
+fleet."""
 
 RETRY_PAUSE_FRACTION = 0.25
-"""Of the time in which an outage counts as over, the longest pause between two
-tries: what changed meanwhile is then read well before it has to be in force."""
+"""The longest pause between two retries, as a fraction of the time within which
+an outage must count as over. Changes made during the outage are then read well
+before they have to be in force."""
 
 
 @attrs.frozen
 class DirectoryParts:
-    """What the directory is made of.
+    """The collaborators of a `Directory`.
 
     Attributes:
-        published: The source of what operators publish.
-        upstreams: The source of upstreams.
-        in_force: Where both are put in force.
-        cold_starts: Told of upstreams that are cold, or may be.
-        pool: Connections, closed to upstreams that leave.
-        on_ended: Told of an incarnation that has left for good.
-        log: Told of what is believed.
-        metrics: Counts what can't be read.
-        hosts: How many hosts there are, as far as this one knows.
-        rng: Spreads pauses.
+        published: The source of route tables and evacuations, which operators
+            publish.
+        upstreams: The source of upstream entries.
+        in_force: The routing state that both collections update.
+        cold_starts: Notified of upstreams that are cold or may be cold.
+        pool: Connections to upstreams; those to leaving upstreams are closed.
+        on_ended: Called with each incarnation that has left for good.
+        log: Receives a line for each change of the routing state.
+        metrics: Counts items that can't be read.
+        hosts: Returns how many hosts this one knows of, itself included.
+        rng: Adds jitter to pauses.
         clock: The loop's monotonic clock, in seconds.
     """
 
@@ -93,13 +101,13 @@
 
 
 class Directory:
-    """Follows the platform's two collections."""
+    """Follows the platform's two collections and applies what changes."""
 
     def __init__(self, parts: DirectoryParts, bounds: Bounds) -> None:
-        """Wires the parts.
+        """Creates followers of both collections, which read nothing yet.
 
         Args:
-            parts: Sources and what they feed.
+            parts: The sources and the components that they update.
             bounds: How soon changes have to be noticed.
         """
         self._parts = parts
@@ -111,21 +119,21 @@
 
     @property
     def read(self) -> ReadRevisions:
-        """The newest changes that were read."""
+        """The newest changes that were read from both collections."""
         tables, upstreams = self._published.changed, self._upstreams.changed
         return ReadRevisions(
             tables.revision, upstreams.revision, tables.era, upstreams.era
         )
 
     def on_peer_read(self, read: ReadRevisions) -> None:
-        """Takes what a peer has read: what lacks here is read at once."""
+        """Reads at once whatever a peer has read and this host has not."""
         self._published.on_peer_read(Position(read.tables_era, read.tables))
         self._upstreams.on_peer_read(
             Position(read.upstreams_era, read.upstreams)
         )
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Puts other bounds in force from the next read on."""
+        """Uses other bounds from the next read on."""
         self._bounds = bounds
 
     async def follow_published(self) -> None:
@@ -152,8 +160,8 @@
         parts = self._parts
         return Follower(
             parts.upstreams,
-            # Entries are renewed all the time, so that a watch ends at once:
-            # without a pause each renewal would cost a read.
+            # Entries are renewed continuously, so a watch ends almost at once.
+            # Without a pause each renewal would cost a read.
             lambda: self._options(self._bounds.drain_s * READ_PAUSE_FRACTION),
             self._apply_upstream_listing,
             self._apply_upstream_changes,
@@ -175,9 +183,10 @@
         )
 
     def _longest_pause_s(self) -> float:
-        """Returns how long a host waits before it tries a lost source again.
+        """Returns the longest pause before a lost source is tried again.
 
-        All hosts try at once, and the source refuses them all.
+        It grows with the number of hosts, since all of them retry during an
+        outage and the source has to refuse each attempt.
         """
         wanted_s = self._parts.hosts() / FLEET_RETRIES_PER_S
         longest_s = max(
@@ -186,19 +195,21 @@
         return min(max(wanted_s, LONGEST_PAUSE_S), longest_s)
 
     def _apply_published_listing(self, listing: Listing[Published]) -> None:
-        """Takes all that is published: an evacuation that lacks is over.
+        """Applies a full listing of what operators have published.
 
-        Not while the source may have lost it: operators write it again.
+        An evacuation that is missing has ended, unless the source was restored
+        from an older copy and may have lost it; operators then write it again.
         """
         self._report_unreadable(listing.unreadable)
         if not self._published.is_restored:
             self._evacuations.clear()
-        # First, so that no new route leads to an evacuated data centre.
+        # Evacuations go first, so that no new route leads to an evacuated data
+        # centre.
         self._apply_evacuations(listing.items)
         self._apply_tables(listing.items)
 
     def _apply_published_changes(self, changes: Changes[Published]) -> None:
-        """Takes what has changed; what can't be read changes nothing."""
+        """Applies published changes; unreadable items change nothing."""
         self._report_unreadable(changes.unreadable)
         for name in changes.removed:
             self._evacuations.pop(name, None)
@@ -213,7 +224,7 @@
             )
 
     def _apply_evacuations(self, items: dict[str, Published]) -> None:
-        """Keeps new work from the data centres that are evacuated now."""
+        """Stops sending new work to the data centres that are evacuated."""
         self._evacuations.update(
             (name, item.data_centre)
             for name, item in items.items()
@@ -228,10 +239,11 @@
             self._mark_possibly_cold(data_centre)
 
     def _mark_possibly_cold(self, data_centre: str) -> None:
-        """Spares upstreams that may have been restarted while they were idle.
+        """Treats upstreams of a data centre as cold after its evacuation.
 
-        Their entries say so only some time after they are taken back, and idle
-        as they are they would draw the requests of all hosts at once.
+        They may have been restarted while they got no work, and their entries
+        say so only some time after work returns. Since they are idle, placement
+        would send the requests of all hosts to them at once.
         """
         now_s = self._parts.clock()
         for entry in self._parts.in_force.fleet.all_usable(now_s):
@@ -239,7 +251,7 @@
                 self._parts.cold_starts.suspect(entry, now_s)
 
     def _apply_tables(self, items: dict[str, Published]) -> None:
-        """Puts tables in force."""
+        """Puts each route table in force unless it is outdated."""
         tables = [
             item for item in items.values() if isinstance(item, RouteTable)
         ]
@@ -295,10 +307,14 @@
     def _remove_unreadable(
         self, found: tuple[Unreadable, ...], *, are_all: bool
     ) -> None:
-        """Takes upstreams whose entries can't be read for gone.
+        """Removes upstreams whose entries can't be read.
+
+        An entry is logged only when its problem is new: a writer that renews a
+        bad entry every second would otherwise fill the log.
 
-        A line is written where something is new: a writer that renews a bad
-        entry every second would otherwise fill the log.
+        Args:
+            found: The entries that can't be read.
+            are_all: Whether these are all such entries of the collection.
         """
         for item in found:
             self._parts.metrics.count(UNREADABLE, source="upstreams")
@@ -345,7 +361,7 @@
         )
 
     def _forget_ended(self) -> None:
-        """Lets go of all that was learnt of incarnations that have ended."""
+        """Discards all state that is kept for incarnations that have ended."""
         for ended in self._parts.in_force.fleet.take_ended():
             self._parts.pool.drop(ended.incarnation)
             self._parts.on_ended(ended)
--- a/packages/gateway/src/hollyknot_gateway/_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/_fetch.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for documents, over the connections to upstreams."""
+"""A small HTTP client that reads documents over pooled connections."""
 
 import asyncio
 import enum
@@ -13,13 +13,15 @@
 from hollyknot_state import Address
 
 LONGEST_READ_S = 5.0
-"""The longest that an answer may take that keeps coming. A megabyte of routes
-over a link with a round trip of 20 ms takes a second."""
+"""Seconds that an answer may take from its first part to its end, even if parts
+keep arriving. A megabyte of routes takes one second over a link with a round
+trip of 20 ms."""
 
 LONGEST_GAP_S = 1.5
-"""The longest pause within an answer. One that was waited for for long, and
-stops half-way on a connection that fell silent, is not waited for that long
-again; a link that is crowded by answers to callers holds one for less."""
+"""Seconds that may pass between two parts of an answer. The wait for the first
+part may be long, as in a watch; without this limit, an answer that stops
+half-way on a dead connection would take that long again. A link that is
+congested by answers to callers delays a part for less than this."""
 
 
 class FetchFailure(enum.Enum):
@@ -36,8 +38,8 @@
 
     Attributes:
         status: The HTTP status.
-        body: All of it.
-        fields: Headers, looked up by name without regard to case.
+        body: The whole body.
+        fields: The headers, looked up by case-insensitive name.
     """
 
     status: int
@@ -46,6 +48,8 @@
 
 
 class _Collector:
+    """Assembles the parts of an answer into a document."""
+
     def __init__(self, on_progress: Callable[[], None]) -> None:
         self._on_progress = on_progress
         self._status = 0
@@ -73,7 +77,7 @@
         self._set(FetchFailure.LOST)
 
     def _note_progress(self) -> None:
-        # A part may still come in just after the wait has ended.
+        # A part may still arrive just after the wait has ended.
         if not self.done.done():
             self._on_progress()
 
@@ -89,7 +93,7 @@
 def _deadline_extender(
     timeout: asyncio.Timeout, on_progress: Callable[[], None]
 ) -> Callable[[], None]:
-    """Returns what gives an answer more time each time a part of it arrives."""
+    """Returns a callback that postpones the deadline when a part arrives."""
     clock = asyncio.get_running_loop().time
     last_s: float | None = None
 
@@ -112,22 +116,22 @@
     timeout_s: float,
     on_progress: Callable[[], None] = _ignore_progress,
 ) -> Document | FetchFailure:
-    """Reads a document by GET.
+    """Reads a document with a GET request.
 
     Args:
-        pool: Keeps the connections.
-        name: Of the server, by which its connections are kept.
-        address: Where it answers.
-        target: Path and query.
-        timeout_s: The longest wait for the answer's begin, a new connection
-            included. An answer that keeps coming has longer: were its whole
-            time bounded, one that is too large would be begun again and
-            again, and never read.
+        pool: The pool that connections are taken from.
+        name: The server's name, under which the pool keeps its connections.
+        address: The server's address.
+        target: The path and query to request.
+        timeout_s: Seconds to wait for the first part of the answer, including
+            the time to connect. Later parts extend the deadline: if this
+            bounded the whole answer, a large document on a slow link would be
+            requested again and again, and never be read in full.
         on_progress: Called each time a part of the answer arrives.
 
     Returns:
-        The answer, or why there is none. A connection on which an answer did
-        not come in time is never used again: it may be silent for good.
+        The document, or why there is none. A connection whose answer timed out
+        is never reused, since it may be dead.
     """
     connection = None
     try:
--- a/packages/gateway/src/hollyknot_gateway/_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/_follower.py
@@ -1,16 +1,16 @@
-"""Keeps up with a collection by listing and watching it.
-
-A source may be slow, refuse, lose answers, forget its history or fall silent
-on an open connection. Whatever it does, what was learnt is kept, and reading
-goes on with pauses that grow to a bound.
-
-A watch costs its source a call, so that in a large fleet it waits for long. One
-on a connection that fell silent would then hide all changes for as long. But
-hosts tell each other the newest change that each has read: one that is behind
-the others gives its watch up and reads at once. It gives up no answer for that
-which has begun to arrive, and no read that was begun for that: a large version
-over a small link takes longer than its news, and would be begun again and again
-without being read once.
+"""Follows a collection of the directory by listing and then watching it.
+
+A source may be slow, refuse requests, lose answers, compact its history or stop
+answering on an open connection. In all these cases the follower keeps what it
+has read and retries, with pauses that grow up to a limit.
+
+Each watch costs the source a request, so watches in a large fleet are long. A
+watch on a dead connection would hide all changes for that time. Hosts therefore
+report the newest change that they have read to each other, and a host that is
+behind its peers abandons its watch and reads at once. It never abandons an
+answer that has begun to arrive, nor a read that it began because it was behind:
+a large version takes longer to arrive over a slow link than the report that
+announces it, and would be requested again and again without ever being read.
 """
 
 import asyncio
@@ -34,31 +34,34 @@
 
 _FIRST_PAUSE_S = 0.1
 LONGEST_PAUSE_S = 0.4
-"""Between failed reads, where hosts are few: short enough that a version is in
-force within its bound once the source is back."""
+"""The longest pause between failed reads in a small fleet, in seconds. It is
+short enough that a version is in force within its bound once the source is
+back."""
 
 _PAUSE_JITTER = 0.25
-"""By how much of it such a pause varies either way, so that all hosts don't
-read at the same moment when a source returns."""
+"""The fraction by which a pause varies either way, so that the hosts of a fleet
+don't all read at the same moment when a source returns."""
 
 _PROBE_WAIT_S = 0.05
-"""How long a watch waits after a failed one. A silent source swallows a long
-watch, and one would learn of its return only when that has timed out: a
-version that was published meanwhile would be late."""
+"""Seconds that a watch waits after a failed one. A source that is down may never
+answer a long watch, and its return would be noticed only when that watch times
+out, so that a version published meanwhile would be late."""
 
 
 BEHIND_TOLERANCE_S = 0.3
-"""How long a watch without an answer may lack what a peer has read before it is
-given up. All watches are answered within milliseconds of a change, those of a
-slow source within a few hundred, and a report of it can arrive as soon."""
+"""Seconds that an unanswered watch is kept after a peer reported a newer change.
+Watches are answered within milliseconds of a change, or a few hundred where the
+source is slow, and a peer's report can arrive just as early."""
 
 _MAX_LOWER_ERAS = 3
-"""Answers of a lower era in a row that are taken for late ones."""
+"""Consecutive answers of a lower era that are ignored as late. After these the
+source is taken to stay in that era, and its answers count again."""
 
 _MAX_FAILED_WATCHES = 3
-"""Failed watches after which the list is read instead. A watch tells all that
-has changed meanwhile: after a storm of large versions its answer may not be
-read in time, and a host would stay behind long after the source is back."""
+"""Consecutive failed reads after which the list is read instead of a watch. The
+answer to a watch holds every change since its revision. After many large
+versions it may be too large to be read in time, and the host would stay behind
+long after the source is back."""
 
 
 @attrs.frozen
@@ -66,15 +69,17 @@
     """How a collection is watched.
 
     Attributes:
-        wait_s: How long a watch waits for a change.
-        first_wait_s: The least that the one after a change waits. All hosts
-            begin theirs at the same moment then; unless their ends are spread
-            again, none of them would notice a silent source for `wait_s`.
-        pause_s: Between a watch that told changes and the next.
-        settle_s: After a failure, how long removals may only be lapses.
-        longest_pause_s: Between failed reads.
-        restored_s: After the source came back from an older copy, how long
-            what it lacks or has again may only be owed to that.
+        wait_s: Seconds that a watch waits for a change.
+        first_wait_s: The shortest wait of the watch that follows a change, in
+            seconds. All hosts begin that watch at the same moment; without
+            jitter in its length, none of them would notice a source that has
+            stopped answering for `wait_s`.
+        pause_s: Seconds between a watch that returned changes and the next.
+        settle_s: Seconds after a failure in which a removed item may only have
+            lapsed.
+        longest_pause_s: The longest pause between failed reads, in seconds.
+        restored_s: Seconds after a restore of the source from an older copy in
+            which items may be missing or present again only because of that.
     """
 
     wait_s: float
@@ -86,7 +91,7 @@
 
 
 class Follower(Generic[T]):
-    """Reads one source for ever."""
+    """Reads one source continuously and reports what it holds."""
 
     def __init__(
         self,
@@ -98,17 +103,19 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Creates a follower that has read nothing yet.
 
         Args:
-            source: What to read.
-            options: How; asked for at each read, since settings may change.
-            on_listing: Takes a whole list, and whether what it lacks may only
-                have lapsed while the source was away.
-            on_changes: Takes changes, likewise.
-            log: Told when the source is lost and regained.
-            rng: Spreads pauses.
-            clock: Seconds.
+            source: The source to read.
+            options: Returns how to read it. Called at each read, since settings
+                may change.
+            on_listing: Called with each full list, and whether items that it
+                lacks may only have lapsed while the source was unavailable.
+            on_changes: Called with each set of changes, and whether removed
+                items may only have lapsed.
+            log: Receives a line when the source is lost or regained.
+            rng: Adds jitter to pauses and waits.
+            clock: A monotonic clock, in seconds.
         """
         self._source = source
         self._options = options
@@ -135,16 +142,16 @@
 
     @property
     def is_restored(self) -> bool:
-        """Whether the source may still lack what it lost, or have it again."""
+        """Whether a recent restore may still affect what the source holds."""
         return self._clock() - self._restored_at < self._options().restored_s
 
     @property
     def changed(self) -> Position:
-        """The newest change that was read."""
+        """The position of the newest change that was read."""
         return self._changed
 
     def on_peer_read(self, changed: Position) -> None:
-        """Takes a peer's word that something was changed at a position."""
+        """Notes the newest change that a peer reports to have read."""
         if changed > max(
             self._position, self._peer_position, self._unconfirmed
         ):
@@ -158,7 +165,7 @@
                 await self._watch()
 
     async def _list(self) -> bool:
-        told = self._peer_position
+        peer_position = self._peer_position
         found = await self._source.list()
         if isinstance(found, SourceFailure):
             await self._back_off(found)
@@ -179,7 +186,7 @@
             self._record_restore(position)
         may_have_lapsed = self._is_settling()
         self._record_success()
-        self._record_answer(found, told)
+        self._record_answer(found, peer_position)
         self._on_listing(found, may_have_lapsed)
         return True
 
@@ -191,7 +198,7 @@
             options = self._options()
             if self._failures or self._is_behind:
                 wait_s = _PROBE_WAIT_S
-            told = self._peer_position
+            peer_position = self._peer_position
             found = await self._watch_once(wait_s)
             wait_s = options.wait_s
             if found is None:
@@ -208,8 +215,8 @@
                 return
             era = self._era(found)
             if era != self._position.era:
-                # A watch from a revision of another era tells only a part of
-                # what is new.
+                # A watch that began at a revision of another era returns only
+                # a part of the changes.
                 self._log.line(
                     "watch_of_another_era",
                     source=self._source.name,
@@ -220,7 +227,7 @@
                 return
             may_have_lapsed = self._is_settling()
             self._record_success()
-            self._record_answer(found, told)
+            self._record_answer(found, peer_position)
             if found.items or found.removed or found.unreadable:
                 self._on_changes(found, may_have_lapsed)
                 await self._pause(options.pause_s)
@@ -231,10 +238,10 @@
     async def _watch_once(
         self, wait_s: float
     ) -> Changes[T] | Compacted | SourceFailure | None:
-        """Watches until the answer, or until peers have read what it lacks.
+        """Watches until an answer arrives or this host falls behind its peers.
 
         Returns:
-            The answer; None if it was not waited for.
+            The answer; None if the watch was abandoned.
         """
         behind = asyncio.ensure_future(self._wait_until_behind())
 
@@ -246,8 +253,8 @@
         )
         try:
             if self._is_behind:
-                # Begun to read what lacks: what peers tell is no reason to
-                # read that anew.
+                # This watch already reads what the host lacks, so further
+                # reports of peers are no reason to begin it again.
                 return await watch
             await asyncio.wait(
                 (watch, behind), return_when=asyncio.FIRST_COMPLETED
@@ -267,7 +274,7 @@
         return None
 
     async def _wait_until_behind(self) -> None:
-        """Returns once a peer has read what this host still lacks."""
+        """Returns once this host has been behind a peer for too long."""
         while True:
             self._peer_read.clear()
             if self._is_behind:
@@ -282,8 +289,9 @@
     def _era(self, found: Listing[T] | Changes[T]) -> int:
         """Returns the era of an answer.
 
-        One that is not told is taken for the known one. A lower one is an
-        answer that comes late, unless the source goes on with it.
+        An answer without an era counts as one of the known era. A lower era
+        marks a late answer, unless the source keeps answering with it; then
+        the known era is returned.
         """
         known = self._position.era
         if found.era is None:
@@ -301,13 +309,13 @@
         return known
 
     def _log_era_problem(self, event: str, **values: int) -> None:
-        """Logs what is wrong with eras, once until they are good again."""
+        """Logs a problem with eras once, until an answer is valid again."""
         if self._era_problem != event:
             self._era_problem = event
             self._log.line(event, source=self._source.name, **values)
 
     def _record_restore(self, position: Position) -> None:
-        """Notes that the source has come back from an older copy."""
+        """Notes that the source was restored from an older copy."""
         if self._position == Position():
             return
         self._restored_at = self._clock()
@@ -320,33 +328,34 @@
         )
 
     def _record_answer(
-        self, found: Listing[T] | Changes[T], told: Position
+        self, found: Listing[T] | Changes[T], peer_position: Position
     ) -> None:
-        """Notes what an answer covers.
+        """Notes the position that an answer covers.
 
-        A read that began after a peer told of a change covers it. If it does
-        not, the peer reads another directory: heeding it would cost a read at
-        each of its reports.
+        A read that began after a peer reported a change has to cover that
+        change. If it does not, the peer reads another directory, and reading
+        again at each of its reports would be of no use.
 
         Args:
             found: The answer.
-            told: The newest change that was known of when the read began.
+            peer_position: The newest change that peers had reported when the
+                read began.
         """
         era = max(self._position.era, found.era or 0)
         self._position = max(self._position, Position(era, found.revision))
         self._changed = max(self._changed, Position(era, found.changed))
-        if told > self._position:
-            self._unconfirmed = told
+        if peer_position > self._position:
+            self._unconfirmed = peer_position
             self._log.line(
                 "peer_ahead",
                 source=self._source.name,
                 **_fields(self._position),
-                told_era=told.era,
-                told=told.revision,
+                told_era=peer_position.era,
+                told=peer_position.revision,
             )
 
     def _jittered_wait_s(self) -> float:
-        """Returns how long the first watch after a change waits."""
+        """Returns how long the first watch after a list or change waits."""
         options = self._options()
         least_s = min(options.first_wait_s, options.wait_s)
         return self._rng.uniform(least_s, options.wait_s)
@@ -387,5 +396,5 @@
 
 
 def _fields(position: Position) -> dict[str, int]:
-    """Returns a position as fields of a log line."""
+    """Returns a position as the fields of a log line."""
     return {"era": position.era, "revision": position.revision}
