--- a/packages/gateway/src/hollyknot_gateway/_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/_follower.py
@@ -43,25 +43,25 @@
 don't all read at the same moment when a source returns."""
 
 _PROBE_WAIT_S = 0.05
-"""Seconds that a watch waits after a failed one. A source that is down may never
-answer a long watch, and its return would be noticed only when that watch times
-out, so that a version published meanwhile would be late."""
+"""Seconds that a watch waits after a failed one. A source that is down may
+never answer a long watch, and its return would be noticed only when that watch
+times out, so that a version published meanwhile would be late."""
 
 
 BEHIND_TOLERANCE_S = 0.3
-"""Seconds that an unanswered watch is kept after a peer reported a newer change.
-Watches are answered within milliseconds of a change, or a few hundred where the
-source is slow, and a peer's report can arrive just as early."""
+"""Seconds that an unanswered watch is kept after a peer reported a newer
+change. Watches are answered within milliseconds of a change, or a few hundred
+where the source is slow, and a peer's report can arrive just as early."""
 
 _MAX_LOWER_ERAS = 3
 """Consecutive answers of a lower era that are ignored as late. After these the
 source is taken to stay in that era, and its answers count again."""
 
 _MAX_FAILED_WATCHES = 3
-"""Consecutive failed reads after which the list is read instead of a watch. The
-answer to a watch holds every change since its revision. After many large
-versions it may be too large to be read in time, and the host would stay behind
-long after the source is back."""
+"""Consecutive failed watches after which the list is read instead. The answer
+to a watch holds every change since its revision. After many large versions it
+may be too large to be read in time, and the host would stay behind long after
+the source is back."""
 
 
 @attrs.frozen
@@ -274,7 +274,7 @@
         return None
 
     async def _wait_until_behind(self) -> None:
-        """Returns once this host has been behind a peer for too long."""
+        """Returns when a watch has been behind a peer for too long."""
         while True:
             self._peer_read.clear()
             if self._is_behind:
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -1,4 +1,4 @@
-"""One host that forwards by routes: its tasks, its stop, its readiness."""
+"""Runs one gateway host: its components, tasks, readiness and shutdown."""
 
 import asyncio
 import contextlib
@@ -60,33 +60,35 @@
 )
 
 SWEEP_S = 0.25
-"""Between two looks at timers that need no precision."""
+"""Seconds between two checks of timers that need no precision."""
 
 FLUSH_S = 0.1
-"""Between two writes of log lines."""
+"""Seconds between two writes of buffered log lines."""
 
 RELOAD_S = 5.0
-"""Between two looks at the settings file, which may change without a signal."""
+"""Seconds between two reads of the settings, which may change without a
+signal."""
 
 BALANCER_DELAY_S = 3.0
-"""How long a stopping host still takes new connections: the balancer asks once
-a second and takes a host out after two misses."""
+"""Seconds for which a stopping host still accepts connections. The balancer
+checks readiness once a second and removes a host after two failed checks."""
 
 STOP_MARGIN_S = 0.8
-"""Before the host is killed, work that is left is ended by the host itself."""
+"""Seconds before the end of the grace period, when the host is killed, at which
+it ends the remaining requests itself."""
 
 STANDARD_OUTPUT = 1
-"""The descriptor that log lines go to."""
+"""The file descriptor that log lines are written to."""
 
 
 @attrs.frozen
 class Ports:
-    """What a platform plugs in.
+    """The interfaces that a platform provides to a host.
 
     Attributes:
-        dialect: Headers of callers and upstreams.
-        published: Makes the source of what operators publish.
-        upstreams: Makes the source of upstreams.
+        dialect: The headers that callers and upstreams use.
+        published: Creates the source of what operators publish.
+        upstreams: Creates the source of upstream entries.
     """
 
     dialect: Dialect
@@ -95,7 +97,7 @@
 
 
 class Host:
-    """A host from its start to its end; an asynchronous context manager."""
+    """A gateway host, as an asynchronous context manager that runs it."""
 
     def __init__(
         self,
@@ -104,13 +106,14 @@
         rng: random.Random,
         read_settings: Callable[[], GatewaySettings | str],
     ) -> None:
-        """Wires the parts.
+        """Creates all components of a host without starting any.
 
         Args:
-            settings: Of this process.
-            ports: Of its platform.
-            rng: For ties, splits and spread pauses.
-            read_settings: Reads the settings again, or says what is wrong.
+            settings: The settings of this process.
+            ports: The interfaces of its platform.
+            rng: Breaks ties, splits traffic and adds jitter to pauses.
+            read_settings: Reads the settings again; returns a text that says
+                what is wrong if they can't be read.
         """
         clock = asyncio.get_running_loop().time
         self._settings = settings
@@ -237,7 +240,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the balancer may send callers to this host."""
         return self._routing_state.is_complete and not self._is_stopping
 
     @property
@@ -248,17 +251,17 @@
 
     @property
     def peers(self) -> int:
-        """How many other hosts are heard."""
+        """How many other hosts send reports to this one."""
         return self._neighbours.count
 
     @property
     def limited_upstreams(self) -> int:
-        """How many upstreams have a rate limit, as far as is known."""
+        """How many upstreams are known to have a rate limit."""
         return self._named_limits.count
 
     @property
     def upstreams(self) -> frozenset[str]:
-        """The incarnations that may get work."""
+        """The incarnations that may get requests."""
         usable = self._routing_state.fleet.all_usable(self._clock())
         return frozenset(entry.incarnation for entry in usable)
 
@@ -266,7 +269,7 @@
         """Starts all servers and tasks.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: If the host can't listen on an address.
         """
         stack = self._stack
         stack.callback(self._log.flush)
@@ -297,14 +300,14 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Ends all that is left."""
+        """Cancels all tasks and closes all servers and connections."""
         self._log.line("end", in_work=self._callers.in_work)
         await self._stack.__aexit__(kind, error, trace)
 
     def _on_error(
         self, _: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Logs what no task has caught."""
+        """Logs an exception that no task has caught."""
         error = context.get("exception")
         trace = traceback.format_exception(error) if error else []
         self._log.line(
@@ -315,7 +318,7 @@
         )
 
     async def stop(self) -> None:
-        """Stops gracefully: requests in flight end first."""
+        """Stops gracefully, letting in-flight requests end first."""
         began_s = self._clock()
         self._is_stopping = True
         self._log.line("stop", in_work=self._callers.in_work)
@@ -330,10 +333,10 @@
             await asyncio.sleep(SWEEP_S / 2)
 
     def reload(self) -> None:
-        """Reads the settings again and puts in force what can change.
+        """Reads the settings again and applies those that may change.
 
-        Addresses stay as they are until the next start: callers, peers and the
-        balancer know them. Settings that can't be read change nothing.
+        Addresses stay as they are until the next start, since callers, peers
+        and the balancer use them. Settings that can't be read change nothing.
         """
         found = self._read_settings()
         if isinstance(found, str):
@@ -351,7 +354,7 @@
         self._log.line("reload", changed=",".join(changed))
 
     async def _reload_periodically(self) -> None:
-        """Notices settings that change without a signal."""
+        """Applies settings that change without a signal."""
         while True:
             await asyncio.sleep(RELOAD_S)
             self.reload()
@@ -365,7 +368,7 @@
         return index.table.limits if index is not None else CallerLimits()
 
     def _on_unreadable_request(self, status: int, reason: str) -> None:
-        """Tells of a request that could not be read."""
+        """Logs and counts a request that could not be parsed."""
         self._log.line("unread", status=status, reason=reason)
         self._metrics.count(
             metrics.REQUESTS,
@@ -417,7 +420,7 @@
             self._pool.sweep()
 
     async def _probe_unreachable(self) -> None:
-        """Tries to connect to upstreams that could not be reached."""
+        """Probes upstreams that could not be reached, when they are due."""
         while True:
             await asyncio.sleep(SWEEP_S / 2)
             self._prober.check_all(self._reachability.due(self._clock()))
@@ -429,21 +432,21 @@
     def _on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
-        """Ends what hangs at an upstream, and looks at those beside it."""
+        """Ends silent attempts at an upstream and probes others beside it."""
         self._stalls.upstream_away(entry.incarnation)
         self._neighbours.upstream_away(entry, failure)
 
     def _on_upstream_reachable(self, entry: UpstreamEntry) -> None:
-        """Spares an upstream that may have started again under its name.
+        """Treats an upstream as cold that may have restarted under its name.
 
-        Where entries don't say when a run began, each run has a new name, and
-        one that is reached again is the one that was away.
+        Where entries don't say when a run began, each run has a new name, so
+        an upstream that is reachable again has not restarted.
         """
         if entry.born_ms:
             self._cold_starts.suspect(entry, self._clock())
 
     def _on_upstream_ended(self, ended: Ended) -> None:
-        """Forgets what was learnt of an incarnation that has left."""
+        """Discards all state that is kept for an incarnation that has left."""
         incarnation = ended.incarnation
         if ended.runs_no_more:
             self._stalls.upstream_away(incarnation)
@@ -455,10 +458,11 @@
         self._forecasts.forget(incarnation)
 
     def _check_suspension(self) -> None:
-        """Drops kept connections if the host has been suspended.
+        """Closes idle connections if the host has been suspended.
 
-        The steady clock does not count a suspension, so that connections seem
-        to have been idle for a moment that their other ends gave up long ago.
+        The monotonic clock does not advance during a suspension. Connections
+        seem to have been idle only briefly, although their other ends may have
+        closed them long ago.
         """
         passed_s = self._suspension.passed_s()
         if passed_s:
--- a/packages/gateway/src/hollyknot_gateway/_log.py
+++ b/packages/gateway/src/hollyknot_gateway/_log.py
@@ -1,8 +1,8 @@
-"""Logs of key=value lines that never hold up the event loop.
+"""Logs key=value lines without ever blocking the event loop.
 
-Lines are kept in a bounded buffer and written by a timer to a descriptor that
-does not block. What does not fit is counted, and the count is told in a line:
-a pipe whose reader stops would otherwise stop every stream of the host.
+Lines are kept in a bounded buffer, which a timer writes to a non-blocking file
+descriptor. If the reader of a pipe stopped, a blocking write would stop every
+stream of the host. Lines that don't fit are dropped, and the log says how many.
 """
 
 import os
@@ -13,15 +13,17 @@
 import structlog
 
 BUFFERED_LINES = 4096
-"""Some seconds of lines of a busy host, in about a megabyte."""
+"""The capacity of the buffer in lines. It holds a few seconds of a busy host's
+lines in about a megabyte."""
 
 ORDINARY_LINES = 3072
-"""Of those, what lines of tries that went well may fill. The rest is kept for
-failures and changes of belief, which an engineer looks for afterwards."""
+"""The number of buffered lines from which lines of successful attempts are
+dropped. The rest of the buffer is reserved for failures and changes of state,
+which operators need to diagnose an incident."""
 
 EVENT_LINES_PER_S = 200
-"""Of one event; failures have events of their own, so that ordinary lines
-cannot push them out."""
+"""Lines of one event that are logged per second. Failures have events of their
+own, so that ordinary lines can't crowd them out."""
 
 _ORDINARY = frozenset({"try"})
 
@@ -29,7 +31,7 @@
 
 
 class Log:
-    """The lines of one process."""
+    """A bounded buffer of the log lines of one process."""
 
     def __init__(
         self,
@@ -39,13 +41,13 @@
         clock: Callable[[], float] = time.monotonic,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """Starts with an empty buffer.
+        """Creates a log with an empty buffer.
 
         Args:
-            host: On each line.
-            data_centre: On each line.
-            descriptor: Where lines go.
-            clock: Seconds, for the cap on lines.
+            host: The host's name, which each line ends with.
+            data_centre: The host's data centre, which each line ends with.
+            descriptor: The non-blocking file descriptor to write to.
+            clock: A monotonic clock in seconds, for the limit on lines.
             wall_clock: Seconds since 1970, for the time stamps.
         """
         self._descriptor = descriptor
@@ -62,16 +64,21 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that were left out so far."""
+        """How many lines have been dropped so far."""
         return self._dropped_before + self._dropped.total()
 
     @property
     def waiting(self) -> int:
-        """Lines that have not been written."""
+        """How many lines wait to be written."""
         return len(self._lines)
 
     def line(self, event: str, **values: object) -> None:
-        """Adds a line, unless there are too many of its event."""
+        """Adds a line, or drops it if its event or the buffer is at its limit.
+
+        Args:
+            event: The name of the event.
+            **values: The fields of the line, in order.
+        """
         second = int(self._clock())
         if second != self._second:
             self._second = second
@@ -88,7 +95,7 @@
         self._add(event, values)
 
     def flush(self) -> None:
-        """Writes what the descriptor takes without waiting."""
+        """Writes as much as the descriptor accepts without blocking."""
         while self._unwritten or self._lines:
             if not self._unwritten:
                 self._unwritten = self._join()
@@ -97,7 +104,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more, so that there is nobody to tell.
+                # The reader has closed its end, so the lines are discarded.
                 self._unwritten = b""
                 self._lines.clear()
                 return
@@ -118,8 +125,8 @@
         self._lines.append(text.encode("utf-8", "replace"))
 
     def _report_dropped(self) -> None:
-        # Told later while the buffer is full: a reader that stopped would
-        # otherwise have it grow by a line a second.
+        # While the buffer is full, this waits: if the reader has stopped, the
+        # buffer would otherwise grow by a line each second.
         if not self._dropped or len(self._lines) >= ORDINARY_LINES:
             return
         dropped, self._dropped = self._dropped, Counter()
--- a/packages/gateway/src/hollyknot_gateway/_metrics.py
+++ b/packages/gateway/src/hollyknot_gateway/_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and latency histograms of a host, in the Prometheus text format.
+"""Counters, gauges and latency histograms of a host, served to Prometheus.
 
-Names have base units, and `_total` for counters. Labels are bounded by routes,
-services and fixed words, never by customers or upstreams, so that a scrape does
-not grow with them.
+Metric names end in a base unit, or in `_total` for counters. Label values are
+routes, services and fixed words, never customers or upstreams, so that the size
+of a scrape does not grow with those.
 """
 
 import bisect
@@ -12,7 +12,8 @@
 import attrs
 
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
-"""Upper bounds: from what a host adds to the longest timeouts met so far."""
+"""Upper bounds of histogram buckets in seconds, from the latency that a host
+adds to the longest request timeouts."""
 
 _SHORT_BUCKETS_S = (0.0005, 0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1)
 
@@ -21,6 +22,8 @@
 
 @attrs.define
 class _Histogram:
+    """Counts of values by bucket, and the sum of the values."""
+
     bounds: tuple[float, ...]
     counts: list[int]
     total: float = 0.0
@@ -31,10 +34,10 @@
 
 
 class Metrics:
-    """All metrics of one process; plain counts until they are asked for."""
+    """All metrics of one process, rendered only when they are scraped."""
 
     def __init__(self) -> None:
-        """Starts at zero."""
+        """Creates an empty set of metrics."""
         self._counts: Counter[tuple[str, Labels]] = Counter()
         self._histograms: dict[tuple[str, Labels], _Histogram] = {}
         self._gauges: dict[str, Callable[[], float]] = {}
@@ -44,7 +47,7 @@
         self._counts[name, tuple(labels.items())] += 1
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Adds a time to a histogram."""
+        """Adds a duration to a histogram."""
         key = (name, tuple(labels.items()))
         histogram = self._histograms.get(key)
         if histogram is None:
@@ -55,14 +58,14 @@
         histogram.add(seconds)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Adds a value that is read at each scrape."""
+        """Adds a gauge whose value is read at each scrape."""
         self._gauges[name] = read
 
     def render(self) -> bytes:
-        """Returns all metrics as text.
+        """Returns all metrics in the Prometheus text format.
 
-        The library is imported here: a host that nobody scrapes need not have
-        it in memory.
+        The library is imported here, so that a host that is never scraped does
+        not keep it in memory.
         """
         from aioprometheus.collectors import (  # noqa: PLC0415
             Counter as CounterCollector,
@@ -88,7 +91,7 @@
         return bytes(content)
 
     def _values(self) -> Mapping[tuple[str, Labels], float]:
-        """Returns counters, and histograms as the counters they consist of."""
+        """Returns counters, and histograms as counters by bucket."""
         values: dict[tuple[str, Labels], float] = dict(self._counts)
         for (name, labels), histogram in self._histograms.items():
             below = 0
--- a/packages/gateway/src/hollyknot_gateway/_operator_servers.py
+++ b/packages/gateway/src/hollyknot_gateway/_operator_servers.py
@@ -1,4 +1,4 @@
-"""What a host answers to the balancer and to whoever reads its metrics."""
+"""Serves readiness checks to the balancer and metrics to scrapers."""
 
 import contextlib
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class OperatorServers:
-    """Two servers beside that of the callers."""
+    """The servers for readiness checks and for scrapes of metrics."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         metrics: Metrics,
         on_unread: OnUnread,
     ) -> None:
-        """Prepares to listen.
+        """Creates both servers, which don't listen yet.
 
         Args:
-            is_ready: Whether callers may be sent here.
-            metrics: What is told.
-            on_unread: Told of what can't be read as a request.
+            is_ready: Returns whether callers may be sent to this host.
+            metrics: The metrics to serve.
+            on_unread: Called with each request that can't be parsed.
         """
         self._is_ready = is_ready
         self._metrics = metrics
@@ -44,10 +44,15 @@
     async def start(
         self, settings: GatewaySettings, stack: contextlib.AsyncExitStack
     ) -> None:
-        """Starts to listen until the stack ends.
+        """Listens until the stack is closed.
+
+        Args:
+            settings: The addresses to listen on; metrics are served only if
+                there is one for them.
+            stack: Closes the servers when it is closed.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: If the host can't listen on an address.
         """
         await self._readiness.start(settings.readiness)
         stack.callback(self._readiness.close)
@@ -56,7 +61,7 @@
             stack.callback(self._scrapes.close)
 
     def sweep(self, now_s: float) -> None:
-        """Closes connections that are silent for too long."""
+        """Closes connections that have been idle for too long."""
         self._readiness.sweep(now_s)
         self._scrapes.sweep(now_s)
 
--- a/packages/gateway/src/hollyknot_gateway/_routing_state.py
+++ b/packages/gateway/src/hollyknot_gateway/_routing_state.py
@@ -1,4 +1,4 @@
-"""What a host believes at this moment: its routes and its upstreams."""
+"""Holds the route table and the upstreams that a host uses at present."""
 
 import attrs
 
@@ -8,13 +8,13 @@
 
 @attrs.define
 class RoutingState:
-    """The newest route table and the upstreams.
+    """The newest route table and the known upstreams.
 
     Attributes:
-        fleet: The upstreams.
-        index: Of the newest table; None until one is known.
-        has_fleet: Whether the upstreams have been listed once.
-        evacuated: Data centres that get no new work.
+        fleet: The known upstreams.
+        index: The index of the newest route table; None until one is known.
+        has_fleet: Whether the upstreams have been listed at least once.
+        evacuated: The data centres that get no new requests.
     """
 
     fleet: Fleet
@@ -24,21 +24,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a request can be judged by what is known."""
+        """Whether a route table and a list of upstreams have been read."""
         return self.index is not None and self.has_fleet
 
     def cold_start(self, service: str) -> ColdStart | None:
-        """Returns what upstreams of a service bear just after their start."""
+        """Returns the limits of a service's upstreams just after their start.
+
+        None means that the service is unknown or its upstreams are never cold.
+        """
         if self.index is None:
             return None
         found = self.index.table.services.get(service)
         return found.cold_start if found is not None else None
 
     def evacuate(self, data_centres: frozenset[str]) -> frozenset[str]:
-        """Keeps new work from these data centres, and from no others.
+        """Stops new requests to these data centres, and to no others.
 
         Returns:
-            Those that got none before.
+            The data centres that were evacuated before.
         """
         before = self.evacuated
         if data_centres != before:
@@ -47,13 +50,13 @@
         return before
 
     def apply_table(self, table: RouteTable) -> bool:
-        """Puts a version in force, unless it is older.
+        """Puts a version of the route table in force unless it is outdated.
 
-        A slow read may end after a newer one: going back to it would run
-        requests by routes and keys that operators have taken away.
+        A slow read may end after a newer one. Applying its result would serve
+        requests by routes and keys that operators have since removed.
 
         Returns:
-            Whether it is in force now and was not before.
+            Whether this version has replaced the one in force.
         """
         if self.index is not None and table.version <= self.index.table.version:
             return False
--- a/packages/gateway/src/hollyknot_gateway/_run.py
+++ b/packages/gateway/src/hollyknot_gateway/_run.py
@@ -1,4 +1,4 @@
-"""Runs a host as the process's main work, with its signals."""
+"""Runs a host as the main task of a process and handles its signals."""
 
 import asyncio
 import os
@@ -23,12 +23,14 @@
     """Runs a host until it is stopped by SIGTERM or SIGINT.
 
     Args:
-        settings: Of this process.
-        ports: Of its platform.
-        read_settings: Reads the settings again, or says what is wrong.
+        settings: The settings of this process.
+        ports: The interfaces of its platform.
+        read_settings: Reads the settings again; returns a text that says what
+            is wrong if they can't be read.
 
     Returns:
-        The exit code: 0 after a graceful stop.
+        The exit code: 0 after a graceful stop, 2 if the host can't listen on
+        one of its addresses.
     """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_run(settings, ports, read_settings))
@@ -40,7 +42,7 @@
     read_settings: Callable[[], GatewaySettings | str],
 ) -> int:
     loop = asyncio.get_running_loop()
-    # A pipe that nobody reads would else stop the process at a write.
+    # A blocking write to a pipe that nobody reads would stop the process.
     os.set_blocking(STANDARD_OUTPUT, False)
     stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -52,6 +54,9 @@
             await stopped.wait()
             await host.stop()
     except OSError as error:
-        sys.stderr.write(f"can't start: {error}\n")
+        sys.stderr.write(
+            f"the host can't start: {error}; check the addresses in its"
+            " settings\n"
+        )
         return _EXIT_START_FAILED
     return 0
