--- a/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
@@ -1,4 +1,4 @@
-"""Tests of reading a document, by a clock that tests set on."""
+"""Tests of reading a document, on a clock that the tests advance."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,7 +23,7 @@
 
 @attrs.define
 class _Server:
-    """A pool whose only connection the test answers on."""
+    """A pool and its only connection, on which the test answers."""
 
     receiver: Receiver | None = None
     is_reusable: bool = True
@@ -44,7 +44,7 @@
         self.abandoned += 1
 
     async def wait(self, seconds: float) -> None:
-        """Sets the clock on and lets timers run."""
+        """Advances the clock and lets due timers run."""
         self.offset_s += seconds
         for _ in range(5):
             await asyncio.sleep(0)
@@ -76,13 +76,13 @@
 
 
 class TestFetch:
-    """Answers that come late, slowly or never."""
+    """Tests of answers that arrive late, slowly or never."""
 
     def test_reads_slow_answer_while_parts_arrive(self) -> None:
-        """A large document is never read over a slow link.
+        """Guards against large documents that are never read on a slow link.
 
-        Sequence: its parts come every half second, for longer than a read
-        may be silent. Cause: the whole read had the time of a silence.
+        Parts arrive every half second, for longer in total than the time-out.
+        The time-out must apply to the first part, not to the whole answer.
         """
 
         async def answer(server: _Server, receiver: Receiver) -> None:
@@ -106,11 +106,11 @@
         assert server.abandoned == 1
 
     def test_late_answer_has_full_read_time(self) -> None:
-        """A large version that ends a long watch is never read.
+        """Guards against large versions lost at the end of a long watch.
 
-        Sequence: an answer begins just before its wait is over, and its parts
-        arrive for two seconds more. Cause: the longest time of an answer
-        counted from the question.
+        An answer begins just before its time-out, and its parts arrive for
+        seconds more. The limit for the whole answer must count from the first
+        part, not from the request.
         """
 
         async def answer(server: _Server, receiver: Receiver) -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of keeping up with a source that fails in all its ways."""
+"""Tests that a follower keeps up with a source that fails in many ways."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 
 @attrs.define
 class _Transcript:
-    """What a follower told, and what it asked."""
+    """What a follower reported to its callbacks and asked of its source."""
 
     listings: list[tuple[Listing[str], bool]] = attrs.Factory(list)
     changes: list[tuple[Changes[str], bool]] = attrs.Factory(list)
@@ -37,12 +37,17 @@
 
 
 class _ScriptEndedError(Exception):
-    """The script has come to its end."""
+    """All answers of the script have been used."""
 
 
 def _follow(lists: list[Listed], watches: list[Watched]) -> _Transcript:
-    """Plays a script of answers and returns what was told."""
-    told = _Transcript()
+    """Follows a source that answers by a script.
+
+    Args:
+        lists: The answers to lists, in order.
+        watches: The answers to watches, in order.
+    """
+    seen = _Transcript()
     clock = [0.0]
 
     async def read() -> Listed:
@@ -54,7 +59,7 @@
     async def watch(
         after: int, wait_s: float, _: Callable[[], None]
     ) -> Watched:
-        told.asked.append((after, wait_s))
+        seen.asked.append((after, wait_s))
         clock[0] += wait_s
         if not watches:
             raise _ScriptEndedError
@@ -63,8 +68,8 @@
     follower = Follower(
         Source("test", read, watch),
         lambda: FollowOptions(2.0, 2.0, 0.0, 3.0),
-        lambda listing, lapsed: told.listings.append((listing, lapsed)),
-        lambda changes, lapsed: told.changes.append((changes, lapsed)),
+        lambda listing, lapsed: seen.listings.append((listing, lapsed)),
+        lambda changes, lapsed: seen.changes.append((changes, lapsed)),
         Log("h", "d", os.open(os.devnull, os.O_WRONLY)),
         random.Random(1),
         lambda: clock[0],
@@ -77,79 +82,79 @@
             return
 
     asyncio.run(main())
-    return told
+    return seen
 
 
 FAILED = SourceFailure("timeout")
 
 
 class TestFollower:
-    """List, watch, and what goes wrong."""
+    """Tests of lists and watches whose answers are scripted."""
 
     def test_watch_continues_from_listed_revision(self) -> None:
-        told = _follow(
+        seen = _follow(
             [Listing({"a": "1"}, 5)],
             [Changes({"b": "2"}, (), 7), Changes({}, ("a",), 9)],
         )
-        assert [after for after, _ in told.asked] == [5, 7, 9]
-        assert [lapsed for _, lapsed in told.changes] == [False, False]
+        assert [after for after, _ in seen.asked] == [5, 7, 9]
+        assert [lapsed for _, lapsed in seen.changes] == [False, False]
 
     def test_failed_watch_resumes_at_same_revision(self) -> None:
-        told = _follow([Listing({}, 5)], [FAILED, Changes({"b": "2"}, (), 7)])
-        assert [after for after, _ in told.asked] == [5, 5, 7]
+        seen = _follow([Listing({}, 5)], [FAILED, Changes({"b": "2"}, (), 7)])
+        assert [after for after, _ in seen.asked] == [5, 5, 7]
 
     def test_failed_watch_is_followed_by_short_watches(self) -> None:
-        """A version that was published while the source was away is late.
+        """Guards against late versions after a source was unavailable.
 
-        Sequence: the source falls silent; it is back just after a long watch
-        was begun, which it never answers. Cause: each watch waited for as
-        long as one of a healthy source.
+        The source returns just after a watch began that it never answers. If
+        that watch is a long one, as for a healthy source, a version published
+        meanwhile is read only when it times out.
         """
-        told = _follow([Listing({}, 5)], [FAILED, FAILED, Changes({}, (), 6)])
-        waits = [wait_s for _, wait_s in told.asked]
+        seen = _follow([Listing({}, 5)], [FAILED, FAILED, Changes({}, (), 6)])
+        waits = [wait_s for _, wait_s in seen.asked]
         assert waits[0] == waits[3] == 2.0
         assert max(waits[1:3]) < 0.2
 
     def test_lists_again_after_repeated_failed_watches(self) -> None:
-        """A host serves by old routes long after the source is back.
+        """Guards against outdated routes long after the source is back.
 
-        Sequence: the source is away for seconds in which many large versions
-        are published; it comes back. Cause: the host asked for all of them
-        again and again, and gave up each answer before its end.
+        Many large versions are published while the source is unavailable. A
+        watch would request all of them again and again, and time out before
+        the end of each answer.
         """
         newest = Listing({"a": "60"}, 90)
-        told = _follow(
+        seen = _follow(
             [Listing({"a": "1"}, 5), FAILED, newest], [FAILED, FAILED, FAILED]
         )
-        assert [after for after, _ in told.asked] == [5, 5, 5, 90]
-        assert told.listings[-1] == (newest, True)
+        assert [after for after, _ in seen.asked] == [5, 5, 5, 90]
+        assert seen.listings[-1] == (newest, True)
 
     def test_removals_after_failure_may_be_lapses(self) -> None:
-        told = _follow(
+        seen = _follow(
             [Listing({"a": "1"}, 5)], [FAILED, Changes({}, ("a",), 7)]
         )
-        assert told.changes[0][1]
+        assert seen.changes[0][1]
 
     def test_lists_again_when_history_is_compacted(self) -> None:
-        told = _follow(
+        seen = _follow(
             [Listing({"a": "1"}, 5), Listing({"b": "1"}, 9)],
             [Compacted.COMPACTED],
         )
-        assert [listing.revision for listing, _ in told.listings] == [5, 9]
+        assert [listing.revision for listing, _ in seen.listings] == [5, 9]
 
     def test_lists_again_once_failure_has_settled(self) -> None:
-        told = _follow(
+        seen = _follow(
             [Listing({"a": "1"}, 5), Listing({}, 8)],
             [FAILED, *(Changes({}, (), 6 + n) for n in range(3))],
         )
-        assert [lapsed for _, lapsed in told.listings] == [False, False]
+        assert [lapsed for _, lapsed in seen.listings] == [False, False]
 
     def test_stale_list_is_ignored(self) -> None:
-        told = _follow(
+        seen = _follow(
             [Listing({}, 9), Listing({}, 4), Listing({}, 9)],
             [Compacted.COMPACTED],
         )
-        assert [listing.revision for listing, _ in told.listings] == [9, 9]
+        assert [listing.revision for listing, _ in seen.listings] == [9, 9]
 
 
 class _HostWithPeers:
@@ -158,12 +163,13 @@
     def __init__(
         self, peer_revisions: list[int], *, newest: int, seed: int = 1
     ) -> None:
-        """Lists as of revision 5, and is told of changes during long watches.
+        """Creates a host whose source lists revision 5.
 
         Args:
-            tells: What a peer has read, one for each long watch.
+            peer_revisions: Revisions that a peer reports, one during each long
+                watch.
             newest: The source's revision from the first watch on.
-            seed: Of the follower's chance.
+            seed: The seed of the follower's random numbers.
         """
         self._peer_revisions = peer_revisions
         self._newest = newest
@@ -185,9 +191,9 @@
     async def _watch(
         self, after: int, wait_s: float, _: Callable[[], None]
     ) -> Watched:
-        """Answers short watches; long ones are silent for good.
+        """Answers short watches, and never answers long ones.
 
-        The long watch after the last thing that a peer tells ends the play.
+        The long watch after the last report of a peer ends the script.
         """
         self.waits.append(wait_s)
         if wait_s > 1:
@@ -195,13 +201,13 @@
                 raise _ScriptEndedError
             self.follower.on_peer_read(Position(0, self._peer_revisions.pop(0)))
             await asyncio.Event().wait()
-        is_news = self._newest > after
-        items = {"a": "1"} if is_news else {}
-        changed = self._newest if is_news else 0
+        is_changed = self._newest > after
+        items = {"a": "1"} if is_changed else {}
+        changed = self._newest if is_changed else 0
         return Changes(items, (), self._newest, changed=changed)
 
     def run_script(self) -> None:
-        """Follows the source until the play's end."""
+        """Follows the source until the script ends."""
 
         async def main() -> None:
             try:
@@ -213,14 +219,14 @@
 
 
 class TestPeersAhead:
-    """A long watch on a silent connection must not hide a change."""
+    """Tests that a long watch on a dead connection hides no change."""
 
     def test_reads_at_once_what_a_peer_has_read(self) -> None:
-        """Keys that were revoked work for as long as a watch waits.
+        """Guards against revoked keys that stay valid until a watch ends.
 
-        Sequence: the connection of a watch falls silent without a sign; a
-        version is written, which all peers read. Cause: this host waits for
-        the end of its watch, 18 s in a large fleet.
+        The connection of a watch dies silently, and a version is published
+        that all peers read. This host must not wait for the end of its watch,
+        which takes 18 s in a large fleet.
         """
         fleet = _HostWithPeers([7], newest=7)
         fleet.run_script()
@@ -230,10 +236,11 @@
         assert fleet.follower.changed == Position(0, 7)
 
     def test_unconfirmed_peer_position_costs_one_read(self) -> None:
-        """The source is asked several times a second by each host.
+        """Guards against a read for each report of a mistaken peer.
 
-        Sequence: a peer tells of a revision that this source does not have.
-        Cause: each of its reports was answered by a read.
+        A peer reports a revision that this host's source does not have. If
+        each report led to a read, each host would ask the source several times
+        a second.
         """
         fleet = _HostWithPeers([900], newest=6)
         fleet.run_script()
@@ -242,11 +249,11 @@
         assert not fleet.follower._is_behind
 
     def test_watch_waits_are_jittered_after_a_change(self) -> None:
-        """A source that returns in silence is noticed only after 18 s.
+        """Guards against noticing a dead source only after 18 s.
 
-        Sequence: a change ends the watches of all hosts; the source falls
-        silent on all open connections. Cause: all watches that were begun at
-        one moment end at one moment.
+        A change ends the watches of all hosts, and the source stops answering
+        on all open connections. Watches that began together must not all end
+        together, or no host would notice until then.
         """
         waits = set()
         for seed in range(20):
@@ -259,19 +266,19 @@
 
 
 class _SlowLink:
-    """A host whose source answers over a slow link, and a peer that tells.
+    """A host whose source answers over a slow link, and a faster peer.
 
-    Revision 7 is written a second after the host's first watch was begun. The
-    peer reads it at once, and says so from then on.
+    Revision 7 is written one second after the host's first watch began. The
+    peer reads it at once and reports it from then on.
     """
 
     def __init__(self, *, begins_after_s: float, lasts_s: float) -> None:
-        """Lists as of revision 5.
+        """Creates a host whose source lists revision 5.
 
         Args:
-            begins_after_s: From the change, or from the begin of a watch if
-                that is later, to the first part of the answer.
-            lasts_s: From then to its last part.
+            begins_after_s: Seconds to the first part of the answer, from the
+                change or from the start of the watch, whichever is later.
+            lasts_s: Seconds from the first part of the answer to its last.
         """
         self._begins_after_s = begins_after_s
         self._lasts_s = lasts_s
@@ -307,14 +314,14 @@
         self._done.set()
 
     async def _report_change(self) -> None:
-        """Tells of the change several times a second, as reports do."""
+        """Reports the change several times a second, as peers do."""
         await asyncio.sleep(1.0)
         while True:
             self.follower.on_peer_read(Position(0, 7))
             await asyncio.sleep(0.1)
 
     def run_script(self) -> None:
-        """Follows the source until the change is read, a minute at most."""
+        """Follows the source until the change is read, for 60 s at most."""
 
         async def main() -> None:
             tasks = [
@@ -330,14 +337,14 @@
 
 
 class TestSlowAnswers:
-    """What is on its way is not given up for the news that announce it."""
+    """Tests that reports of peers don't end a read that is under way."""
 
     def test_awaits_answer_that_has_begun_to_arrive(self) -> None:
-        """A version is in force twenty seconds after its confirmation.
+        """Guards against a large version that is in force 20 s late.
 
-        Sequence: a version of a megabyte begins to arrive over a small link;
-        a peer with a larger one has read it and says so. Cause: the watch was
-        given up because of that word, and so was each one begun in its place.
+        A version of a megabyte begins to arrive over a slow link, and a peer
+        with a faster one reports it. If the report ended the watch, the same
+        would happen to each watch that replaces it.
         """
         link = _SlowLink(begins_after_s=0.05, lasts_s=2.5)
         link.run_script()
@@ -345,10 +352,10 @@
         assert link.read_at_s < 1.0 + 0.05 + 2.5 + 0.1
 
     def test_awaits_read_begun_for_a_peer_report(self) -> None:
-        """The same where the source is slow to begin its answer.
+        """Guards against watches that end before a slow source answers.
 
-        Sequence: a slow source answers after 0.8 s; a peer has read the
-        change. Cause: each watch was given up after less.
+        The source answers after 0.8 s, and a peer has read the change. The
+        watch that replaces the first one must not be abandoned sooner.
         """
         link = _SlowLink(begins_after_s=0.8, lasts_s=0.1)
         link.run_script()
@@ -357,13 +364,13 @@
 
 
 class TestLostSource:
-    """How often a source that is down is tried."""
+    """Tests of how often a source that is down is tried again."""
 
     def test_lost_source_is_retried_rarely_but_found_soon(self) -> None:
-        """A store that is down gets most calls of its day just then.
+        """Guards against overloading a store while it is down.
 
-        Sequence: it refuses all hosts for ten seconds; each of 83 tries it
-        three times a second. Cause: the pause was that of a few hosts.
+        The store refuses all hosts for ten seconds. With the pause of a small
+        fleet, each of 83 hosts would try it three times a second.
         """
         tries: list[float] = []
         back_s = 10.0
--- a/packages/gateway/src/hollyknot_gateway/tests/test_log.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of logs that are bounded and never block."""
+"""Tests that logs are bounded and never block."""
 
 import os
 import re
@@ -7,7 +7,7 @@
 
 
 class _Clock:
-    """A clock that tests set."""
+    """A clock that the tests set."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -35,7 +35,7 @@
 
 
 class TestLog:
-    """Lines in, key=value text out."""
+    """Tests of the lines that are written and dropped."""
 
     def test_writes_one_line_per_event(self) -> None:
         log, reading, _, _ = _log()
@@ -53,10 +53,10 @@
         assert len(_read(reading)) == 1
 
     def test_stopped_reader_does_not_block(self) -> None:
-        """All streams of a host stop.
+        """Guards against a full pipe that stops all streams of a host.
 
-        Sequence: whoever reads the logs stops, the pipe fills. Cause: a write
-        that waits for room in the pipe, on the event loop.
+        The reader of the logs stops and the pipe fills. A write on the event
+        loop must not wait for room in it.
         """
         log, reading, _, clock = _log()
         for second in range(60):
@@ -74,8 +74,10 @@
         for _ in range(99):
             log.flush()
             lines += _read(reading)
-        told = re.findall(r"event=lines_dropped of=try count=(\d+)", str(lines))
-        assert sum(map(int, told)) == log.dropped
+        counts = re.findall(
+            r"event=lines_dropped of=try count=(\d+)", str(lines)
+        )
+        assert sum(map(int, counts)) == log.dropped
 
     def test_frequent_event_does_not_crowd_out_others(self) -> None:
         log, reading, _, _ = _log()
@@ -88,10 +90,10 @@
         assert events.count("event=crash") == 1
 
     def test_ordinary_lines_leave_room_for_failures(self) -> None:
-        """The one line that tells of a lost request is missing.
+        """Guards against a missing line for a failed request.
 
-        Sequence: the reader stops for half a minute under load; a request
-        fails. Cause: lines of requests that went well had filled the buffer.
+        The reader stops for 30 s under load, and a request fails. Lines of
+        successful requests must not have filled the buffer by then.
         """
         log, reading, _, clock = _log()
         for second in range(30):
--- a/packages/gateway/src/hollyknot_gateway/tests/test_metrics.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_metrics.py
@@ -1,10 +1,10 @@
-"""Tests of the text that is served to a scrape."""
+"""Tests of the text that is served to a scraper."""
 
 from hollyknot_gateway._metrics import FIRST_EVENT_SECONDS, REQUESTS, Metrics
 
 
 class TestMetrics:
-    """Counters, histograms and gauges as Prometheus reads them."""
+    """Tests of the Prometheus text format."""
 
     def test_renders_counters_histograms_and_gauges(self) -> None:
         metrics = Metrics()
--- a/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
@@ -1,4 +1,4 @@
-"""Tests of hosts that follow a source which comes back from older copies."""
+"""Tests of hosts that follow a source that is restored from older copies."""
 
 import asyncio
 import os
@@ -22,23 +22,26 @@
 from hollyknot_gateway.tests._virtual_time import run_virtually
 
 RESTORED_S = 4.8
+"""Seconds after a restore in which items may be missing because of it."""
+
 SETTLED_S = 15.0
-"""After the last change, within which all hosts hold what the source holds: the
-time in which old entries count, a long watch and two reads."""
+"""Seconds after the last change within which all hosts hold what the source
+holds: the time in which a restore still counts, a long watch and two reads."""
 
 HOSTS = 3
 NAMES = "abcd"
 
 
 _Event = tuple[int, str, int | None]
-"""A revision, a name, and what was written; None for a removal."""
+"""A revision, a name and the value written; None for a removal."""
 
 _Copy = tuple[dict[str, int], list[_Event], int]
+"""The items, events and revision of a copy."""
 
 
 @attrs.define
 class _Directory:
-    """A source with eras, whose answers may be slow, lost or cut off."""
+    """A source with eras, whose answers may be slow or fail."""
 
     items: dict[str, int] = attrs.Factory(dict)
     events: list[_Event] = attrs.Factory(list)
@@ -52,7 +55,7 @@
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def write(self, name: str) -> None:
-        """Writes an item that was never written before."""
+        """Writes a value to an item that was never written before."""
         self.written += 1
         self._record(name, self.written)
 
@@ -62,12 +65,12 @@
             self._record(name, None)
 
     def copy(self) -> None:
-        """Keeps a copy."""
+        """Saves a copy that can be restored."""
         copied = dict(self.items), list(self.events), self.revision
         self.copies.append(copied)
 
     def restore(self) -> None:
-        """Comes back from the last copy; what was written since is lost."""
+        """Restores the last copy in a new era; later writes are lost."""
         if not self.copies:
             return
         items, events, self.revision = self.copies.pop()
@@ -89,11 +92,11 @@
         self.changed = asyncio.Event()
 
     async def read_all(self) -> Listing[int] | SourceFailure:
-        """Answers a list."""
+        """Answers a list of all items."""
         self.lists += 1
         await asyncio.sleep(self.delay_s)
         if self.is_unavailable:
-            return SourceFailure("away")
+            return SourceFailure("unavailable")
         found = Listing(
             dict(self.items), self.revision, (), self.revision, self.era
         )
@@ -103,7 +106,7 @@
     async def watch(
         self, after: int, wait_s: float, _: Callable[[], None]
     ) -> Changes[int] | Compacted | SourceFailure:
-        """Answers a watch."""
+        """Answers a watch for changes after a revision."""
         await asyncio.sleep(self.delay_s)
         try:
             async with asyncio.timeout(wait_s):
@@ -112,7 +115,7 @@
         except TimeoutError:
             pass
         if self.is_unavailable:
-            return SourceFailure("away")
+            return SourceFailure("unavailable")
         if after > self.revision:
             return Compacted.COMPACTED
         newest = {name: value for _, name, value in self._since(after)}
@@ -133,7 +136,7 @@
 
 @attrs.define
 class _Host:
-    """What a host holds of a directory."""
+    """A host and the items that it holds."""
 
     holds: dict[str, int] = attrs.Factory(dict)
     follower: Follower[int] = attrs.field(init=False)
@@ -141,12 +144,12 @@
     def take_listing(
         self, listing: Listing[int], may_have_lapsed: bool
     ) -> None:
-        """Takes a list, and keeps what may only have lapsed."""
+        """Applies a list, and keeps items that may only have lapsed."""
         kept = self.holds if may_have_lapsed else {}
         self.holds = {**kept, **listing.items}
 
     def take_changes(self, changes: Changes[int], _: bool) -> None:
-        """Takes what has changed."""
+        """Applies changes."""
         self.holds.update(changes.items)
         for name in changes.removed:
             self.holds.pop(name, None)
@@ -169,10 +172,10 @@
 
 
 async def _exchange_reports(hosts: list[_Host]) -> None:
-    """Has hosts tell each other what they have read."""
+    """Has hosts report to each other what they have read."""
     while True:
         await asyncio.sleep(0.2)
-        # Of several words at one moment only the newest changes anything.
+        # Of several reports at one moment, only the newest has an effect.
         newest = max(host.follower.changed for host in hosts)
         for host in hosts:
             host.follower.on_peer_read(newest)
@@ -200,7 +203,7 @@
 def _run_steps(
     steps: list[tuple[float, Step]], hosts: int = HOSTS
 ) -> tuple[_Directory, list[_Host]]:
-    """Plays steps, each after a pause, and waits until all is settled."""
+    """Runs steps, each after a pause, and waits until hosts have settled."""
 
     async def main() -> tuple[_Directory, list[_Host]]:
         directory = _Directory()
@@ -242,19 +245,19 @@
 
 
 class TestRestoredSource:
-    """Each host ends with exactly what the source holds."""
+    """Tests that each host ends with exactly what the source holds."""
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(_STEPS)
     def test_converges_after_any_sequence_of_steps(
         self, steps: list[tuple[float, Step]]
     ) -> None:
-        """Guards against hosts that go by the revisions of an older era."""
+        """Guards against hosts that rely on revisions of an older era."""
         directory, hosts = _run_steps(steps)
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
     def test_lower_revision_of_new_era_is_not_stale(self) -> None:
-        """Guards against lists of a new era that are taken for stale."""
+        """Guards against ignoring lists of a new era as stale."""
         steps: list[tuple[float, Step]] = [(0.5, _Directory.copy)]
         steps += [(0.1, lambda d: d.write("b"))] * 8
         steps += [(0.1, _Directory.restore), (0.5, lambda d: d.write("c"))]
@@ -263,7 +266,7 @@
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
     def test_new_era_past_old_revision_is_listed(self) -> None:
-        """Guards against changes that no watch tells of."""
+        """Guards against changes that no watch returns."""
         steps: list[tuple[float, Step]] = [
             (0.5, _Directory.copy),
             (0.1, lambda d: d.write("b")),
@@ -280,7 +283,7 @@
 
     @pytest.mark.parametrize("count", [8, 83, 300])
     def test_restore_costs_at_most_two_lists_per_host(self, count: int) -> None:
-        """Guards against lists that are read again and again."""
+        """Guards against hosts that read the list again and again."""
         lists_before: list[int] = []
 
         def restore(directory: _Directory) -> None:
