--- a/packages/gateway/src/hollyknot_gateway/_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/_follower.py
@@ -391,8 +391,8 @@
 
     async def _pause(self, seconds: float) -> None:
         if seconds > 0:
-            spread = self._rng.uniform(1 - _PAUSE_JITTER, 1 + _PAUSE_JITTER)
-            await asyncio.sleep(seconds * spread)
+            factor = self._rng.uniform(1 - _PAUSE_JITTER, 1 + _PAUSE_JITTER)
+            await asyncio.sleep(seconds * factor)
 
 
 def _fields(position: Position) -> dict[str, int]:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
@@ -55,7 +55,7 @@
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def write(self, name: str) -> None:
-        """Writes a value to an item that was never written before."""
+        """Writes a value that was never written before to an item."""
         self.written += 1
         self._record(name, self.written)
 
