--- a/packages/gateway/src/hollyknot_gateway/__init__.py
+++ b/packages/gateway/src/hollyknot_gateway/__init__.py
@@ -1,4 +1,7 @@
-"""A host that forwards HTTP calls by routes, for any platform's interfaces."""
+"""A gateway host that forwards HTTP requests to upstreams by a route table.
+
+Platforms plug in their interfaces through `Ports`.
+"""
 
 from hollyknot_gateway._fetch import Document, FetchFailure, fetch
 from hollyknot_gateway._host import Host, Ports
@@ -21,8 +24,6 @@
 __all__ = [
     "REPORT_S",
     "WHOLE_EVERY",
-    "encode_message",
-    "encode_report",
     "Changes",
     "Compacted",
     "Dialect",
@@ -37,6 +38,8 @@
     "Source",
     "SourceFailure",
     "Unreadable",
+    "encode_message",
+    "encode_report",
     "fetch",
     "run",
 ]
--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -1,4 +1,7 @@
-"""Keeps what a host's platform lists: what operators publish, and upstreams."""
+"""Follows the platform's directory: published routes and upstreams.
+
+What is read from its two collections is put in force in the routing state.
+"""
 
 import random
 import time
@@ -12,11 +15,11 @@
     Follower,
     FollowOptions,
 )
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._metrics import UNREADABLE, Metrics
 from hollyknot_gateway._pool import Pool
 from hollyknot_gateway._ports import Changes, Listing, Source, Unreadable
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import Position, ReadRevisions
 from hollyknot_state.routes import (
     Bounds,
@@ -26,62 +29,67 @@
     UpstreamEntry,
 )
 
-LAPSE_S = 1.7
-"""How long an upstream keeps its work whose entry has gone while the directory
-was away: entries that only lapsed are back within two seconds."""
+LAPSE_GRACE_S = 1.7
+"""Seconds that an upstream stays usable after its entry disappeared during a
+directory outage. Entries that only lapsed are renewed within two seconds."""
 
-NOTICE_PART = 0.4
-"""Of the bound for leaving upstreams, the pause between two reads of them. The
-rest is for the read itself and for what is on its way."""
+READ_PAUSE_FRACTION = 0.4
+"""The pause between two reads of the upstreams, as a fraction of the time after
+which a draining upstream must get no new work. The rest of that time is left
+for the read itself and for requests that are already on their way."""
 
 SHORTEST_WATCH_S = 2.0
-"""How long a watch waits where few hosts are heard: a connection that fell
-silent hides a new version for no longer than this and the slack of a read."""
+"""Seconds that a watch waits in a small fleet. A connection that has silently
+failed hides a new version for no longer than this plus the slack of a read."""
 
 LONGEST_WATCH_S = 18.0
-"""The longest wait, in a large fleet. A host whose watch is silent learns of a
-change by its peers; with this it also notices by itself, soon after."""
+"""Seconds that a watch waits at most, in a large fleet. A host whose watch has
+silently failed learns of a change from its peers; this limit lets it notice the
+change by itself soon afterwards."""
 
-RENEWALS_A_SECOND = 4.0
-"""How many hosts of a fleet end a watch each second. A source that returns in
-silence, so that no open watch is ever answered, is noticed by one of them
-within a second and by the others by what that one tells."""
+FLEET_WATCH_ENDS_PER_S = 4.0
+"""Watches that end per second, over all hosts of a fleet. If a source recovers
+but never answers the watches that were open, one host notices within a second,
+and the others learn it from that host's reports."""
 
 
 RESTORED_HEARTBEATS = 4
-"""After the source came back from an older copy, how long its entries may be
-old, in heartbeats of upstreams. Live ones have renewed theirs by then, and
-those of upstreams that have ended have lapsed after three."""
+"""How long entries may be outdated after the source was restored from an older
+copy, in heartbeats of upstreams. Live upstreams have renewed their entries by
+then, and entries of upstreams that have ended lapse after three heartbeats."""
 
-TRIES_A_SECOND = 40.0
-"""How many hosts of a fleet try a lost source again each second."""
+FLEET_RETRIES_PER_S = 40.0
+"""Reads of a lost source that are retried per second, over all hosts of a
+fleet."""
 
-RETURN_PART = 0.25
-"""Of the time in which an outage counts as over, the longest pause between two
-tries: what changed meanwhile is then read well before it has to be in force."""
+RETRY_PAUSE_FRACTION = 0.25
+"""The longest pause between two retries, as a fraction of the time within which
+an outage must count as over. Changes made during the outage are then read well
+before they have to be in force."""
 
 
 @attrs.frozen
 class DirectoryParts:
-    """What the directory is made of.
+    """The collaborators of a `Directory`.
 
     Attributes:
-        published: The source of what operators publish.
-        upstreams: The source of upstreams.
-        in_force: Where both are put in force.
-        cold_starts: Told of upstreams that are cold, or may be.
-        pool: Connections, closed to upstreams that leave.
-        on_ended: Told of an incarnation that has left for good.
-        log: Told of what is believed.
-        metrics: Counts what can't be read.
-        hosts: How many hosts there are, as far as this one knows.
-        rng: Spreads pauses.
+        published: The source of route tables and evacuations, which operators
+            publish.
+        upstreams: The source of upstream entries.
+        in_force: The routing state that both collections update.
+        cold_starts: Notified of upstreams that are cold or may be cold.
+        pool: Connections to upstreams; those to leaving upstreams are closed.
+        on_ended: Called with each incarnation that has left for good.
+        log: Receives a line for each change of the routing state.
+        metrics: Counts items that can't be read.
+        hosts: Returns how many hosts this one knows of, itself included.
+        rng: Adds jitter to pauses.
         clock: The loop's monotonic clock, in seconds.
     """
 
     published: Source[Published]
     upstreams: Source[UpstreamEntry]
-    in_force: InForce
+    in_force: RoutingState
     cold_starts: ColdStarts
     pool: Pool
     on_ended: Callable[[Ended], None]
@@ -93,13 +101,13 @@
 
 
 class Directory:
-    """Follows the platform's two collections."""
+    """Follows the platform's two collections and applies what changes."""
 
     def __init__(self, parts: DirectoryParts, bounds: Bounds) -> None:
-        """Wires the parts.
+        """Creates followers of both collections, which read nothing yet.
 
         Args:
-            parts: Sources and what they feed.
+            parts: The sources and the components that they update.
             bounds: How soon changes have to be noticed.
         """
         self._parts = parts
@@ -111,19 +119,21 @@
 
     @property
     def read(self) -> ReadRevisions:
-        """The newest changes that were read."""
+        """The newest changes that were read from both collections."""
         tables, upstreams = self._published.changed, self._upstreams.changed
         return ReadRevisions(
             tables.revision, upstreams.revision, tables.era, upstreams.era
         )
 
-    def tell(self, read: ReadRevisions) -> None:
-        """Takes what a peer has read: what lacks here is read at once."""
-        self._published.tell(Position(read.tables_era, read.tables))
-        self._upstreams.tell(Position(read.upstreams_era, read.upstreams))
+    def on_peer_read(self, read: ReadRevisions) -> None:
+        """Reads at once whatever a peer has read and this host has not."""
+        self._published.on_peer_read(Position(read.tables_era, read.tables))
+        self._upstreams.on_peer_read(
+            Position(read.upstreams_era, read.upstreams)
+        )
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Puts other bounds in force from the next read on."""
+        """Uses other bounds from the next read on."""
         self._bounds = bounds
 
     async def follow_published(self) -> None:
@@ -139,8 +149,8 @@
         return Follower(
             parts.published,
             lambda: self._options(0.0),
-            lambda listing, _: self._take_all_published(listing),
-            lambda changes, _: self._take_published(changes),
+            lambda listing, _: self._apply_published_listing(listing),
+            lambda changes, _: self._apply_published_changes(changes),
             parts.log,
             parts.rng,
             parts.clock,
@@ -150,18 +160,18 @@
         parts = self._parts
         return Follower(
             parts.upstreams,
-            # Entries are renewed all the time, so that a watch ends at once:
-            # without a pause each renewal would cost a read.
-            lambda: self._options(self._bounds.drain_s * NOTICE_PART),
-            self._take_listing,
-            self._take_changes,
+            # Entries are renewed continuously, so a watch ends almost at once.
+            # Without a pause each renewal would cost a read.
+            lambda: self._options(self._bounds.drain_s * READ_PAUSE_FRACTION),
+            self._apply_upstream_listing,
+            self._apply_upstream_changes,
             parts.log,
             parts.rng,
             parts.clock,
         )
 
     def _options(self, pause_s: float) -> FollowOptions:
-        wanted_s = self._parts.hosts() / RENEWALS_A_SECOND
+        wanted_s = self._parts.hosts() / FLEET_WATCH_ENDS_PER_S
         wait_s = min(max(wanted_s, SHORTEST_WATCH_S), LONGEST_WATCH_S)
         return FollowOptions(
             wait_s=wait_s,
@@ -173,43 +183,48 @@
         )
 
     def _longest_pause_s(self) -> float:
-        """Returns how long a host waits before it tries a lost source again.
+        """Returns the longest pause before a lost source is tried again.
 
-        All hosts try at once, and the source refuses them all.
+        It grows with the number of hosts, since all of them retry during an
+        outage and the source has to refuse each attempt.
         """
-        wanted_s = self._parts.hosts() / TRIES_A_SECOND
-        longest_s = max(LONGEST_PAUSE_S, self._bounds.contact_s * RETURN_PART)
+        wanted_s = self._parts.hosts() / FLEET_RETRIES_PER_S
+        longest_s = max(
+            LONGEST_PAUSE_S, self._bounds.contact_s * RETRY_PAUSE_FRACTION
+        )
         return min(max(wanted_s, LONGEST_PAUSE_S), longest_s)
 
-    def _take_all_published(self, listing: Listing[Published]) -> None:
-        """Takes all that is published: an evacuation that lacks is over.
+    def _apply_published_listing(self, listing: Listing[Published]) -> None:
+        """Applies a full listing of what operators have published.
 
-        Not while the source may have lost it: operators write it again.
+        An evacuation that is missing has ended, unless the source was restored
+        from an older copy and may have lost it; operators then write it again.
         """
-        self._tell_unreadable(listing.unreadable)
+        self._report_unreadable(listing.unreadable)
         if not self._published.is_restored:
             self._evacuations.clear()
-        # First, so that no new route leads to an evacuated data centre.
-        self._take_evacuations(listing.items)
-        self._take_tables(listing.items)
-
-    def _take_published(self, changes: Changes[Published]) -> None:
-        """Takes what has changed; what can't be read changes nothing."""
-        self._tell_unreadable(changes.unreadable)
+        # Evacuations go first, so that no new route leads to an evacuated data
+        # centre.
+        self._apply_evacuations(listing.items)
+        self._apply_tables(listing.items)
+
+    def _apply_published_changes(self, changes: Changes[Published]) -> None:
+        """Applies published changes; unreadable items change nothing."""
+        self._report_unreadable(changes.unreadable)
         for name in changes.removed:
             self._evacuations.pop(name, None)
-        self._take_evacuations(changes.items)
-        self._take_tables(changes.items)
+        self._apply_evacuations(changes.items)
+        self._apply_tables(changes.items)
 
-    def _tell_unreadable(self, unreadable: tuple[Unreadable, ...]) -> None:
+    def _report_unreadable(self, unreadable: tuple[Unreadable, ...]) -> None:
         for item in unreadable:
             self._parts.metrics.count(UNREADABLE, source="published")
             self._parts.log.line(
                 "unreadable_item", key=item.name, reason=item.reason
             )
 
-    def _take_evacuations(self, items: dict[str, Published]) -> None:
-        """Keeps new work from the data centres that are evacuated now."""
+    def _apply_evacuations(self, items: dict[str, Published]) -> None:
+        """Stops sending new work to the data centres that are evacuated."""
         self._evacuations.update(
             (name, item.data_centre)
             for name, item in items.items()
@@ -221,27 +236,28 @@
             self._parts.log.line("evacuated", where=data_centre)
         for data_centre in sorted(before - evacuated):
             self._parts.log.line("taken_back", where=data_centre)
-            self._suspect_cold(data_centre)
+            self._mark_possibly_cold(data_centre)
 
-    def _suspect_cold(self, data_centre: str) -> None:
-        """Spares upstreams that may have been restarted while they were idle.
+    def _mark_possibly_cold(self, data_centre: str) -> None:
+        """Treats upstreams of a data centre as cold after its evacuation.
 
-        Their entries say so only some time after they are taken back, and idle
-        as they are they would draw the requests of all hosts at once.
+        They may have been restarted while they got no work, and their entries
+        say so only some time after work returns. Since they are idle, placement
+        would send the requests of all hosts to them at once.
         """
         now_s = self._parts.clock()
         for entry in self._parts.in_force.fleet.all_usable(now_s):
             if entry.data_centre == data_centre:
                 self._parts.cold_starts.suspect(entry, now_s)
 
-    def _take_tables(self, items: dict[str, Published]) -> None:
-        """Puts tables in force."""
+    def _apply_tables(self, items: dict[str, Published]) -> None:
+        """Puts each route table in force unless it is outdated."""
         tables = [
             item for item in items.values() if isinstance(item, RouteTable)
         ]
         for table in tables:
             began = time.perf_counter()
-            is_new = self._parts.in_force.take_table(table)
+            is_new = self._parts.in_force.apply_table(table)
             self._parts.log.line(
                 "routes",
                 version=table.version,
@@ -250,11 +266,11 @@
                 ms=round((time.perf_counter() - began) * 1000, 2),
             )
 
-    def _take_listing(
+    def _apply_upstream_listing(
         self, listing: Listing[UpstreamEntry], may_have_lapsed: bool
     ) -> None:
         in_force = self._parts.in_force
-        self._take_unreadable(listing.unreadable, are_all=True)
+        self._remove_unreadable(listing.unreadable, are_all=True)
         now_s = self._parts.clock()
         changed = in_force.fleet.replace(
             listing.items.values(),
@@ -275,26 +291,30 @@
         )
         self._forget_ended()
 
-    def _take_changes(
+    def _apply_upstream_changes(
         self, changes: Changes[UpstreamEntry], may_have_lapsed: bool
     ) -> None:
         for entry in changes.items.values():
-            self._take_entry(entry, changes.revision)
+            self._apply_entry(entry, changes.revision)
         fleet = self._parts.in_force.fleet
         lapsed = may_have_lapsed or fleet.are_lapses(changes.removed)
         for name in changes.removed:
             self._unreadable.pop(name, None)
             self._remove(name, changes.revision, lapsed)
-        self._take_unreadable(changes.unreadable, are_all=False)
+        self._remove_unreadable(changes.unreadable, are_all=False)
         self._forget_ended()
 
-    def _take_unreadable(
+    def _remove_unreadable(
         self, found: tuple[Unreadable, ...], *, are_all: bool
     ) -> None:
-        """Takes upstreams whose entries can't be read for gone.
+        """Removes upstreams whose entries can't be read.
+
+        An entry is logged only when its problem is new: a writer that renews a
+        bad entry every second would otherwise fill the log.
 
-        A line is written where something is new: a writer that renews a bad
-        entry every second would otherwise fill the log.
+        Args:
+            found: The entries that can't be read.
+            are_all: Whether these are all such entries of the collection.
         """
         for item in found:
             self._parts.metrics.count(UNREADABLE, source="upstreams")
@@ -309,7 +329,7 @@
             self._unreadable.clear()
         self._unreadable.update((item.name, item.reason) for item in found)
 
-    def _take_entry(self, entry: UpstreamEntry, revision: int) -> None:
+    def _apply_entry(self, entry: UpstreamEntry, revision: int) -> None:
         self._unreadable.pop(entry.name, None)
         if self._parts.in_force.fleet.put(entry):
             self._parts.cold_starts.note(entry, self._parts.clock())
@@ -341,7 +361,7 @@
         )
 
     def _forget_ended(self) -> None:
-        """Lets go of all that was learnt of incarnations that have ended."""
+        """Discards all state that is kept for incarnations that have ended."""
         for ended in self._parts.in_force.fleet.take_ended():
             self._parts.pool.drop(ended.incarnation)
             self._parts.on_ended(ended)
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -1,4 +1,4 @@
-"""One host that forwards by routes: its tasks, its stop, its readiness."""
+"""Runs one gateway host: its components, tasks, readiness and shutdown."""
 
 import asyncio
 import contextlib
@@ -31,20 +31,24 @@
 from hollyknot_gateway import _metrics as metrics
 from hollyknot_gateway._answers import NO_ROUTE
 from hollyknot_gateway._caller_server import CallerServer
-from hollyknot_gateway._directory import LAPSE_S, Directory, DirectoryParts
+from hollyknot_gateway._directory import (
+    LAPSE_GRACE_S,
+    Directory,
+    DirectoryParts,
+)
 from hollyknot_gateway._flow import Flow
 from hollyknot_gateway._flow_parts import FlowParts
-from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._losses import Losses
 from hollyknot_gateway._metrics import Metrics
 from hollyknot_gateway._neighbours import Neighbours, Shared
-from hollyknot_gateway._operators import Operators
+from hollyknot_gateway._operator_servers import OperatorServers
 from hollyknot_gateway._pool import ConnectFailure, Pool
 from hollyknot_gateway._ports import Dialect, Source
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._rate_limits import RateLimits
 from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_gateway._stalls import Stalls
 from hollyknot_gateway._suspension import Suspension
 from hollyknot_state import ReadRevisions
@@ -56,33 +60,35 @@
 )
 
 SWEEP_S = 0.25
-"""Between two looks at timers that need no precision."""
+"""Seconds between two checks of timers that need no precision."""
 
 FLUSH_S = 0.1
-"""Between two writes of log lines."""
+"""Seconds between two writes of buffered log lines."""
 
 RELOAD_S = 5.0
-"""Between two looks at the settings file, which may change without a signal."""
+"""Seconds between two reads of the settings, which may change without a
+signal."""
 
-ROTATION_S = 3.0
-"""How long a stopping host still takes new connections: the balancer asks once
-a second and takes a host out after two misses."""
+BALANCER_DELAY_S = 3.0
+"""Seconds for which a stopping host still accepts connections. The balancer
+checks readiness once a second and removes a host after two failed checks."""
 
 STOP_MARGIN_S = 0.8
-"""Before the host is killed, work that is left is ended by the host itself."""
+"""Seconds before the end of the grace period, when the host is killed, at which
+it ends the remaining requests itself."""
 
 STANDARD_OUTPUT = 1
-"""The descriptor that log lines go to."""
+"""The file descriptor that log lines are written to."""
 
 
 @attrs.frozen
 class Ports:
-    """What a platform plugs in.
+    """The interfaces that a platform provides to a host.
 
     Attributes:
-        dialect: Headers of callers and upstreams.
-        published: Makes the source of what operators publish.
-        upstreams: Makes the source of upstreams.
+        dialect: The headers that callers and upstreams use.
+        published: Creates the source of what operators publish.
+        upstreams: Creates the source of upstream entries.
     """
 
     dialect: Dialect
@@ -91,7 +97,7 @@
 
 
 class Host:
-    """A host from its start to its end; an asynchronous context manager."""
+    """A gateway host, as an asynchronous context manager that runs it."""
 
     def __init__(
         self,
@@ -100,23 +106,24 @@
         rng: random.Random,
         read_settings: Callable[[], GatewaySettings | str],
     ) -> None:
-        """Wires the parts.
+        """Creates all components of a host without starting any.
 
         Args:
-            settings: Of this process.
-            ports: Of its platform.
-            rng: For ties, splits and spread pauses.
-            read_settings: Reads the settings again, or says what is wrong.
+            settings: The settings of this process.
+            ports: The interfaces of its platform.
+            rng: Breaks ties, splits traffic and adds jitter to pauses.
+            read_settings: Reads the settings again; returns a text that says
+                what is wrong if they can't be read.
         """
         clock = asyncio.get_running_loop().time
         self._settings = settings
-        self._last_read = settings
+        self._last_settings = settings
         self._read_settings = read_settings
         self._clock = clock
         self._rng = rng
         self._log = Log(settings.host, settings.data_centre, STANDARD_OUTPUT)
         self._pool = Pool(clock)
-        self._in_force = InForce(Fleet(LAPSE_S))
+        self._routing_state = RoutingState(Fleet(LAPSE_GRACE_S))
         self._metrics = Metrics()
         self._loads = Loads()
         self._demand = Demand()
@@ -131,7 +138,7 @@
         )
         self._budget = RetryBudget(settings.bounds, self._size, rng)
         self._cold_starts = ColdStarts(
-            rng, self._size, self._in_force.cold_start
+            rng, self._size, self._routing_state.cold_start
         )
         self._named_limits = NamedLimits()
         self._rate_limits = RateLimits(self._named_limits, self._log, clock)
@@ -139,8 +146,8 @@
         self._prober = Prober(
             self._pool,
             self._reachability,
-            self._upstream_away,
-            self._upstream_back,
+            self._on_upstream_unreachable,
+            self._on_upstream_reachable,
             self._log,
             clock,
         )
@@ -156,10 +163,10 @@
                 self._size,
                 self._named_limits,
             ),
-            self._in_force,
+            self._routing_state,
             self._reachability,
             self._prober,
-            ReadNews(lambda: self._directory.read, self._peer_has_read),
+            ReadNews(lambda: self._directory.read, self._on_peer_read),
             self._log,
             rng,
             clock,
@@ -168,10 +175,10 @@
             DirectoryParts(
                 published=ports.published(self._pool),
                 upstreams=ports.upstreams(self._pool),
-                in_force=self._in_force,
+                in_force=self._routing_state,
                 cold_starts=self._cold_starts,
                 pool=self._pool,
-                on_ended=self._upstream_ended,
+                on_ended=self._on_upstream_ended,
                 log=self._log,
                 metrics=self._metrics,
                 hosts=lambda: self._neighbours.hosts,
@@ -181,9 +188,11 @@
             settings.bounds,
         )
         flow = Flow(self._flow_parts(ports.dialect))
-        self._callers = CallerServer(flow.handle, self._limits, self._unread)
-        self._operators = Operators(
-            lambda: self.is_ready, self._metrics, self._unread
+        self._callers = CallerServer(
+            flow.handle, self._limits, self._on_unreadable_request
+        )
+        self._operator_servers = OperatorServers(
+            lambda: self.is_ready, self._metrics, self._on_unreadable_request
         )
         self._add_gauges()
         self._is_stopping = False
@@ -193,7 +202,7 @@
     def _flow_parts(self, dialect: Dialect) -> FlowParts:
         return FlowParts(
             dialect=dialect,
-            in_force=self._in_force,
+            in_force=self._routing_state,
             placement=Placement(
                 self._loads,
                 self._demand,
@@ -231,36 +240,36 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
-        return self._in_force.is_known and not self._is_stopping
+        """Whether the balancer may send callers to this host."""
+        return self._routing_state.is_complete and not self._is_stopping
 
     @property
     def table_version(self) -> int:
         """The version of the routes in force; 0 for none."""
-        index = self._in_force.index
+        index = self._routing_state.index
         return index.table.version if index is not None else 0
 
     @property
     def peers(self) -> int:
-        """How many other hosts are heard."""
+        """How many other hosts send reports to this one."""
         return self._neighbours.count
 
     @property
     def limited_upstreams(self) -> int:
-        """How many upstreams have a rate limit, as far as is known."""
+        """How many upstreams are known to have a rate limit."""
         return self._named_limits.count
 
     @property
     def upstreams(self) -> frozenset[str]:
-        """The incarnations that may get work."""
-        usable = self._in_force.fleet.all_usable(self._clock())
+        """The incarnations that may get requests."""
+        usable = self._routing_state.fleet.all_usable(self._clock())
         return frozenset(entry.incarnation for entry in usable)
 
     async def __aenter__(self) -> Self:
         """Starts all servers and tasks.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: If the host can't listen on an address.
         """
         stack = self._stack
         stack.callback(self._log.flush)
@@ -268,7 +277,7 @@
         stack.push_async_callback(self._prober.close)
         await self._callers.start(self._settings.callers)
         stack.callback(self._callers.close)
-        await self._operators.start(self._settings, stack)
+        await self._operator_servers.start(self._settings, stack)
         await self._neighbours.open()
         stack.callback(self._neighbours.close)
         for work in (
@@ -277,8 +286,8 @@
             self._neighbours.run(),
             self._sweep(),
             self._flush(),
-            self._reach(),
-            self._reload_now_and_then(),
+            self._probe_unreachable(),
+            self._reload_periodically(),
         ):
             self._spawn(work)
         asyncio.get_running_loop().set_exception_handler(self._on_error)
@@ -291,14 +300,14 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Ends all that is left."""
+        """Cancels all tasks and closes all servers and connections."""
         self._log.line("end", in_work=self._callers.in_work)
         await self._stack.__aexit__(kind, error, trace)
 
     def _on_error(
         self, _: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Logs what no task has caught."""
+        """Logs an exception that no task has caught."""
         error = context.get("exception")
         trace = traceback.format_exception(error) if error else []
         self._log.line(
@@ -309,14 +318,14 @@
         )
 
     async def stop(self) -> None:
-        """Stops gracefully: requests in flight end first."""
+        """Stops gracefully, letting in-flight requests end first."""
         began_s = self._clock()
         self._is_stopping = True
         self._log.line("stop", in_work=self._callers.in_work)
         self._callers.announce_close()
         grace_s = self._settings.bounds.grace_s
         last_s = began_s + grace_s - min(STOP_MARGIN_S, grace_s / 2)
-        await asyncio.sleep(min(ROTATION_S, grace_s / 2))
+        await asyncio.sleep(min(BALANCER_DELAY_S, grace_s / 2))
         while self._clock() < last_s:
             self._callers.close_idle()
             if not self._callers.in_work:
@@ -324,28 +333,28 @@
             await asyncio.sleep(SWEEP_S / 2)
 
     def reload(self) -> None:
-        """Reads the settings again and puts in force what can change.
+        """Reads the settings again and applies those that may change.
 
-        Addresses stay as they are until the next start: callers, peers and the
-        balancer know them. Settings that can't be read change nothing.
+        Addresses stay as they are until the next start, since callers, peers
+        and the balancer use them. Settings that can't be read change nothing.
         """
         found = self._read_settings()
         if isinstance(found, str):
             self._log.line("reload_failed", reason=found)
             return
-        if found == self._last_read:
+        if found == self._last_settings:
             return
-        before = attrs.asdict(self._last_read, recurse=False)
+        before = attrs.asdict(self._last_settings, recurse=False)
         after = attrs.asdict(found, recurse=False)
         changed = [name for name in after if after[name] != before[name]]
-        self._last_read = found
+        self._last_settings = found
         self._settings = attrs.evolve(self._settings, bounds=found.bounds)
         self._budget.set_bounds(found.bounds)
         self._directory.set_bounds(found.bounds)
         self._log.line("reload", changed=",".join(changed))
 
-    async def _reload_now_and_then(self) -> None:
-        """Notices settings that change without a signal."""
+    async def _reload_periodically(self) -> None:
+        """Applies settings that change without a signal."""
         while True:
             await asyncio.sleep(RELOAD_S)
             self.reload()
@@ -355,11 +364,11 @@
         self._stack.push_async_callback(_cancel, task)
 
     def _limits(self) -> CallerLimits:
-        index = self._in_force.index
+        index = self._routing_state.index
         return index.table.limits if index is not None else CallerLimits()
 
-    def _unread(self, status: int, reason: str) -> None:
-        """Tells of a request that could not be read."""
+    def _on_unreadable_request(self, status: int, reason: str) -> None:
+        """Logs and counts a request that could not be parsed."""
         self._log.line("unread", status=status, reason=reason)
         self._metrics.count(
             metrics.REQUESTS,
@@ -404,40 +413,40 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self._look_at_clocks()
+            self._check_suspension()
             self._stalls.sweep()
             self._callers.sweep(self._clock())
-            self._operators.sweep(self._clock())
+            self._operator_servers.sweep(self._clock())
             self._pool.sweep()
 
-    async def _reach(self) -> None:
-        """Tries to connect to upstreams that could not be reached."""
+    async def _probe_unreachable(self) -> None:
+        """Probes upstreams that could not be reached, when they are due."""
         while True:
             await asyncio.sleep(SWEEP_S / 2)
             self._prober.check_all(self._reachability.due(self._clock()))
             self._suspects.expire(self._clock())
 
-    def _peer_has_read(self, read: ReadRevisions) -> None:
-        self._directory.tell(read)
+    def _on_peer_read(self, read: ReadRevisions) -> None:
+        self._directory.on_peer_read(read)
 
-    def _upstream_away(
+    def _on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
-        """Ends what hangs at an upstream, and looks at those beside it."""
+        """Ends silent attempts at an upstream and probes others beside it."""
         self._stalls.upstream_away(entry.incarnation)
         self._neighbours.upstream_away(entry, failure)
 
-    def _upstream_back(self, entry: UpstreamEntry) -> None:
-        """Spares an upstream that may have started again under its name.
+    def _on_upstream_reachable(self, entry: UpstreamEntry) -> None:
+        """Treats an upstream as cold that may have restarted under its name.
 
-        Where entries don't say when a run began, each run has a new name, and
-        one that is reached again is the one that was away.
+        Where entries don't say when a run began, each run has a new name, so
+        an upstream that is reachable again has not restarted.
         """
         if entry.born_ms:
             self._cold_starts.suspect(entry, self._clock())
 
-    def _upstream_ended(self, ended: Ended) -> None:
-        """Forgets what was learnt of an incarnation that has left."""
+    def _on_upstream_ended(self, ended: Ended) -> None:
+        """Discards all state that is kept for an incarnation that has left."""
         incarnation = ended.incarnation
         if ended.runs_no_more:
             self._stalls.upstream_away(incarnation)
@@ -448,11 +457,12 @@
         self._neighbours.permits.forget(incarnation)
         self._forecasts.forget(incarnation)
 
-    def _look_at_clocks(self) -> None:
-        """Drops kept connections if the host has been suspended.
+    def _check_suspension(self) -> None:
+        """Closes idle connections if the host has been suspended.
 
-        The steady clock does not count a suspension, so that connections seem
-        to have been idle for a moment that their other ends gave up long ago.
+        The monotonic clock does not advance during a suspension. Connections
+        seem to have been idle only briefly, although their other ends may have
+        closed them long ago.
         """
         suspended_s = self._suspension.suspended_s()
         if suspended_s:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
@@ -1,4 +1,4 @@
-"""Tests of reading a document, by a clock that tests set on."""
+"""Tests of reading a document, on a clock that the tests advance."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,7 +23,7 @@
 
 @attrs.define
 class _Server:
-    """A pool whose only connection the test answers on."""
+    """A pool and its only connection, on which the test answers."""
 
     receiver: Receiver | None = None
     is_reusable: bool = True
@@ -44,7 +44,7 @@
         self.abandoned += 1
 
     async def wait(self, seconds: float) -> None:
-        """Sets the clock on and lets timers run."""
+        """Advances the clock and lets due timers run."""
         self.offset_s += seconds
         for _ in range(5):
             await asyncio.sleep(0)
@@ -76,13 +76,13 @@
 
 
 class TestFetch:
-    """Answers that come late, slowly or never."""
+    """Tests of answers that arrive late, slowly or never."""
 
-    def test_an_answer_that_keeps_coming_is_read(self) -> None:
-        """A large document is never read over a slow link.
+    def test_reads_slow_answer_while_parts_arrive(self) -> None:
+        """Guards against large documents that are never read on a slow link.
 
-        Sequence: its parts come every half second, for longer than a read
-        may be silent. Cause: the whole read had the time of a silence.
+        Parts arrive every half second, for longer in total than the time-out.
+        The time-out must apply to the first part, not to the whole answer.
         """
 
         async def answer(server: _Server, receiver: Receiver) -> None:
@@ -95,7 +95,7 @@
         found, _ = _read(answer)
         assert found == Document(200, b"part " * 4)
 
-    def test_silence_ends_it(self) -> None:
+    def test_times_out_when_answer_falls_silent(self) -> None:
         async def answer(server: _Server, receiver: Receiver) -> None:
             receiver.on_head(_HEAD)
             server.is_reusable = False
@@ -105,12 +105,12 @@
         assert found is FetchFailure.TIMEOUT
         assert server.abandoned == 1
 
-    def test_one_that_begins_late_has_its_whole_time(self) -> None:
-        """A large version that ends a long watch is never read.
+    def test_late_answer_has_full_read_time(self) -> None:
+        """Guards against large versions lost at the end of a long watch.
 
-        Sequence: an answer begins just before its wait is over, and its parts
-        arrive for two seconds more. Cause: the longest time of an answer
-        counted from the question.
+        An answer begins just before its time-out, and its parts arrive for
+        seconds more. The limit for the whole answer must count from the first
+        part, not from the request.
         """
 
         async def answer(server: _Server, receiver: Receiver) -> None:
@@ -124,7 +124,7 @@
         found, _ = _read(answer)
         assert found == Document(200, b"part " * 4)
 
-    def test_an_answer_without_end_is_ended(self) -> None:
+    def test_times_out_on_endless_answer(self) -> None:
         async def answer(server: _Server, receiver: Receiver) -> None:
             receiver.on_head(_HEAD)
             for _ in range(int(LONGEST_READ_S / (_TIMEOUT_S / 2)) + 2):
--- a/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
@@ -1,4 +1,4 @@
-"""Tests of hosts that follow a source which comes back from older copies."""
+"""Tests of hosts that follow a source that is restored from older copies."""
 
 import asyncio
 import os
@@ -22,52 +22,55 @@
 from hollyknot_gateway.tests._virtual_time import run_virtually
 
 RESTORED_S = 4.8
+"""Seconds after a restore in which items may be missing because of it."""
+
 SETTLED_S = 15.0
-"""After the last change, within which all hosts hold what the source holds: the
-time in which old entries count, a long watch and two reads."""
+"""Seconds after the last change within which all hosts hold what the source
+holds: the time in which a restore still counts, a long watch and two reads."""
 
 HOSTS = 3
 NAMES = "abcd"
 
 
 _Event = tuple[int, str, int | None]
-"""A revision, a name, and what was written; None for a removal."""
+"""A revision, a name and the value written; None for a removal."""
 
 _Copy = tuple[dict[str, int], list[_Event], int]
+"""The items, events and revision of a copy."""
 
 
 @attrs.define
 class _Directory:
-    """A source with eras, whose answers may be slow, lost or cut off."""
+    """A source with eras, whose answers may be slow or fail."""
 
     items: dict[str, int] = attrs.Factory(dict)
     events: list[_Event] = attrs.Factory(list)
     revision: int = 1
     era: int = 1
     written: int = 0
-    is_away: bool = False
+    is_unavailable: bool = False
     delay_s: float = 0.004
     lists: int = 0
     copies: list[_Copy] = attrs.Factory(list)
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def write(self, name: str) -> None:
-        """Writes an item that was never written before."""
+        """Writes a value that was never written before to an item."""
         self.written += 1
-        self._note(name, self.written)
+        self._record(name, self.written)
 
     def remove(self, name: str) -> None:
         """Removes an item."""
         if name in self.items:
-            self._note(name, None)
+            self._record(name, None)
 
     def copy(self) -> None:
-        """Keeps a copy."""
+        """Saves a copy that can be restored."""
         copied = dict(self.items), list(self.events), self.revision
         self.copies.append(copied)
 
     def restore(self) -> None:
-        """Comes back from the last copy; what was written since is lost."""
+        """Restores the last copy in a new era; later writes are lost."""
         if not self.copies:
             return
         items, events, self.revision = self.copies.pop()
@@ -75,7 +78,7 @@
         self.era += 1
         self._wake()
 
-    def _note(self, name: str, value: int | None) -> None:
+    def _record(self, name: str, value: int | None) -> None:
         self.revision += 1
         self.events.append((self.revision, name, value))
         if value is None:
@@ -89,11 +92,11 @@
         self.changed = asyncio.Event()
 
     async def read_all(self) -> Listing[int] | SourceFailure:
-        """Answers a list."""
+        """Answers a list of all items."""
         self.lists += 1
         await asyncio.sleep(self.delay_s)
-        if self.is_away:
-            return SourceFailure("away")
+        if self.is_unavailable:
+            return SourceFailure("unavailable")
         found = Listing(
             dict(self.items), self.revision, (), self.revision, self.era
         )
@@ -103,7 +106,7 @@
     async def watch(
         self, after: int, wait_s: float, _: Callable[[], None]
     ) -> Changes[int] | Compacted | SourceFailure:
-        """Answers a watch."""
+        """Answers a watch for changes after a revision."""
         await asyncio.sleep(self.delay_s)
         try:
             async with asyncio.timeout(wait_s):
@@ -111,8 +114,8 @@
                     await self.changed.wait()
         except TimeoutError:
             pass
-        if self.is_away:
-            return SourceFailure("away")
+        if self.is_unavailable:
+            return SourceFailure("unavailable")
         if after > self.revision:
             return Compacted.COMPACTED
         newest = {name: value for _, name, value in self._since(after)}
@@ -133,7 +136,7 @@
 
 @attrs.define
 class _Host:
-    """What a host holds of a directory."""
+    """A host and the items that it holds."""
 
     holds: dict[str, int] = attrs.Factory(dict)
     follower: Follower[int] = attrs.field(init=False)
@@ -141,12 +144,12 @@
     def take_listing(
         self, listing: Listing[int], may_have_lapsed: bool
     ) -> None:
-        """Takes a list, and keeps what may only have lapsed."""
+        """Applies a list, and keeps items that may only have lapsed."""
         kept = self.holds if may_have_lapsed else {}
         self.holds = {**kept, **listing.items}
 
     def take_changes(self, changes: Changes[int], _: bool) -> None:
-        """Takes what has changed."""
+        """Applies changes."""
         self.holds.update(changes.items)
         for name in changes.removed:
             self.holds.pop(name, None)
@@ -168,51 +171,51 @@
     return host
 
 
-async def _tell(hosts: list[_Host]) -> None:
-    """Has hosts tell each other what they have read."""
+async def _exchange_reports(hosts: list[_Host]) -> None:
+    """Has hosts report to each other what they have read."""
     while True:
         await asyncio.sleep(0.2)
-        # Of several words at one moment only the newest changes anything.
+        # Of several reports at one moment, only the newest has an effect.
         newest = max(host.follower.changed for host in hosts)
         for host in hosts:
-            host.follower.tell(newest)
+            host.follower.on_peer_read(newest)
 
 
 Step = Callable[[_Directory], None]
 
 
-def _away(directory: _Directory) -> None:
-    directory.is_away = True
+def _become_unavailable(directory: _Directory) -> None:
+    directory.is_unavailable = True
 
 
-def _back(directory: _Directory) -> None:
-    directory.is_away = False
+def _become_available(directory: _Directory) -> None:
+    directory.is_unavailable = False
 
 
-def _slow(directory: _Directory) -> None:
+def _become_slow(directory: _Directory) -> None:
     directory.delay_s = 0.3
 
 
-def _fast(directory: _Directory) -> None:
+def _become_fast(directory: _Directory) -> None:
     directory.delay_s = 0.004
 
 
-def _play(
+def _run_steps(
     steps: list[tuple[float, Step]], hosts: int = HOSTS
 ) -> tuple[_Directory, list[_Host]]:
-    """Plays steps, each after a pause, and waits until all is settled."""
+    """Runs steps, each after a pause, and waits until hosts have settled."""
 
     async def main() -> tuple[_Directory, list[_Host]]:
         directory = _Directory()
         directory.write("a")
         followers = [_make_host(directory, n) for n in range(hosts)]
         tasks = [asyncio.ensure_future(f.follower.run()) for f in followers]
-        tasks.append(asyncio.ensure_future(_tell(followers)))
+        tasks.append(asyncio.ensure_future(_exchange_reports(followers)))
         await asyncio.sleep(1.0)
         for pause_s, step in steps:
             await asyncio.sleep(pause_s)
             step(directory)
-        directory.is_away = False
+        directory.is_unavailable = False
         directory.delay_s = 0.004
         await asyncio.sleep(SETTLED_S)
         for task in tasks:
@@ -226,7 +229,14 @@
 _WRITES = st.sampled_from(NAMES).map(lambda name: lambda d: d.write(name))
 _REMOVALS = st.sampled_from(NAMES).map(lambda name: lambda d: d.remove(name))
 _FAULTS = st.sampled_from(
-    [_Directory.copy, _Directory.restore, _away, _back, _slow, _fast]
+    [
+        _Directory.copy,
+        _Directory.restore,
+        _become_unavailable,
+        _become_available,
+        _become_slow,
+        _become_fast,
+    ]
 )
 _PAUSES = st.sampled_from([0.0, 0.01, 0.2, 1.0, 3.0])
 _STEPS = st.lists(
@@ -235,43 +245,45 @@
 
 
 class TestRestoredSource:
-    """Each host ends with exactly what the source holds."""
+    """Tests that each host ends with exactly what the source holds."""
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(_STEPS)
-    def test_any_sequence(self, steps: list[tuple[float, Step]]) -> None:
-        """Guards against hosts that go by the revisions of an older era."""
-        directory, hosts = _play(steps)
+    def test_converges_after_any_sequence_of_steps(
+        self, steps: list[tuple[float, Step]]
+    ) -> None:
+        """Guards against hosts that rely on revisions of an older era."""
+        directory, hosts = _run_steps(steps)
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
-    def test_a_lower_revision(self) -> None:
-        """Guards against lists of a new era that are taken for stale."""
+    def test_lower_revision_of_new_era_is_not_stale(self) -> None:
+        """Guards against ignoring lists of a new era as stale."""
         steps: list[tuple[float, Step]] = [(0.5, _Directory.copy)]
         steps += [(0.1, lambda d: d.write("b"))] * 8
         steps += [(0.1, _Directory.restore), (0.5, lambda d: d.write("c"))]
-        directory, hosts = _play(steps)
+        directory, hosts = _run_steps(steps)
         assert set(directory.items) == {"a", "c"}
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
-    def test_a_revision_that_has_passed_the_old_one(self) -> None:
-        """Guards against changes that no watch tells of."""
+    def test_new_era_past_old_revision_is_listed(self) -> None:
+        """Guards against changes that no watch returns."""
         steps: list[tuple[float, Step]] = [
             (0.5, _Directory.copy),
             (0.1, lambda d: d.write("b")),
-            (0.1, _away),
+            (0.1, _become_unavailable),
             (0.5, _Directory.restore),
             (0.0, lambda d: d.write("c")),
             (0.0, lambda d: d.write("d")),
             (0.0, lambda d: d.write("d")),
-            (0.5, _back),
+            (0.5, _become_available),
         ]
-        directory, hosts = _play(steps)
+        directory, hosts = _run_steps(steps)
         assert set(directory.items) == {"a", "c", "d"}
         assert [host.holds for host in hosts] == [directory.items] * HOSTS
 
     @pytest.mark.parametrize("count", [8, 83, 300])
-    def test_costs_two_lists_a_host(self, count: int) -> None:
-        """Guards against lists that are read again and again."""
+    def test_restore_costs_at_most_two_lists_per_host(self, count: int) -> None:
+        """Guards against hosts that read the list again and again."""
         lists_before: list[int] = []
 
         def restore(directory: _Directory) -> None:
@@ -284,6 +296,6 @@
             (5.0, restore),
             (0.2, lambda d: d.write("c")),
         ]
-        directory, hosts = _play(steps, count)
+        directory, hosts = _run_steps(steps, count)
         assert [host.holds for host in hosts] == [directory.items] * count
         assert directory.lists - lists_before[0] <= 2 * count
