--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -19,17 +19,17 @@
 from hollyknot_bench.experiment._outcome import Ended, Outcome
 from hollyknot_bench.experiment._wire import Wire
 from hollyknot_coordination.forwarding import (
-    COME_BACK_S,
+    SHED_RETRY_AFTER_S,
     Choice,
     FleetSize,
     NamedLimits,
     Permits,
+    PlacedRequest,
     RouteIndex,
     Shed,
     TooSlow,
     Tracker,
     Trackers,
-    Work,
     runs_of,
 )
 from hollyknot_state import Address, HostReport
@@ -195,7 +195,7 @@
         self._reports[number] = report
         for other, peer in enumerate(self._hosts):
             heard = [r for n, r in self._reports.items() if n != other]
-            peer.loads.take_reports(heard)
+            peer.loads.replace_reports(heard)
             peer.demand.take(d for r in heard for d in r.demands)
             peer.cached.take(report.held, self._clock.now_s)
         again_s = self._clock.now_s + self._load.report_s
@@ -318,12 +318,12 @@
             return
         spread = self._rng.uniform(1 - COME_BACK_SPREAD, 1 + COME_BACK_SPREAD)
         left_s = request.at_s + request.kind.timeout_s - self._clock.now_s
-        wait_s = min(COME_BACK_S * spread, left_s / 3)
+        wait_s = min(SHED_RETRY_AFTER_S * spread, left_s / 3)
         host = self._rng.randrange(self._load.hosts)
         self._later(self._clock.now_s + wait_s, self._arrive, request, host)
 
     def _send(
-        self, request: Request, host: Host, choice: Choice, work: Work
+        self, request: Request, host: Host, choice: Choice, work: PlacedRequest
     ) -> None:
         clock = self._clock
         ended = self._ended[request.number]
--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -108,7 +108,7 @@
         self._summed_s = now_s
         self.peers.expire(now_s)
         fresh = self.peers.fresh(now_s)
-        self.host.loads.take_reports(fresh)
+        self.host.loads.replace_reports(fresh)
         self.host.demand.take(
             (d for r in fresh for d in r.demands),
             min(1.0, (len(fresh) + 1) / (self.peers.estimated + 1)),
--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -5,7 +5,7 @@
     runs_of,
 )
 from hollyknot_coordination.forwarding._cold_starts import ColdStarts
-from hollyknot_coordination.forwarding._events import EventCutter
+from hollyknot_coordination.forwarding._events import EventFramer
 from hollyknot_coordination.forwarding._fleet import Ended, Fleet
 from hollyknot_coordination.forwarding._fleet_size import FleetSize
 from hollyknot_coordination.forwarding._forecasts import Forecasts
@@ -17,7 +17,7 @@
     Inquiries,
     Inquiry,
 )
-from hollyknot_coordination.forwarding._lanes import Demand, Lanes, Tolerance
+from hollyknot_coordination.forwarding._lanes import Demand, GapTolerance, Lanes
 from hollyknot_coordination.forwarding._loads import Load, Loads
 from hollyknot_coordination.forwarding._named_limits import NamedLimits
 from hollyknot_coordination.forwarding._peers import Peers
@@ -29,9 +29,9 @@
 )
 from hollyknot_coordination.forwarding._placement import (
     Choice,
-    NoPlace,
+    NoUpstream,
+    PlacedRequest,
     Placement,
-    Work,
 )
 from hollyknot_coordination.forwarding._reachability import Reachability
 from hollyknot_coordination.forwarding._report_rate import ReportRate
@@ -45,15 +45,15 @@
     RouteIndex,
 )
 from hollyknot_coordination.forwarding._shedding import (
-    COME_BACK_S,
+    SHED_RETRY_AFTER_S,
     Admission,
     Shed,
     Shedding,
     TooSlow,
 )
 from hollyknot_coordination.forwarding._steps import (
-    Again,
     GiveUp,
+    TryAnother,
     TryState,
     give_up,
     next_step,
@@ -70,20 +70,20 @@
     "NOTE_FROM_S",
     "Inquiries",
     "Inquiry",
-    "COME_BACK_S",
+    "SHED_RETRY_AFTER_S",
     "RENEW_S",
     "TrackedLoads",
     "Tracker",
     "Trackers",
     "runs_of",
     "Admission",
-    "Again",
+    "TryAnother",
     "CachedParts",
     "Choice",
     "ColdStarts",
     "Demand",
     "Ended",
-    "EventCutter",
+    "EventFramer",
     "Fleet",
     "FleetSize",
     "Forecasts",
@@ -94,7 +94,7 @@
     "Loads",
     "NamedLimits",
     "NoOwner",
-    "NoPlace",
+    "NoUpstream",
     "NoRoute",
     "PERMIT_ANSWER_S",
     "Peers",
@@ -110,9 +110,9 @@
     "Shed",
     "Shedding",
     "TooSlow",
-    "Tolerance",
+    "GapTolerance",
     "TryState",
-    "Work",
+    "PlacedRequest",
     "give_up",
     "next_step",
 ]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
@@ -22,25 +22,25 @@
 """How long a host takes an upstream to keep what was sent there: engines drop
 the least recently used parts, and those that nobody sends are old by then."""
 
-TOLD_S = 0.25
+REPORTED_S = 0.25
 """How long news stay in reports: with ten reports a second each peer hears them
 two or three times, so that one that is lost does no harm."""
 
-LEAST_TOLD_TOKENS = 500
+MIN_REPORTED_TOKENS = 500
 """Shorter runs are not worth the bytes: they are read in 10 ms."""
 
-_HOLDERS = 4
+_MAX_HOLDERS = 4
 """Of which one can be reached and is not the one that asks, mostly."""
 
-_MOST_UNTRACKED = 64
+_MAX_UNTRACKED = 64
 """More come up only while no tracker is known."""
 
-_REMEMBERED = 20_000
-_NAMES_KEPT = 20_000
+_MAX_REMEMBERED = 20_000
+_MAX_CACHED_NAMES = 20_000
 
 
 @attrs.frozen
-class Holdings:
+class CacheCoverage:
     """What upstreams lack of the shared parts of one prompt, in tokens.
 
     Attributes:
@@ -51,13 +51,15 @@
         runs: Short names of the runs of shared parts.
     """
 
-    lacks: dict[str, int]
+    missing_tokens: dict[str, int]
     shared: int = 0
-    to_read: int = 0
+    uncached_tokens: int = 0
     holders: tuple[UpstreamEntry, ...] = ()
     runs: tuple[int, ...] = ()
 
-    def home(self, entries: Sequence[UpstreamEntry]) -> UpstreamEntry | None:
+    def preferred_entry(
+        self, entries: Sequence[UpstreamEntry]
+    ) -> UpstreamEntry | None:
         """Returns the one of some upstreams that all hosts prefer."""
         if not self.runs or not entries:
             return None
@@ -67,7 +69,7 @@
     def source(
         self,
         entry: UpstreamEntry,
-        home: UpstreamEntry | None,
+        preferred_entry: UpstreamEntry | None,
         excluded: Collection[str],
     ) -> UpstreamEntry | None:
         """Returns where an upstream can fetch what it lacks; None for nowhere.
@@ -79,13 +81,13 @@
 
         Args:
             entry: The upstream.
-            home: The one that all hosts prefer.
+            preferred_entry: The one that all hosts prefer.
             excluded: Incarnations that can't be reached, as far as this host
                 knows: an upstream that waits for them reads nothing meanwhile.
         """
-        if self.shared < LEAST_TOLD_TOKENS:
+        if self.shared < MIN_REPORTED_TOKENS:
             return None
-        for source in (*self.holders, home):
+        for source in (*self.holders, preferred_entry):
             if source is None or source is entry:
                 continue
             if source.incarnation not in excluded:
@@ -99,9 +101,9 @@
     def __init__(self) -> None:
         """Has sent nothing yet."""
         self._sent: OrderedDict[tuple[int, int], float] = OrderedDict()
-        self._news: deque[tuple[float, HeldRun]] = deque()
+        self._recent: deque[tuple[float, HeldRun]] = deque()
         # Not yet told to the upstreams' trackers.
-        self._untracked: deque[HeldRun] = deque(maxlen=_MOST_UNTRACKED)
+        self._untracked: deque[HeldRun] = deque(maxlen=_MAX_UNTRACKED)
 
     def note(
         self, incarnation: str, prompt: Sequence[PromptPart], now_s: float
@@ -114,22 +116,22 @@
             tokens += part.tokens
             is_new = not self._is_held(held, now_s)
             self._keep(held, now_s)
-            if is_new and tokens >= LEAST_TOLD_TOKENS:
-                self._news.append((now_s, HeldRun(*held)))
+            if is_new and tokens >= MIN_REPORTED_TOKENS:
+                self._recent.append((now_s, HeldRun(*held)))
                 self._untracked.append(HeldRun(*held))
 
     def told(self, now_s: float) -> tuple[HeldRun, ...]:
         """Returns what was sent lately that was not known before."""
-        while self._news and self._news[0][0] < now_s - TOLD_S:
-            self._news.popleft()
-        return tuple(held for _, held in self._news)
+        while self._recent and self._recent[0][0] < now_s - REPORTED_S:
+            self._recent.popleft()
+        return tuple(held for _, held in self._recent)
 
-    def take_untracked(self, upstream: int) -> tuple[HeldRun, ...]:
+    def pop_untracked(self, upstream: int) -> tuple[HeldRun, ...]:
         """Returns what the tracker of an upstream was not told yet, once."""
         found = tuple(h for h in self._untracked if h.upstream == upstream)
         if found:
             rest = (h for h in self._untracked if h.upstream != upstream)
-            self._untracked = deque(rest, maxlen=_MOST_UNTRACKED)
+            self._untracked = deque(rest, maxlen=_MAX_UNTRACKED)
         return found
 
     def take(self, told: Iterable[HeldRun], now_s: float) -> None:
@@ -146,7 +148,7 @@
         entries: Sequence[UpstreamEntry],
         prompt: Sequence[PromptPart],
         now_s: float,
-    ) -> Holdings:
+    ) -> CacheCoverage:
         """Returns what each upstream lacks of the shared parts.
 
         Args:
@@ -156,22 +158,26 @@
         """
         shared = prompt[:-1]
         if not shared:
-            return Holdings({entry.incarnation: 0 for entry in entries})
+            return CacheCoverage({entry.incarnation: 0 for entry in entries})
         runs = _runs(prompt)
-        whole = sum(part.tokens for part in shared)
-        lacks = {}
+        total = sum(part.tokens for part in shared)
+        missing_tokens = {}
         holders: list[UpstreamEntry] = []
-        least = whole
+        least = total
         for entry in entries:
             tokens = self._lacking(entry, shared, runs, now_s)
-            lacks[entry.incarnation] = tokens
+            missing_tokens[entry.incarnation] = tokens
             if tokens < least:
                 least = tokens
                 holders = [entry]
-            elif tokens < whole and tokens == least:
+            elif tokens < total and tokens == least:
                 holders.append(entry)
-        return Holdings(
-            lacks, whole, least, tuple(holders[:_HOLDERS]), tuple(runs)
+        return CacheCoverage(
+            missing_tokens,
+            total,
+            least,
+            tuple(holders[:_MAX_HOLDERS]),
+            tuple(runs),
         )
 
     def _lacking(
@@ -193,7 +199,7 @@
     def _keep(self, held: tuple[int, int], now_s: float) -> None:
         self._sent[held] = now_s
         self._sent.move_to_end(held)
-        while len(self._sent) > _REMEMBERED:
+        while len(self._sent) > _MAX_REMEMBERED:
             self._sent.popitem(last=False)
 
 
@@ -211,7 +217,7 @@
     )
 
 
-_short = functools.lru_cache(maxsize=_NAMES_KEPT)(short_name)
+_short = functools.lru_cache(maxsize=_MAX_CACHED_NAMES)(short_name)
 
 
 def _runs(prompt: Sequence[PromptPart]) -> list[int]:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_events.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_events.py
@@ -10,7 +10,7 @@
 _ID = b"id:"
 
 
-class EventCutter:
+class EventFramer:
     """The part of one stream that is not yet a whole event."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         return self._events
 
     @property
-    def has_torn_event(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether bytes of an event are held that has not ended."""
         return bool(self._rest.strip())
 
@@ -48,11 +48,11 @@
         self._note_ids(whole)
         return whole
 
-    def drop_torn(self) -> None:
+    def drop_partial(self) -> None:
         """Forgets a torn event, before another upstream goes on."""
         self._rest = b""
 
-    def take_rest(self) -> bytes:
+    def flush(self) -> bytes:
         """Returns what is held, at the end of a stream that is complete."""
         rest, self._rest = self._rest, b""
         return rest
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
@@ -23,7 +23,7 @@
 FRESH_S = 1.0
 """Without an event for so long nothing is known of an upstream."""
 
-LEAST_ANSWERS = 5
+MIN_ANSWERS = 5
 """Of a route, before its usual length is known."""
 
 _NEWEST = 0.02
@@ -70,7 +70,7 @@
         """Has seen none."""
         self._paces: dict[str, _Pace] = {}
         # By short names, as trackers have told.
-        self._told: dict[int, _Pace] = {}
+        self._tracked_paces: dict[int, _Pace] = {}
         self._routes: dict[str, _Route] = {}
 
     def note_interval(
@@ -104,7 +104,9 @@
         none at most upstreams.
         """
         for pace in paces:
-            self._told[pace.upstream] = _Pace(pace.interval_ms / 1000, now_s)
+            self._tracked_paces[pace.upstream] = _Pace(
+                pace.interval_ms / 1000, now_s
+            )
 
     def note_request(self, route: str, tokens: int) -> None:
         """Notes how long a caller expects its answer to be."""
@@ -124,7 +126,7 @@
     def forget(self, upstream: str) -> None:
         """Notes that an upstream has left for good."""
         self._paces.pop(upstream, None)
-        self._told.pop(short_name(upstream), None)
+        self._tracked_paces.pop(short_name(upstream), None)
 
     def duration_s(
         self, upstream: str, route: str, now_s: float
@@ -134,16 +136,16 @@
         Returns:
             Seconds; None if too little is known.
         """
-        pace = self._told.get(short_name(upstream))
+        pace = self._tracked_paces.get(short_name(upstream))
         if pace is None or now_s - pace.at_s > FRESH_S:
             pace = self._paces.get(upstream)
         if pace is None or now_s - pace.at_s > FRESH_S:
             return None
         known = self._route(route)
-        if known.whole_intervals.count < LEAST_ANSWERS:
+        if known.whole_intervals.count < MIN_ANSWERS:
             return None
-        longer = known.estimates.value / known.whole_estimates.value
-        return pace.interval_s * known.whole_intervals.value * longer
+        length_ratio = known.estimates.value / known.whole_estimates.value
+        return pace.interval_s * known.whole_intervals.value * length_ratio
 
     def _route(self, name: str) -> _Route:
         return self._routes.setdefault(name, _Route())
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -159,7 +159,7 @@
             entry_of: Returns an upstream that is known, by its incarnation.
             now_s: The time.
         """
-        names = self._loads.take_changed()
+        names = self._loads.pop_changed()
         if now_s - self._renewed_s >= RENEW_S:
             self._renewed_s = now_s
             names |= set(self._loads.busy)
@@ -180,7 +180,7 @@
             held = tuple(
                 held
                 for use in uses
-                for held in self._cached.take_untracked(use.upstream)
+                for held in self._cached.pop_untracked(use.upstream)
             )
             note = LoadNote(
                 self._incarnation,
@@ -206,6 +206,6 @@
         return found.values()
 
     def _believe(self, answer: LoadAnswer, now_s: float) -> None:
-        self._loads.take_tracked(answer.uses, now_s)
+        self._loads.add_tracked(answer.uses, now_s)
         self._forecasts.take(answer.paces, now_s)
         self._cached.take(answer.held, now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -23,13 +23,13 @@
 from hollyknot_state import LaneDemand
 from hollyknot_state.routes import Route, RouteKind, UpstreamEntry
 
-ALIKE_RATIO = 1.4
+TIGHT_GAP_RATIO = 1.4
 """How much longer than the shortest accepted pause another one may be for its
 streams to share upstreams with those. Streams that bear half as much again bear
 an engine that reads prompts all the time, if those prompts are short or wait
 behind theirs; with them gone, the shortest pauses are kept even in a burst."""
 
-TIGHT_USE = 0.6
+TIGHT_UTILISATION = 0.6
 """How busy upstreams of tight streams are to be, as a share of how busy the
 others are: a stream is late by one pause, a long prompt only by its sum."""
 
@@ -37,12 +37,12 @@
 """Over which demand is averaged: shorter than a burst, longer than the gap
 between two long prompts at one host."""
 
-SLOT_USE = 0.6
+SLOT_UTILISATION = 0.6
 """Of a lane's slots, the part that its streams may take on the mean before it
 gets more upstreams: a burst takes some at once, and one stream in the wrong
 lane is late, or makes others late."""
 
-LEAST_LOOSE = 0.4
+MIN_LOOSE_SHARE = 0.4
 """Of the upstreams, the part that loose streams keep where slots are short: it
 is the tight ones that are late as soon as they are beside the others."""
 
@@ -51,33 +51,35 @@
 each change streams with short pauses meet long prompts that still run, and
 sessions are moved."""
 
-_ROUNDED = 0.5
+_ROUNDING_ERROR = 0.5
 """How far a number of upstreams may be from the wanted one, being whole."""
 
-_LEAST_DEMAND = 1.0
+_MIN_DEMAND = 1.0
 """Prompt tokens a second below which nothing can be said of the lanes."""
 
-_SHARE_UNKNOWN = 0.5
+_DEFAULT_LOOSE_SHARE = 0.5
 """The part of loose streams then."""
 
 
-class Tolerance:
+class GapTolerance:
     """From which accepted pause on a route's streams are loose."""
 
     def __init__(self, routes: Iterable[Route], service: str) -> None:
         """Finds the pauses that are much longer than the shortest."""
-        pauses = {
+        targets_s = {
             route.gap_target_s
             for route in routes
             if route.kind is RouteKind.STREAM
             and route.gap_target_s > 0
             and any(share.service == service for share in route.shares)
         }
-        self._from_s = min(pauses, default=math.inf) * ALIKE_RATIO
+        self._loose_from_s = min(targets_s, default=math.inf) * TIGHT_GAP_RATIO
 
     def is_loose(self, route: Route) -> bool:
         """Whether a route's streams bear long pauses."""
-        return not route.gap_target_s or route.gap_target_s >= self._from_s
+        return (
+            not route.gap_target_s or route.gap_target_s >= self._loose_from_s
+        )
 
 
 @attrs.define
@@ -154,10 +156,10 @@
 
     def share_of_loose(self, service: str, now_s: float) -> float:
         """Returns the part of a service's upstreams that loose streams need."""
-        loose = self._at(service, True, now_s)
-        tight = self._at(service, False, now_s) / TIGHT_USE
-        if loose + tight < _LEAST_DEMAND:
-            return _SHARE_UNKNOWN
+        loose = self._tokens_per_s(service, True, now_s)
+        tight = self._tokens_per_s(service, False, now_s) / TIGHT_UTILISATION
+        if loose + tight < _MIN_DEMAND:
+            return _DEFAULT_LOOSE_SHARE
         return loose / (loose + tight)
 
     def streams(self, service: str, *, is_loose: bool) -> float:
@@ -166,7 +168,9 @@
         counted = self._streams[lane] + self._own_streams[lane]
         return counted / self._heard_part
 
-    def _at(self, service: str, is_loose: bool, now_s: float) -> float:
+    def _tokens_per_s(
+        self, service: str, is_loose: bool, now_s: float
+    ) -> float:
         told = self._tokens[service, is_loose]
         return told + self._own_tokens(service, is_loose, now_s)
 
@@ -204,7 +208,7 @@
             return entries
         wanted = self._wanted(service, entries, now_s)
         known = self._loose_count.get(service)
-        if known is None or abs(wanted - known) > _ROUNDED + HYSTERESIS:
+        if known is None or abs(wanted - known) > _ROUNDING_ERROR + HYSTERESIS:
             known = round(wanted)
         known = min(max(known, 1), count - 1)
         self._loose_count[service] = known
@@ -215,11 +219,13 @@
     ) -> float:
         """Returns how many upstreams loose streams are to have."""
         count = len(entries)
-        by_reading = count * self._demand.share_of_loose(service, now_s)
-        used_slots = SLOT_USE * sum(entry.slots for entry in entries) / count
+        by_prefill = count * self._demand.share_of_loose(service, now_s)
+        used_slots = (
+            SLOT_UTILISATION * sum(entry.slots for entry in entries) / count
+        )
         loose = self._demand.streams(service, is_loose=True) / used_slots
         tight = self._demand.streams(service, is_loose=False) / used_slots
         if loose + tight > count:
             # The tight ones first: loose streams wait, or are refused.
-            return max(count - tight, count * LEAST_LOOSE)
-        return min(max(by_reading, loose), count - tight)
+            return max(count - tight, count * MIN_LOOSE_SHARE)
+        return min(max(by_prefill, loose), count - tight)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
@@ -12,17 +12,17 @@
 URGENCIES = LEAST_URGENT + 1
 """How many urgencies there are: 0, the first, to the least urgent."""
 
-_MOST_TOLD = 255
+_MAX_COUNT = 255
 """What fits into a byte; no upstream has as many slots for one host."""
 
 TRACKED_S = 0.03
 """How long a tracker's answer goes before reports: work changes within tens of
 milliseconds, and a round trip takes some."""
 
-_MOST_TRACKED = 500
+_MAX_TRACKED = 500
 """Answers that are kept before those that no longer count are dropped."""
 
-_NONE_AT_ANY = (0,) * URGENCIES
+_NO_COUNTS = (0,) * URGENCIES
 
 
 @attrs.frozen
@@ -36,10 +36,10 @@
         urgencies: All of these at each urgency.
     """
 
-    tokens: tuple[int, ...] = _NONE_AT_ANY
+    tokens: tuple[int, ...] = _NO_COUNTS
     waiting: int = 0
     running: int = 0
-    urgencies: tuple[int, ...] = _NONE_AT_ANY
+    urgencies: tuple[int, ...] = _NO_COUNTS
 
     @property
     def waiting_tokens(self) -> int:
@@ -51,7 +51,7 @@
         """All that is in flight."""
         return self.waiting + self.running
 
-    def ahead_of(self, urgency: int) -> int:
+    def requests_ahead_of(self, urgency: int) -> int:
         """Returns how many requests an upstream does not put back for one."""
         return sum(self.urgencies[: urgency + 1])
 
@@ -63,7 +63,7 @@
         """Returns the prompt tokens that it reads in before those of one."""
         return sum(self.tokens[: urgency + 1])
 
-    def tokens_being_read(self, urgency: int) -> int:
+    def tokens_in_prefill(self, urgency: int) -> int:
         """Returns what is left, on average, of a less urgent prompt in work.
 
         An engine puts less urgent prompts back, but for the one that it has
@@ -86,7 +86,7 @@
     return tuple(map(operator.add, some, others))
 
 
-_NONE = Load()
+_NO_LOAD = Load()
 
 
 def _zeros() -> list[int]:
@@ -94,7 +94,7 @@
 
 
 @attrs.define
-class _Own:
+class _OwnLoad:
     waiting: int = 0
     running: int = 0
     tokens: list[int] = attrs.Factory(_zeros)
@@ -119,7 +119,7 @@
 
     def __init__(self) -> None:
         """Starts with none."""
-        self._own: dict[str, _Own] = {}
+        self._own: dict[str, _OwnLoad] = {}
         self._peers: dict[int, Load] = {}
         self._tracked: dict[int, tuple[Load, float]] = {}
         self._changed: set[str] = set()
@@ -127,7 +127,7 @@
 
     def begin(self, upstream: str, tokens: int, urgency: int) -> None:
         """Notes that a request was sent."""
-        own = self._own.setdefault(upstream, _Own())
+        own = self._own.setdefault(upstream, _OwnLoad())
         own.waiting += 1
         own.tokens[urgency] += tokens
         own.urgencies[urgency] += 1
@@ -156,7 +156,7 @@
             del self._own[upstream]
         self._note_change(upstream)
 
-    def take_changed(self) -> set[str]:
+    def pop_changed(self) -> set[str]:
         """Returns where own work has changed since this was last asked."""
         changed, self._changed = self._changed, set()
         return changed
@@ -165,30 +165,30 @@
         self._changed.add(upstream)
         self.on_change()
 
-    def take_reports(self, reports: Iterable[HostReport]) -> None:
+    def replace_reports(self, reports: Iterable[HostReport]) -> None:
         """Replaces what peers told before."""
         sums: dict[int, Load] = {}
         for report in reports:
             for use in report.uses:
-                known = sums.get(use.upstream, _NONE)
-                sums[use.upstream] = known + _told(use)
+                known = sums.get(use.upstream, _NO_LOAD)
+                sums[use.upstream] = known + _load_of(use)
         self._peers = sums
 
-    def take_tracked(self, uses: Iterable[UpstreamUse], now_s: float) -> None:
+    def add_tracked(self, uses: Iterable[UpstreamUse], now_s: float) -> None:
         """Takes what trackers have answered: others' work at this moment.
 
         It goes before what peers have reported, and is kept for a short while:
         several requests that arrive together ask for the same upstreams.
         """
         newest_s = now_s - TRACKED_S
-        if len(self._tracked) > _MOST_TRACKED:
+        if len(self._tracked) > _MAX_TRACKED:
             self._tracked = {
                 name: kept
                 for name, kept in self._tracked.items()
                 if kept[1] >= newest_s
             }
         for use in uses:
-            self._tracked[use.upstream] = (_told(use), now_s)
+            self._tracked[use.upstream] = (_load_of(use), now_s)
 
     def at(self, upstream: str, now_s: float = math.inf) -> Load:
         """Returns the work in flight at an upstream.
@@ -198,7 +198,7 @@
             now_s: The time; without it, what trackers answered is left out.
         """
         short = short_name(upstream)
-        peers = self._peers.get(short, _NONE)
+        peers = self._peers.get(short, _NO_LOAD)
         tracked = self._tracked.get(short)
         if tracked is not None and now_s - tracked[1] <= TRACKED_S:
             peers = tracked[0]
@@ -208,11 +208,11 @@
     def use_of(self, upstream: str) -> UpstreamUse:
         """Returns a host's own work at an upstream, for its tracker."""
         own = self._own.get(upstream)
-        return _use(upstream, own if own is not None else _Own())
+        return _own_use(upstream, own if own is not None else _OwnLoad())
 
     def uses(self) -> tuple[UpstreamUse, ...]:
         """Returns a host's own work, for its report."""
-        return tuple(_use(name, own) for name, own in self._own.items())
+        return tuple(_own_use(name, own) for name, own in self._own.items())
 
     @property
     def busy(self) -> list[str]:
@@ -251,20 +251,20 @@
 
 def summed_use(upstream: int, uses: Iterable[UpstreamUse]) -> UpstreamUse:
     """Returns the work of several hosts at one upstream."""
-    total = sum((_told(use) for use in uses), _NONE)
+    total = sum((_load_of(use) for use in uses), _NO_LOAD)
     return UpstreamUse(
         upstream,
-        _without_end(total.tokens),
+        _without_trailing_zeros(total.tokens),
         total.waiting,
         total.running,
         _counts(total.urgencies),
     )
 
 
-def _use(name: str, own: _Own) -> UpstreamUse:
+def _own_use(name: str, own: _OwnLoad) -> UpstreamUse:
     return UpstreamUse(
         short_name(name),
-        _without_end(own.tokens),
+        _without_trailing_zeros(own.tokens),
         own.waiting,
         own.running,
         _counts(own.urgencies),
@@ -272,16 +272,16 @@
 
 
 def _counts(urgencies: Sequence[int]) -> bytes:
-    return bytes(min(n, _MOST_TOLD) for n in _without_end(urgencies))
+    return bytes(min(n, _MAX_COUNT) for n in _without_trailing_zeros(urgencies))
 
 
-def _without_end(counts: Sequence[int]) -> tuple[int, ...]:
+def _without_trailing_zeros(counts: Sequence[int]) -> tuple[int, ...]:
     """Returns counts without the zeros at their end."""
     last = max((i for i, count in enumerate(counts) if count), default=-1)
     return tuple(counts[: last + 1])
 
 
-def _told(use: UpstreamUse) -> Load:
+def _load_of(use: UpstreamUse) -> Load:
     return Load(
         _padded(use.waiting_tokens),
         use.waiting,
@@ -291,4 +291,4 @@
 
 
 def _padded(counts: tuple[int, ...]) -> tuple[int, ...]:
-    return (counts + _NONE_AT_ANY)[:URGENCIES]
+    return (counts + _NO_COUNTS)[:URGENCIES]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
@@ -7,9 +7,9 @@
 import attrs
 
 from hollyknot_coordination.forwarding._cached_parts import (
-    LEAST_TOLD_TOKENS,
+    MIN_REPORTED_TOKENS,
+    CacheCoverage,
     CachedParts,
-    Holdings,
     preferred,
     runs_of,
 )
@@ -17,44 +17,44 @@
 from hollyknot_coordination.forwarding._loads import Loads
 from hollyknot_state.routes import CallTraits, Service, UpstreamEntry
 
-REREAD_WEIGHT = 1.0
+MISSING_TOKEN_WEIGHT = 1.0
 """What a token costs that an upstream lacks although another one has it cached,
 beside the time to read it: an upstream has to be busier by this many tokens
 before a session is moved. Mostly what lacks is fetched, but it then takes
 memory at both."""
 
-RUNNING_TOKENS = 100
+RUNNING_STREAM_TOKENS = 100
 """What a running stream counts, in tokens to be read in: each makes each step
 of its engine a little longer."""
 
-TIGHT_SPILL_TOKENS = 5_000
+TIGHT_OVERFLOW_TOKENS = 5_000
 """How much more work the lane of tight streams has to have before one goes to
 the other lane: that of 50 more running streams. Where a lane of few upstreams
 fills its slots, streams put each other back and pause for longer than beside a
 prompt."""
 
-LOOSE_SPILL_TOKENS = 200_000
+LOOSE_OVERFLOW_TOKENS = 200_000
 """The same for loose streams. Each of their long prompts makes most streams
 late that it is put beside, so that they wait for seconds rather."""
 
-FULL_TOKENS = 40_000
+QUEUED_REQUEST_TOKENS = 40_000
 """What each request beyond an upstream's slots counts: it waits for another
 one to end. Less urgent ones do not count, since they are put back for it."""
 
 
-CONNECT_TOKENS = 200
+NEW_CONNECTION_TOKENS = 200
 """What a connection that is to be made first counts: an engine reads so many
 tokens in a round trip or two."""
 
-ASKED = 3
+OWN_LANE_SHORTLIST = 3
 """Upstreams of a request's lane whose trackers are asked before it is placed:
 the least busy of a few is nearly as good as that of all."""
 
-ASKED_BESIDE = 1
+OTHER_LANE_SHORTLIST = 1
 """The same of the other lane, where the request goes if its own is full."""
 
 
-class NoPlace(enum.Enum):
+class NoUpstream(enum.Enum):
     """No upstream can take a request."""
 
     NONE_KNOWN = "no-upstream"
@@ -83,7 +83,7 @@
 
 
 @attrs.define
-class Work:
+class PlacedRequest:
     """One request at one upstream.
 
     Attributes:
@@ -102,13 +102,13 @@
 
 
 @attrs.frozen
-class _Offer:
+class _CostedChoice:
     cost: float
     choice: Choice
 
 
 @attrs.frozen
-class _Asked:
+class _PlacementRequest:
     """A request that looks for a place at an engine."""
 
     call: CallTraits
@@ -161,7 +161,7 @@
         urgency: int,
         among: Collection[str] = (),
         limited: Collection[str] = (),
-    ) -> Choice | NoPlace:
+    ) -> Choice | NoUpstream:
         """Returns where a request is to go.
 
         Args:
@@ -179,15 +179,17 @@
                 both lanes and to the size of neither.
         """
         if service.engine is None or not call.prompt or not candidates:
-            return self._least_busy(candidates, excluded, among, now_s)
-        asked = _Asked(call, excluded, now_s, urgency, limited)
+            return self._choose_plain(candidates, excluded, among, now_s)
+        request = _PlacementRequest(call, excluded, now_s, urgency, limited)
         if among:
             others = frozenset(c.incarnation for c in candidates) - set(among)
-            narrow = attrs.evolve(asked, excluded=excluded | others)
-            found = self._engine(service.name, candidates, narrow, is_loose)
+            narrow = attrs.evolve(request, excluded=excluded | others)
+            found = self._choose_engine(
+                service.name, candidates, narrow, is_loose
+            )
             if isinstance(found, Choice):
                 return found
-        return self._engine(service.name, candidates, asked, is_loose)
+        return self._choose_engine(service.name, candidates, request, is_loose)
 
     def shortlist(
         self,
@@ -219,9 +221,14 @@
         """
         if service.engine is None or not call.prompt:
             usable = [c for c in candidates if c.incarnation not in excluded]
-            return self._rng.sample(usable, min(ASKED, len(usable)))
+            return self._rng.sample(
+                usable, min(OWN_LANE_SHORTLIST, len(usable))
+            )
         found: list[UpstreamEntry] = []
-        for loose, count in ((is_loose, ASKED), (not is_loose, ASKED_BESIDE)):
+        for loose, count in (
+            (is_loose, OWN_LANE_SHORTLIST),
+            (not is_loose, OTHER_LANE_SHORTLIST),
+        ):
             entries = [
                 entry
                 for entry in self._lane(
@@ -229,20 +236,20 @@
                 )
                 if entry.incarnation not in excluded and entry not in found
             ]
-            found += self._few(entries, call, count)
+            found += self._select(entries, call, count)
         return found
 
-    def _few(
+    def _select(
         self, entries: list[UpstreamEntry], call: CallTraits, count: int
     ) -> list[UpstreamEntry]:
         if len(entries) <= count:
             return entries
         shared = sum(part.tokens for part in call.prompt[:-1])
-        if shared < LEAST_TOLD_TOKENS:
-            return self._spread(entries, count)
+        if shared < MIN_REPORTED_TOKENS:
+            return self._sample(entries, count)
         return preferred(entries, runs_of(call.prompt)[-1], count)
 
-    def _spread(
+    def _sample(
         self, entries: list[UpstreamEntry], count: int
     ) -> list[UpstreamEntry]:
         """Returns some by chance: most with a kept connection, one of all.
@@ -264,25 +271,25 @@
         *,
         is_loose: bool,
         urgency: int,
-    ) -> Work:
+    ) -> PlacedRequest:
         """Notes that a request was sent."""
         incarnation = choice.entry.incarnation
         if choice.tokens:
             self._demand.begin(
                 choice.entry.service, choice.tokens, now_s, is_loose=is_loose
             )
-        work = Work(choice.entry, choice.tokens, urgency, is_loose)
+        work = PlacedRequest(choice.entry, choice.tokens, urgency, is_loose)
         self._loads.begin(incarnation, work.tokens, urgency)
         self._cached.note(incarnation, call.prompt, now_s)
         return work
 
-    def start(self, work: Work) -> None:
+    def start(self, work: PlacedRequest) -> None:
         """Notes that its first event is out."""
         if not work.has_started:
             work.has_started = True
             self._loads.start(work.entry.incarnation, work.tokens, work.urgency)
 
-    def end(self, work: Work) -> None:
+    def end(self, work: PlacedRequest) -> None:
         """Notes that it has ended."""
         entry = work.entry
         self._loads.end(
@@ -294,29 +301,29 @@
         if work.tokens:
             self._demand.end(entry.service, is_loose=work.is_loose)
 
-    def _least_busy(
+    def _choose_plain(
         self,
         candidates: Sequence[UpstreamEntry],
         excluded: frozenset[str],
         among: Collection[str],
         now_s: float,
-    ) -> Choice | NoPlace:
+    ) -> Choice | NoUpstream:
         open_ones = [c for c in candidates if c.incarnation not in excluded]
         if not open_ones:
-            return NoPlace.NONE_KNOWN
-        asked = [c for c in open_ones if c.incarnation in among]
+            return NoUpstream.NONE_KNOWN
+        request = [c for c in open_ones if c.incarnation in among]
         free = [
             c
-            for c in asked
+            for c in request
             if self._loads.at(c.incarnation, now_s).requests < c.slots
         ]
         open_ones = free or open_ones
 
         def cost(entry: UpstreamEntry) -> tuple[float, bool, float]:
             load = self._loads.at(entry.incarnation, now_s)
-            is_far = entry.data_centre != self._data_centre
+            is_remote = entry.data_centre != self._data_centre
             busy = load.requests / max(1, entry.slots)
-            return busy, is_far, self._rng.random()
+            return busy, is_remote, self._rng.random()
 
         best = min(open_ones, key=cost)
         return Choice(best, 0, self._loads.at(best.incarnation, now_s).requests)
@@ -338,72 +345,80 @@
         if not limited:
             return self._lanes.of(service, candidates, now_s, is_loose=is_loose)
         free = [c for c in candidates if c.incarnation not in limited]
-        few = [c for c in candidates if c.incarnation in limited]
+        limited_entries = [c for c in candidates if c.incarnation in limited]
         if not free:
-            return few
+            return limited_entries
         lane = self._lanes.of(service, free, now_s, is_loose=is_loose)
-        return [*lane, *few]
+        return [*lane, *limited_entries]
 
-    def _engine(
+    def _choose_engine(
         self,
         service: str,
         candidates: Sequence[UpstreamEntry],
-        asked: _Asked,
+        request: _PlacementRequest,
         is_loose: bool,
-    ) -> Choice | NoPlace:
-        holdings = self._cached.missing(
-            candidates, asked.call.prompt, asked.now_s
+    ) -> Choice | NoUpstream:
+        coverage = self._cached.missing(
+            candidates, request.call.prompt, request.now_s
         )
 
-        def cheapest(is_loose: bool) -> _Offer | None:
+        def cheapest(is_loose: bool) -> _CostedChoice | None:
             entries = self._lane(
                 service,
                 candidates,
-                asked.limited,
-                asked.now_s,
+                request.limited,
+                request.now_s,
                 is_loose=is_loose,
             )
-            return self._cheapest(entries, asked, holdings)
+            return self._cheapest(entries, request, coverage)
 
         own = cheapest(is_loose)
         other = cheapest(not is_loose)
         if own is None or other is None:
             found = own or other
-            return found.choice if found is not None else NoPlace.NONE_KNOWN
-        spill = LOOSE_SPILL_TOKENS if is_loose else TIGHT_SPILL_TOKENS
-        return other.choice if own.cost > other.cost + spill else own.choice
+            return found.choice if found is not None else NoUpstream.NONE_KNOWN
+        overflow = LOOSE_OVERFLOW_TOKENS if is_loose else TIGHT_OVERFLOW_TOKENS
+        return other.choice if own.cost > other.cost + overflow else own.choice
 
     def _cheapest(
         self,
         entries: Sequence[UpstreamEntry],
-        asked: _Asked,
-        holdings: Holdings,
-    ) -> _Offer | None:
-        last = asked.call.prompt[-1].tokens
-        home = holdings.home(entries)
-        best: _Offer | None = None
+        request: _PlacementRequest,
+        coverage: CacheCoverage,
+    ) -> _CostedChoice | None:
+        last = request.call.prompt[-1].tokens
+        preferred_entry = coverage.preferred_entry(entries)
+        best: _CostedChoice | None = None
         for entry in entries:
-            if entry.incarnation in asked.excluded:
+            if entry.incarnation in request.excluded:
                 continue
-            lacks = 0 if entry is home else holdings.lacks[entry.incarnation]
-            tokens = last + min(lacks, holdings.to_read)
-            ahead = self._busy(entry, asked.urgency, asked.now_s)
-            cost = tokens + ahead + lacks * REREAD_WEIGHT
+            missing_tokens = (
+                0
+                if entry is preferred_entry
+                else coverage.missing_tokens[entry.incarnation]
+            )
+            tokens = last + min(missing_tokens, coverage.uncached_tokens)
+            ahead = self._load_cost(entry, request.urgency, request.now_s)
+            cost = tokens + ahead + missing_tokens * MISSING_TOKEN_WEIGHT
             if not self._is_connected(entry.incarnation):
-                cost += CONNECT_TOKENS
+                cost += NEW_CONNECTION_TOKENS
             if best is None or cost < best.cost:
-                source = holdings.source(entry, home, asked.excluded)
-                best = _Offer(cost, Choice(entry, tokens, ahead, source))
+                source = coverage.source(
+                    entry, preferred_entry, request.excluded
+                )
+                best = _CostedChoice(cost, Choice(entry, tokens, ahead, source))
         return best
 
-    def _busy(self, entry: UpstreamEntry, urgency: int, now_s: float) -> int:
+    def _load_cost(
+        self, entry: UpstreamEntry, urgency: int, now_s: float
+    ) -> int:
         """Returns what is in flight at an upstream, in tokens.
 
         Less urgent prompts that wait there are read in later, but for one.
         """
         load = self._loads.at(entry.incarnation, now_s)
-        beyond = load.ahead_of(urgency) + 1 - entry.slots
-        full = max(0, beyond) * FULL_TOKENS
-        running = load.running * RUNNING_TOKENS
-        reading = load.tokens_being_read(urgency)
-        return load.tokens_ahead_of(urgency) + reading + running + full
+        beyond = load.requests_ahead_of(urgency) + 1 - entry.slots
+        full = max(0, beyond) * QUEUED_REQUEST_TOKENS
+        running = load.running * RUNNING_STREAM_TOKENS
+        prefilling = load.tokens_in_prefill(urgency)
+        return load.tokens_ahead_of(urgency) + prefilling + running + full
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from hollyknot_coordination.forwarding._lanes import Tolerance
+from hollyknot_coordination.forwarding._lanes import GapTolerance
 from hollyknot_state import TIERS
 from hollyknot_state.routes import KeyOwner, Route, RouteTable
 
@@ -43,7 +43,7 @@
         self._has_room_for_owners = all(
             0 <= route.priority < len(TIERS) for route in table.routes
         )
-        self._tolerances: dict[str, Tolerance] = {}
+        self._tolerances: dict[str, GapTolerance] = {}
         self._sheds_from: dict[str, int] = {}
         for route in table.routes:
             prefixes = self._by_host.setdefault(route.host.lower(), {})
@@ -79,7 +79,7 @@
         """Whether a route's streams bear longer pauses than most."""
         tolerance = self._tolerances.get(service)
         if tolerance is None:
-            tolerance = Tolerance(self._table.routes, service)
+            tolerance = GapTolerance(self._table.routes, service)
             self._tolerances[service] = tolerance
         return tolerance.is_loose(route)
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
@@ -22,16 +22,16 @@
 from hollyknot_coordination.forwarding._loads import Loads
 from hollyknot_state.routes import UpstreamEntry
 
-BEHIND_SHARE = 0.6
+BACKLOG_SHARE = 0.6
 """Of all slots, the part in flight from which the least urgent are refused
 where prompts pile up."""
 
-FULL_SHARE = 0.75
+NO_BACKLOG_SHARE = 0.75
 """The same where they don't: engines with few slots fill them on any day, and
 are as fast then. The rest is for more urgent ones, which would else put back
 others that are then read in again."""
 
-PILED_TOKENS = 10_000
+BACKLOG_TOKENS = 10_000
 """Prompt tokens that wait at an upstream, on the mean, from which they pile up:
 the prompts of one or two long requests, which one engine reads in a sixth of a
 second. More means that reading, and not slots, is short."""
@@ -39,7 +39,7 @@
 ADMITTED_SHARE = 0.1
 """Of the least urgent, what is admitted all the same, so that none starves."""
 
-SMALL_SHARE = 0.02
+MIN_SHED_SHARE = 0.02
 """Of all slots, what the least urgent may hold in any case: refusing a route
 that holds less would help nobody."""
 
@@ -50,7 +50,7 @@
 up to which ever more of them. Lengths vary, so that at 0.6 some would time out
 and at 1.2 some would not."""
 
-COME_BACK_S = 3.0
+SHED_RETRY_AFTER_S = 3.0
 """When a refused caller is told to come back, on the mean: bursts last a few
 seconds, and streams that run take about as long to end."""
 
@@ -70,7 +70,7 @@
         slots: What the upstreams can run at once.
     """
 
-    taken: int
+    in_flight: int
     slots: int
 
 
@@ -112,16 +112,16 @@
         """
         loads = [self._loads.at(e.incarnation, now_s) for e in entries]
         slots = sum(entry.slots for entry in entries)
-        taken = sum(load.requests for load in loads)
+        in_flight = sum(load.requests for load in loads)
         waiting = sum(load.waiting_tokens for load in loads)
-        are_behind = waiting >= PILED_TOKENS * len(loads)
-        share = BEHIND_SHARE if are_behind else FULL_SHARE
+        has_backlog = waiting >= BACKLOG_TOKENS * len(loads)
+        share = BACKLOG_SHARE if has_backlog else NO_BACKLOG_SHARE
         least_urgent = sum(load.behind(sheds_from) for load in loads)
-        if taken < share * slots or least_urgent <= SMALL_SHARE * slots:
+        if in_flight < share * slots or least_urgent <= MIN_SHED_SHARE * slots:
             return Admission.ADMITTED
         if self._rng.random() < ADMITTED_SHARE:
             return Admission.ADMITTED
-        return Shed(taken, slots)
+        return Shed(in_flight, slots)
 
     def decide_by_time(
         self, needed_s: float, left_s: float
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_steps.py
@@ -5,7 +5,7 @@
 from hollyknot_state import Outcome, Reason, Verdict
 from hollyknot_state.routes import Route
 
-_LEAST_TIME_S = 0.05
+_MIN_LEFT_S = 0.05
 """A retry with less time left is answered by its timeout anyway."""
 
 _REFUSED = 503
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Again:
+class TryAnother:
     """Send the request to another upstream.
 
     Attributes:
@@ -57,12 +57,12 @@
 
     status: int
     verdict: Verdict
-    is_unpaid: bool = False
+    is_budget_spent: bool = False
 
 
 def next_step(
     route: Route, verdict: Verdict, state: TryState
-) -> Again | GiveUp:
+) -> TryAnother | GiveUp:
     """Decides what follows a try without an answer for the caller.
 
     Args:
@@ -71,15 +71,15 @@
         state: Of the whole request, the last try included.
     """
     is_safe = not state.may_have_run or route.is_repeatable
-    has_time = state.left_s > _LEAST_TIME_S
+    has_time = state.left_s > _MIN_LEFT_S
     # A request that never reached an upstream has used up no attempt.
     is_allowed = state.sent < route.max_attempts
     is_retry = state.sent > 0
-    is_paid = not is_retry or state.budget_left >= 1.0
+    has_budget = not is_retry or state.budget_left >= 1.0
     may_follow = is_safe and has_time and is_allowed and state.candidates > 0
-    if may_follow and is_paid:
-        return Again(is_retry)
-    return attrs.evolve(give_up(verdict, state), is_unpaid=may_follow)
+    if may_follow and has_budget:
+        return TryAnother(is_retry)
+    return attrs.evolve(give_up(verdict, state), is_budget_spent=may_follow)
 
 
 def give_up(verdict: Verdict, state: TryState) -> GiveUp:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
@@ -3,8 +3,8 @@
 from hollyknot_coordination.forwarding import CachedParts
 from hollyknot_coordination.forwarding._cached_parts import (
     REMEMBERED_S,
-    TOLD_S,
-    Holdings,
+    REPORTED_S,
+    CacheCoverage,
 )
 from hollyknot_coordination.forwarding.tests._builders import call, upstream
 
@@ -12,7 +12,7 @@
 PROMPT = call(("sys", 600), ("session", 4000), ("own", 50)).prompt
 
 
-def _of(cached: CachedParts, now_s: float = 0.0) -> Holdings:
+def _of(cached: CachedParts, now_s: float = 0.0) -> CacheCoverage:
     return cached.missing(POOL, PROMPT, now_s)
 
 
@@ -27,29 +27,29 @@
         prefer was taken to have them.
         """
         found = _of(CachedParts())
-        assert found.to_read == 4600
+        assert found.uncached_tokens == 4600
         assert found.holders == ()
-        assert set(found.lacks.values()) == {4600}
+        assert set(found.missing_tokens.values()) == {4600}
 
     def test_a_host_knows_where_it_sent_what(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         found = _of(cached, 1.0)
-        assert found.lacks == {"a": 4600, "b": 0, "c": 4600, "d": 4600}
-        assert found.to_read == 0
+        assert found.missing_tokens == {"a": 4600, "b": 0, "c": 4600, "d": 4600}
+        assert found.uncached_tokens == 0
         assert [entry.name for entry in found.holders] == ["b"]
 
     def test_a_part_that_sessions_share_counts_alone(self) -> None:
         cached = CachedParts()
         other = call(("sys", 600), ("another", 900), ("own", 9)).prompt
         cached.note("c", other, 0.0)
-        assert _of(cached, 1.0).lacks["c"] == 4000
-        assert _of(cached, 1.0).to_read == 4000
+        assert _of(cached, 1.0).missing_tokens["c"] == 4000
+        assert _of(cached, 1.0).uncached_tokens == 4000
 
     def test_it_is_forgotten(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
-        assert _of(cached, REMEMBERED_S + 0.1).lacks["b"] == 4600
+        assert _of(cached, REMEMBERED_S + 0.1).missing_tokens["b"] == 4600
 
     def test_peers_learn_it_once(self) -> None:
         one, other = CachedParts(), CachedParts()
@@ -57,7 +57,7 @@
         told = one.told(0.1)
         assert len(told) == 2
         other.take(told, 0.1)
-        assert _of(other, 0.2).lacks["b"] == 0
+        assert _of(other, 0.2).missing_tokens["b"] == 0
         # What all know is not told again, by either.
         one.note("b", PROMPT, 1.0)
         other.note("b", PROMPT, 1.0)
@@ -66,7 +66,7 @@
     def test_news_are_told_for_a_moment_only(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
-        assert cached.told(TOLD_S + 0.01) == ()
+        assert cached.told(REPORTED_S + 0.01) == ()
 
     def test_short_parts_are_not_told(self) -> None:
         cached = CachedParts()
@@ -104,9 +104,9 @@
 
     def test_unknown_parts_are_asked_for_at_the_preferred_one(self) -> None:
         found = _of(CachedParts())
-        home = found.home(POOL)
-        other = next(entry for entry in POOL if entry is not home)
-        assert found.source(other, home, ()) is home
+        preferred_entry = found.preferred_entry(POOL)
+        other = next(entry for entry in POOL if entry is not preferred_entry)
+        assert found.source(other, preferred_entry, ()) is preferred_entry
 
     def test_short_parts_are_not_worth_a_fetch(self) -> None:
         prompt = call(("s", 100), ("own", 9)).prompt
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_events.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_events.py
@@ -2,29 +2,29 @@
 
 import pytest
 
-from hollyknot_coordination.forwarding import EventCutter
+from hollyknot_coordination.forwarding import EventFramer
 
 
-class TestEventCutter:
+class TestEventFramer:
     """Bytes in, whole events out."""
 
     def test_holds_a_torn_event_back(self) -> None:
-        cutter = EventCutter()
+        cutter = EventFramer()
         assert cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == (
             b"id: 1\ndata: a\n\n"
         )
         assert cutter.last_id == "1"
-        assert cutter.has_torn_event
+        assert cutter.has_partial_event
 
     def test_joins_parts_of_one_event(self) -> None:
-        cutter = EventCutter()
+        cutter = EventFramer()
         assert cutter.feed(b"id: 7\n") == b""
         assert cutter.feed(b"data: a\n\n") == b"id: 7\ndata: a\n\n"
-        assert not cutter.has_torn_event
+        assert not cutter.has_partial_event
 
     @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
     def test_knows_each_line_end(self, end: bytes) -> None:
-        cutter = EventCutter()
+        cutter = EventFramer()
         assert cutter.feed(b"data: a" + end + b"data") == b"data: a" + end
 
     def test_torn_event_is_not_joined_to_the_next_upstreams(self) -> None:
@@ -34,9 +34,9 @@
         another one. Cause: the torn event was kept and put before the first
         bytes of the other upstream.
         """
-        cutter = EventCutter()
+        cutter = EventFramer()
         cutter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: to")
-        cutter.drop_torn()
+        cutter.drop_partial()
         assert cutter.feed(b"id: 2\ndata: torn\n\n") == (
             b"id: 2\ndata: torn\n\n"
         )
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
@@ -5,14 +5,14 @@
 from hollyknot_coordination.forwarding import Forecasts
 from hollyknot_coordination.forwarding._forecasts import (
     FRESH_S,
-    LEAST_ANSWERS,
+    MIN_ANSWERS,
 )
 
 
 def _known(intervals: int = 10, tokens: int = 50) -> Forecasts:
     """Returns forecasts that know a route's usual answer."""
     forecasts = Forecasts()
-    for _ in range(LEAST_ANSWERS):
+    for _ in range(MIN_ANSWERS):
         forecasts.note_request("r", tokens)
         forecasts.note_answer("r", tokens, intervals)
     return forecasts
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -141,9 +141,12 @@
         fleet.tell(sender)
         fleet.ask(asker, list(ENGINES.values()))
         missing = asker.cached.missing(list(ENGINES.values()), PROMPT, 0.0)
-        assert missing.lacks["i-0"] == 0
+        assert missing.missing_tokens["i-0"] == 0
         assert missing.holders == (ENGINE,)
-        assert next(iter(asker.forecasts._told.values())).interval_s == 0.075
+        assert (
+            next(iter(asker.forecasts._tracked_paces.values())).interval_s
+            == 0.075
+        )
 
 
 class TestFailures:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -14,7 +14,7 @@
         assert loads.at("i-1").waiting_tokens == 500
         loads.start("i-1", 500, 2)
         assert loads.at("i-1").running == 1
-        assert loads.at("i-1").ahead_of(2) == 1
+        assert loads.at("i-1").requests_ahead_of(2) == 1
         loads.end("i-1", 500, 2, has_started=True)
         assert loads.at("i-1") == Load()
         assert loads.uses() == ()
@@ -24,10 +24,10 @@
         own.begin("i-1", 100, 0)
         peer.begin("i-1", 300, 0)
         peer.begin("i-1", 400, 7)
-        own.take_reports([report("b", uses=peer.uses())])
+        own.replace_reports([report("b", uses=peer.uses())])
         load = own.at("i-1")
         assert (load.waiting_tokens, load.requests) == (800, 3)
-        assert [load.ahead_of(u) for u in (0, 6, 7, 9)] == [2, 2, 3, 3]
+        assert [load.requests_ahead_of(u) for u in (0, 6, 7, 9)] == [2, 2, 3, 3]
         told = [load.tokens_ahead_of(u) for u in (0, 6, 7)]
         assert told == [400, 400, 800]
 
@@ -36,13 +36,13 @@
         for tokens in (8000, 2000):
             loads.begin("i-1", tokens, 7)
         load = loads.at("i-1")
-        assert [load.tokens_being_read(u) for u in (0, 6, 7)] == [2500, 2500, 0]
+        assert [load.tokens_in_prefill(u) for u in (0, 6, 7)] == [2500, 2500, 0]
 
     def test_a_peer_that_is_silent_no_longer_counts(self) -> None:
         own, peer = Loads(), Loads()
         peer.begin("i-1", 300, 0)
-        own.take_reports([report("b", uses=peer.uses())])
-        own.take_reports([])
+        own.replace_reports([report("b", uses=peer.uses())])
+        own.replace_reports([])
         assert own.at("i-1") == Load()
 
     def test_more_than_a_byte_holds(self) -> None:
@@ -70,11 +70,11 @@
         peer.start("i-1", 900, 1)
         waiting = tuple(use for use in peer.uses() if use.waiting)
         merged = merged_uses(before, waiting)
-        own.take_reports([report("b", uses=merged)])
+        own.replace_reports([report("b", uses=merged)])
         first, second = own.at("i-1"), own.at("i-2")
         assert (first.waiting_tokens, first.running) == (0, 1)
         assert (second.waiting_tokens, second.waiting) == (500, 1)
-        assert first.ahead_of(1) == 1
+        assert first.requests_ahead_of(1) == 1
 
     def test_an_upstream_that_gets_its_first_prompt_is_added(self) -> None:
         peer = Loads()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
@@ -9,7 +9,7 @@
     Choice,
     Demand,
     Loads,
-    NoPlace,
+    NoUpstream,
     Placement,
 )
 from hollyknot_coordination.forwarding.tests._builders import (
@@ -203,7 +203,7 @@
             is_loose=True,
             urgency=0,
         )
-        assert found is NoPlace.NONE_KNOWN
+        assert found is NoUpstream.NONE_KNOWN
 
 
 class TestPlainServices:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
@@ -12,7 +12,10 @@
     Loads,
     Placement,
 )
-from hollyknot_coordination.forwarding._placement import ASKED, ASKED_BESIDE
+from hollyknot_coordination.forwarding._placement import (
+    OTHER_LANE_SHORTLIST,
+    OWN_LANE_SHORTLIST,
+)
 from hollyknot_coordination.forwarding.tests._builders import (
     ENGINES,
     PLAIN,
@@ -66,10 +69,10 @@
         seemed idle to it. Cause: a session had no few engines of its own.
         """
         lists = [_Host(seed).shortlist(LONG) for seed in range(20)]
-        assert {tuple(found[:ASKED]) for found in lists} == {
-            tuple(lists[0][:ASKED])
+        assert {tuple(found[:OWN_LANE_SHORTLIST]) for found in lists} == {
+            tuple(lists[0][:OWN_LANE_SHORTLIST])
         }
-        assert len(lists[0]) == ASKED + ASKED_BESIDE
+        assert len(lists[0]) == OWN_LANE_SHORTLIST + OTHER_LANE_SHORTLIST
 
     def test_where_little_is_shared_they_are_spread(self) -> None:
         counts = Counter(
@@ -99,9 +102,9 @@
             found = placement.shortlist(
                 ENGINES, POOL, SHORT, frozenset(), 0.0, is_loose=True
             )
-            names = {entry.incarnation for entry in found[:ASKED]}
-            assert len(names) == ASKED
-            assert len(names & kept) >= ASKED - 1
+            names = {entry.incarnation for entry in found[:OWN_LANE_SHORTLIST]}
+            assert len(names) == OWN_LANE_SHORTLIST
+            assert len(names & kept) >= OWN_LANE_SHORTLIST - 1
             others |= names - kept
             choice = placement.choose(
                 ENGINES,
@@ -130,7 +133,7 @@
 
     def test_plain_services_have_one_too(self) -> None:
         found = _Host(1).shortlist(call(), PLAIN, APPS)
-        assert len(set(found)) == ASKED
+        assert len(set(found)) == OWN_LANE_SHORTLIST
 
 
 class TestChoiceAmong:
@@ -157,7 +160,7 @@
             UpstreamUse(short_name(name), (0, 0, 90_000), 3, 0, b"\0\0\3")
             for name in among[:2]
         ]
-        host.loads.take_tracked(uses, 0.0)
+        host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) == among[2]
 
     def test_one_that_only_seems_idle_is_not_chosen(self) -> None:
@@ -172,7 +175,7 @@
             UpstreamUse(short_name(name), (0, 0, 500), 1, 0, b"\0\0\1")
             for name in among
         ]
-        host.loads.take_tracked(uses, 0.0)
+        host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) in among
 
     def test_if_none_of_those_is_left_any_other(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
@@ -3,8 +3,8 @@
 import pytest
 
 from hollyknot_coordination.forwarding import (
-    Again,
     GiveUp,
+    TryAnother,
     TryState,
     next_step,
 )
@@ -36,7 +36,7 @@
     """By verdict and route alone."""
 
     @pytest.mark.parametrize(
-        ("way", "verdict", "may_have_run", "is_again"),
+        ("way", "verdict", "may_have_run", "is_retried"),
         [
             (ONCE, REFUSED, False, True),
             (ONCE, LOST, True, False),
@@ -48,10 +48,10 @@
         ],
     )
     def test_repeats_only_what_may_be_repeated(
-        self, way: Route, verdict: Verdict, may_have_run: bool, is_again: bool
+        self, way: Route, verdict: Verdict, may_have_run: bool, is_retried: bool
     ) -> None:
         step = next_step(way, verdict, _state(may_have_run=may_have_run))
-        assert isinstance(step, Again) is is_again
+        assert isinstance(step, TryAnother) is is_retried
 
     @pytest.mark.parametrize(
         "state",
@@ -70,7 +70,7 @@
     def test_a_request_that_reached_nobody_costs_no_budget(self) -> None:
         verdict = Verdict(Outcome.NOT_RUN, Reason.CONNECT_FAILED)
         state = _state(sent=0, budget=0.0, may_have_run=False)
-        assert next_step(ONCE, verdict, state) == Again(is_retry=False)
+        assert next_step(ONCE, verdict, state) == TryAnother(is_retry=False)
 
 
 class TestGiveUp:
--- a/packages/gateway/src/hollyknot_gateway/_exchange.py
+++ b/packages/gateway/src/hollyknot_gateway/_exchange.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding import EventCutter
+from hollyknot_coordination.forwarding import EventFramer
 from hollyknot_gateway._caller_connection import Reply
 from hollyknot_gateway._headers import end_to_end
 from hollyknot_gateway._ports import Dialect, Headers
@@ -91,7 +91,7 @@
         resumes_after: The last event before this try; empty for none.
     """
 
-    cutter: EventCutter = attrs.Factory(EventCutter)
+    cutter: EventFramer = attrs.Factory(EventFramer)
     resumes_after: str = ""
 
 
@@ -326,10 +326,10 @@
         self._pass_on(data)
 
     def _end_stream(self) -> None:
-        if self._stream.cutter.has_torn_event:
+        if self._stream.cutter.has_partial_event:
             self._fail(Reason.TRUNCATED, "the stream ended within an event")
             return
-        if rest := self._stream.cutter.take_rest():
+        if rest := self._stream.cutter.flush():
             self._pass_on(rest)
         if not self._reply.has_begun:
             self._pass_on(b"")
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hollyknot_coordination.forwarding import (
-    COME_BACK_S,
+    SHED_RETRY_AFTER_S,
     Choice,
     GiveUp,
     NoOwner,
@@ -131,7 +131,7 @@
                 result = self._tries.nowhere(job)
             following = next_step(job.route, result.verdict, self._state(job))
             if isinstance(following, GiveUp):
-                if following.is_unpaid:
+                if following.is_budget_spent:
                     self._tell_retry(job, is_sent=False)
                 self._answers.give_up(job, result, following)
                 return
@@ -187,7 +187,7 @@
         found = parts.shedding.decide(unlimited or entries, job.sheds_from, now)
         if not isinstance(found, Shed):
             return None
-        return _shed(f"{found.taken} in flight, {found.slots} slots")
+        return _shed(f"{found.in_flight} in flight, {found.slots} slots")
 
     def _too_slow(self, job: Job, choice: Choice) -> GiveUp | None:
         """Refuses a request whose answer would hardly end in time."""
@@ -222,7 +222,7 @@
 
 def _shed(detail: str) -> GiveUp:
     verdict = Verdict(
-        Outcome.NOT_RUN, Reason.SHED, detail, retry_after_s=COME_BACK_S
+        Outcome.NOT_RUN, Reason.SHED, detail, retry_after_s=SHED_RETRY_AFTER_S
     )
     return GiveUp(_UNAVAILABLE, verdict)
 
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -275,7 +275,7 @@
             self._log.line("peer_lost", peer=host)
         fresh = self._peers.fresh(now_s)
         shared = self._shared
-        shared.loads.take_reports(fresh)
+        shared.loads.replace_reports(fresh)
         shared.demand.take(
             (d for report in fresh for d in report.demands),
             min(1.0, (len(fresh) + 1) / self.hosts),
@@ -325,7 +325,7 @@
             self._inquirer.tell_soon()
         else:
             # Nobody asks; the names of all upstreams would pile up.
-            self._shared.loads.take_changed()
+            self._shared.loads.pop_changed()
 
     def _take(self, message: Message, sender: Address) -> None:
         if isinstance(message, HostReport | UseReport):
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -5,7 +5,12 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding import Choice, NoPlace, Work, runs_of
+from hollyknot_coordination.forwarding import (
+    Choice,
+    NoUpstream,
+    PlacedRequest,
+    runs_of,
+)
 from hollyknot_coordination.suspects import Clear, Isolate
 from hollyknot_gateway import _metrics as metrics
 from hollyknot_gateway._answers import RETRY_AFTER_S
@@ -131,7 +136,7 @@
         )
         return Result(verdict)
 
-    def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoPlace:
+    def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoUpstream:
         """Returns where a request is to be sent next."""
         parts = self._parts
         now = parts.clock()
@@ -142,7 +147,7 @@
         ejected = parts.health.ejected(usable, now)
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
-        found: Choice | NoPlace = NoPlace.NONE_KNOWN
+        found: Choice | NoUpstream = NoUpstream.NONE_KNOWN
         # One that fails often, or could not be reached lately, is better than
         # none at all.
         for kept_away in (away | ejected, away, frozenset[str]()):
@@ -276,12 +281,12 @@
         job: Job,
         choice: Choice,
         connection: UpstreamConnection,
-        work: Work,
+        work: PlacedRequest,
     ) -> Exchange:
         parts = self._parts
         entry = choice.entry
         stream = job.stream
-        stream.cutter.drop_torn()
+        stream.cutter.drop_partial()
         stream.resumes_after = stream.cutter.last_id or job.call.last_event_id
         exchange = Exchange(
             parts.dialect,
@@ -340,7 +345,7 @@
         self,
         job: Job,
         choice: Choice,
-        work: Work,
+        work: PlacedRequest,
         exchange: Exchange,
     ) -> bool:
         """Ends a try whose caller has gone or whose time is up.
@@ -373,7 +378,7 @@
         self,
         job: Job,
         choice: Choice,
-        work: Work,
+        work: PlacedRequest,
         exchange: Exchange,
     ) -> None:
         verdict = _CALLER_GONE
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -161,7 +161,7 @@
         error while counting ended the task that tells and counts.
         """
         loads, demand = Loads(), Demand()
-        loads.take_reports([attrs.evolve(_REPORT, uses=uses)])
+        loads.replace_reports([attrs.evolve(_REPORT, uses=uses)])
         demand.take(demands)
         for use in uses:
             load = loads.at(str(use.upstream))
