--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
@@ -1,10 +1,15 @@
-"""Which upstream has which parts of prompts cached, as far as a host knows.
-
-Three sources: all hosts send prompts that share their parts to the same
-upstream where they can, so that it is the one most likely to have them; a host
-remembers where it sent what itself; and hosts tell each other where they sent
-parts that nobody was known to have sent there. What an upstream lacks it can
-fetch from one that has it, in a tenth of the time that reading takes.
+"""Tracks which parts of prompts each upstream is believed to have cached.
+
+A prompt is a sequence of parts, of which all but the last may be shared with
+other prompts. A "run" is a prefix of the prompt that ends with a shared part;
+an upstream can reuse a cached part only together with all parts before it.
+
+There are three sources. All hosts prefer the same upstream for prompts that
+share their parts, so that it is the one most likely to have them. A host
+remembers which runs it sent to which upstream. And hosts report to each other
+the runs that they sent to an upstream that was not known to have them. An
+upstream can fetch missing parts from one that has them, in a tenth of the time
+that their prefill takes.
 """
 
 import functools
@@ -19,36 +24,43 @@
 from hollyknot_state.routes import PromptPart, UpstreamEntry
 
 REMEMBERED_S = 30.0
-"""How long a host takes an upstream to keep what was sent there: engines drop
-the least recently used parts, and those that nobody sends are old by then."""
+"""Seconds for which an upstream is believed to keep parts that were sent there:
+engines evict the least recently used parts, and parts that nobody sends any
+more are old by then."""
 
 REPORTED_S = 0.25
-"""How long news stay in reports: with ten reports a second each peer hears them
-two or three times, so that one that is lost does no harm."""
+"""Seconds for which a newly held run stays in reports: at ten reports a second
+each peer hears it two or three times, so that a lost report does no harm."""
 
 MIN_REPORTED_TOKENS = 500
-"""Shorter runs are not worth the bytes: they are read in 10 ms."""
+"""Prompt tokens below which a run is not reported: its prefill takes 10 ms,
+which is not worth the bytes."""
 
 _MAX_HOLDERS = 4
-"""Of which one can be reached and is not the one that asks, mostly."""
+"""Holders of the missing parts that are kept as possible sources: nearly always
+one of them is reachable and is not the upstream that lacks the parts."""
 
 _MAX_UNTRACKED = 64
-"""More come up only while no tracker is known."""
+"""Runs that wait to be reported to trackers; more come up only while no tracker
+is known."""
 
 _MAX_REMEMBERED = 20_000
+"""Pairs of an upstream and a run that a host remembers."""
+
 _MAX_CACHED_NAMES = 20_000
 
 
 @attrs.frozen
 class CacheCoverage:
-    """What upstreams lack of the shared parts of one prompt, in tokens.
+    """Cached shared parts of one prompt at the upstreams of a service.
 
     Attributes:
-        lacks: By incarnation, as far as it is known.
-        shared: All of the shared parts.
-        to_read: What no upstream is known to have.
-        holders: Those that are known to have the most, a few of them.
-        runs: Short names of the runs of shared parts.
+        missing_tokens: Shared tokens that each upstream is believed to lack,
+            by incarnation.
+        shared: Tokens in all shared parts.
+        uncached_tokens: Shared tokens that no upstream is known to have.
+        holders: Upstreams that are known to have the most, a few of them.
+        runs: Short names of the runs, from the shortest to the longest.
     """
 
     missing_tokens: dict[str, int]
@@ -60,7 +72,11 @@
     def preferred_entry(
         self, entries: Sequence[UpstreamEntry]
     ) -> UpstreamEntry | None:
-        """Returns the one of some upstreams that all hosts prefer."""
+        """Returns the one of these upstreams that all hosts prefer.
+
+        Returns:
+            The entry; None without shared parts or entries.
+        """
         if not self.runs or not entries:
             return None
         last = self.runs[-1]
@@ -72,18 +88,22 @@
         preferred_entry: UpstreamEntry | None,
         excluded: Collection[str],
     ) -> UpstreamEntry | None:
-        """Returns where an upstream can fetch what it lacks; None for nowhere.
+        """Returns the upstream from which another can fetch missing parts.
 
-        One that should have all of it is told a source too: while many streams
-        run, engines drop parts that were used seconds ago, and nothing is
-        fetched where nothing lacks. The preferred one is asked where nobody is
-        known to have the parts.
+        An upstream that should have all parts gets a source too: while many
+        streams run, engines evict parts that were used seconds ago, and nothing
+        is fetched if nothing is missing. Where no upstream is known to have the
+        parts, the preferred one is the source.
 
         Args:
-            entry: The upstream.
-            preferred_entry: The one that all hosts prefer.
-            excluded: Incarnations that can't be reached, as far as this host
-                knows: an upstream that waits for them reads nothing meanwhile.
+            entry: Upstream that may lack parts.
+            preferred_entry: Upstream that all hosts prefer for these parts.
+            excluded: Incarnations that must not be a source, since this host
+                believes them unreachable: an upstream that waits for one of
+                them makes no progress with its prefill.
+
+        Returns:
+            The source; None if there is none or the parts are too short.
         """
         if self.shared < MIN_REPORTED_TOKENS:
             return None
@@ -96,19 +116,19 @@
 
 
 class CachedParts:
-    """What one host believes of upstreams' caches."""
+    """Runs that one host believes to be cached at each upstream."""
 
     def __init__(self) -> None:
-        """Has sent nothing yet."""
+        """Builds an empty record."""
         self._sent: OrderedDict[tuple[int, int], float] = OrderedDict()
         self._recent: deque[tuple[float, HeldRun]] = deque()
-        # Not yet told to the upstreams' trackers.
+        # Not yet reported to the trackers of the upstreams.
         self._untracked: deque[HeldRun] = deque(maxlen=_MAX_UNTRACKED)
 
     def note(
         self, incarnation: str, prompt: Sequence[PromptPart], now_s: float
     ) -> None:
-        """Notes that a prompt was sent to an upstream."""
+        """Records that a prompt was sent to an upstream."""
         upstream = _short(incarnation)
         tokens = 0
         for part, run in zip(prompt, _runs(prompt), strict=False):
@@ -121,26 +141,30 @@
                 self._untracked.append(HeldRun(*held))
 
     def told(self, now_s: float) -> tuple[HeldRun, ...]:
-        """Returns what was sent lately that was not known before."""
+        """Returns the newly held runs that this host reports to its peers."""
         while self._recent and self._recent[0][0] < now_s - REPORTED_S:
             self._recent.popleft()
         return tuple(held for _, held in self._recent)
 
     def pop_untracked(self, upstream: int) -> tuple[HeldRun, ...]:
-        """Returns what the tracker of an upstream was not told yet, once."""
+        """Returns and removes the runs not yet reported to a tracker.
+
+        Args:
+            upstream: Short name of the upstream that is tracked.
+        """
         found = tuple(h for h in self._untracked if h.upstream == upstream)
         if found:
             rest = (h for h in self._untracked if h.upstream != upstream)
             self._untracked = deque(rest, maxlen=_MAX_UNTRACKED)
         return found
 
-    def take(self, told: Iterable[HeldRun], now_s: float) -> None:
-        """Takes in what a peer has told."""
-        for held in told:
+    def take(self, reported: Iterable[HeldRun], now_s: float) -> None:
+        """Adds runs that a peer reported."""
+        for held in reported:
             self._keep((held.upstream, held.run), now_s)
 
     def has(self, held: HeldRun, now_s: float) -> bool:
-        """Whether an upstream is taken to have some parts."""
+        """Whether an upstream is believed to have a run."""
         return self._is_held((held.upstream, held.run), now_s)
 
     def missing(
@@ -149,12 +173,12 @@
         prompt: Sequence[PromptPart],
         now_s: float,
     ) -> CacheCoverage:
-        """Returns what each upstream lacks of the shared parts.
+        """Returns which shared parts of a prompt each upstream lacks.
 
         Args:
-            entries: The upstreams among which prompts are spread.
-            prompt: All parts; the last one is nobody else's.
-            now_s: The time.
+            entries: Upstreams that the prompt may be sent to.
+            prompt: Parts of the prompt, of which the last one is not shared.
+            now_s: Current time in seconds.
         """
         shared = prompt[:-1]
         if not shared:
@@ -221,7 +245,7 @@
 
 
 def _runs(prompt: Sequence[PromptPart]) -> list[int]:
-    """Returns a name for each run of shared parts from the prompt's start."""
+    """Returns the short name of each run, from the shortest to the longest."""
     runs: list[int] = []
     name = ""
     for part in prompt[:-1]:
@@ -231,10 +255,11 @@
 
 
 def _weight(run: int, incarnation: str) -> bytes:
-    """Returns a hash whose order for two upstreams depends on all of the name.
+    """Returns the weight of an upstream for a run, for rendezvous hashing.
 
     A checksum would not do: it is linear, so that the order of two upstreams
-    hangs on one bit of the name, and of three upstreams one may never be first.
+    depends on a single bit of the run, and one of three upstreams might never
+    come first.
     """
     text = f"{run}|{incarnation}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_events.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_events.py
@@ -1,9 +1,9 @@
-"""Cuts a stream of server-sent events into whole events, unparsed.
+"""Frames a stream of server-sent events into whole events without parsing them.
 
-An upstream may die in the middle of an event. Passed on, the torn event would
-be joined to the first one of the upstream that goes on with the stream, and a
-caller would read a piece that nobody sent. So bytes are handed on only up to
-the end of an event, with the id of the last one.
+An upstream may crash in the middle of an event. If the partial event were
+relayed, it would be joined to the first event of the upstream that resumes the
+stream, and the caller would read an event that nobody sent. So bytes are
+relayed only up to the end of an event, and the id of the last one is kept.
 """
 
 _ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
@@ -11,31 +11,31 @@
 
 
 class EventFramer:
-    """The part of one stream that is not yet a whole event."""
+    """Buffers the partial event at the end of one stream."""
 
     def __init__(self) -> None:
-        """Starts at the beginning of a stream."""
+        """Builds a framer at the beginning of a stream."""
         self._rest = b""
         self._last_id = ""
         self._events = 0
 
     @property
     def last_id(self) -> str:
-        """The id of the last whole event; empty before the first."""
+        """Id of the last whole event that had one; empty before the first."""
         return self._last_id
 
     @property
     def events(self) -> int:
-        """How many whole events were seen."""
+        """Number of whole events with an id."""
         return self._events
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an event are held that has not ended."""
+        """Whether bytes of an incomplete event are buffered."""
         return bool(self._rest.strip())
 
     def feed(self, data: bytes) -> bytes:
-        """Takes in bytes and returns those that end whole events."""
+        """Adds bytes and returns all whole events that are buffered."""
         if self._rest:
             data = self._rest + data
         end = max(
@@ -49,11 +49,11 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forgets a torn event, before another upstream goes on."""
+        """Discards a partial event, before another upstream resumes."""
         self._rest = b""
 
     def flush(self) -> bytes:
-        """Returns what is held, at the end of a stream that is complete."""
+        """Returns the buffered bytes at the end of a complete stream."""
         rest, self._rest = self._rest, b""
         return rest
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
@@ -1,12 +1,12 @@
-"""How long a stream will take at an upstream, by how long streams take there.
-
-An engine that reads prompts all the time makes one token of each running
-stream in each step, and a step takes as long as a piece of a prompt: 75 ms
-where 4 are usual. A stream of 50 tokens that takes a third of a second on an
-idle engine then takes four, and times out when nearly done. Slots tell nothing
-of it: a few streams run at a time. The intervals between events of other
-streams there do, at once and whatever the reason is: a slow engine, a long
-prompt, or many streams.
+"""Forecasts how long a stream will take at an upstream.
+
+An engine that prefills all the time produces one token of each running stream
+per step, and each step takes as long as a chunk of a prompt: 75 ms where 4 are
+usual. A stream of 50 tokens that takes a third of a second on an idle engine
+then takes four seconds and times out when nearly done. The slots in use do not
+show this, since only a few streams run at a time. The intervals between events
+of other streams at the upstream show it at once, whatever the reason is: a slow
+engine, a long prompt or many streams.
 """
 
 import math
@@ -17,17 +17,18 @@
 from hollyknot_state import UpstreamPace, short_name
 
 SMOOTHING_S = 0.3
-"""Over which intervals at an upstream are averaged: a few events of a busy one,
-and shorter than the time that a queue takes to build up."""
+"""Time constant in seconds of the average of intervals at an upstream: a few
+events of a busy one, and shorter than the time in which a queue builds up."""
 
 FRESH_S = 1.0
-"""Without an event for so long nothing is known of an upstream."""
+"""Seconds without an event after which the pace of an upstream is unknown."""
 
 MIN_ANSWERS = 5
-"""Of a route, before its usual length is known."""
+"""Complete answers of a route before its usual length is known."""
 
 _NEWEST = 0.02
-"""Weight of the newest value: lengths of answers differ by ten times."""
+"""Weight of the newest value in an average of lengths: it is small, since
+lengths of answers differ by a factor of ten."""
 
 
 @attrs.define
@@ -43,19 +44,20 @@
 
     def add(self, value: float) -> None:
         self.count += 1
-        # A plain mean at first, so that no single value stands alone.
+        # A plain mean at first, so that no single early value dominates.
         weight = max(_NEWEST, 1 / self.count)
         self.value += weight * (value - self.value)
 
 
 @attrs.define
 class _Route:
-    """Lengths of a route's answers.
+    """Average lengths of a route's answers.
 
     Attributes:
-        estimates: Tokens, as callers expect them; of all requests.
-        whole_estimates: The same of those that were answered whole.
-        whole_intervals: Between the events of those answers.
+        estimates: Tokens that callers expect, over all requests.
+        whole_estimates: Tokens that callers expected, over requests with a
+            complete answer.
+        whole_intervals: Intervals between events, over complete answers.
     """
 
     estimates: _Average = attrs.Factory(_Average)
@@ -64,22 +66,22 @@
 
 
 class Forecasts:
-    """What one host has seen of the streams that it relays."""
+    """Paces of upstreams and lengths of answers, as one host knows them."""
 
     def __init__(self) -> None:
-        """Has seen none."""
+        """Builds forecasts without any observation."""
         self._paces: dict[str, _Pace] = {}
-        # By short names, as trackers have told.
+        # Reported by trackers, keyed by short name.
         self._tracked_paces: dict[int, _Pace] = {}
         self._routes: dict[str, _Route] = {}
 
     def note_interval(
         self, upstream: str, interval_s: float, now_s: float
     ) -> None:
-        """Notes the time between two events of a stream.
+        """Records the time between two events of a stream.
 
-        Long intervals weigh as much more as they are longer: a second of a busy
-        engine shows in two of them, one of an idle engine in fifty.
+        The longer an interval, the greater its weight: a second of a busy
+        engine has two intervals, a second of an idle engine fifty.
         """
         pace = self._paces.get(upstream)
         if pace is None or now_s - pace.at_s > FRESH_S:
@@ -90,7 +92,11 @@
         pace.at_s = now_s
 
     def pace(self, upstream: str, now_s: float) -> UpstreamPace | None:
-        """Returns the interval that this host sees, to be told."""
+        """Returns the average interval that this host observes, for reports.
+
+        Returns:
+            The interval in milliseconds; None without a recent event.
+        """
         pace = self._paces.get(upstream)
         if pace is None or now_s - pace.at_s > FRESH_S:
             return None
@@ -98,9 +104,9 @@
         return UpstreamPace(short_name(upstream), interval_ms)
 
     def take(self, paces: Iterable[UpstreamPace], now_s: float) -> None:
-        """Takes what trackers have told of the streams of other hosts.
+        """Adds paces that trackers reported, from streams of other hosts.
 
-        One of many hosts relays a few streams at a time, so that it has seen
+        In a large fleet each host relays few streams at a time and observes
         none at most upstreams.
         """
         for pace in paces:
@@ -109,29 +115,35 @@
             )
 
     def note_request(self, route: str, tokens: int) -> None:
-        """Notes how long a caller expects its answer to be."""
+        """Records how many tokens a caller expects its answer to have."""
         self._route(route).estimates.add(max(tokens, 1))
 
     def note_answer(self, route: str, tokens: int, intervals: int) -> None:
-        """Notes how many intervals a whole answer had.
+        """Records the length of a complete answer.
+
+        While engines are busy only short answers complete, so that the mean
+        length falls just when it matters, from 10 intervals to 5. The forecast
+        therefore scales it by the ratio of the lengths that callers of all
+        requests expected to those that callers of complete answers expected.
 
-        Only short answers are whole while engines are busy: their mean falls
-        when it matters, from 10 intervals to 5. So it is set against what the
-        callers of just these expected, and of all requests.
+        Args:
+            route: Name of the route.
+            tokens: Tokens that the caller expected.
+            intervals: Intervals between events of the answer.
         """
         known = self._route(route)
         known.whole_estimates.add(max(tokens, 1))
         known.whole_intervals.add(intervals)
 
     def forget(self, upstream: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Removes an upstream that has left for good."""
         self._paces.pop(upstream, None)
         self._tracked_paces.pop(short_name(upstream), None)
 
     def duration_s(
         self, upstream: str, route: str, now_s: float
     ) -> float | None:
-        """Returns how long an answer will take from its first event on.
+        """Returns the expected time from first event to end of an answer.
 
         Returns:
             Seconds; None if too little is known.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -1,17 +1,18 @@
-"""Keeps streams that bear long pauses and those that don't on upstreams apart.
-
-An engine reads a long prompt in pieces between the tokens of all that run
-beside it. Each piece takes as long as many tokens, so that streams beside it
-pause for longer than their callers accept. Routes say which pause a stream may
-have: those that may have long ones get upstreams of their own, and with them
-the long prompts that they send.
-
-Which routes those are follows from the routes alone. How many upstreams they
-get follows from the prompt tokens that all hosts send, smoothed, so that hosts
-that hear each other come to the same number, and a burst shifts it. A lane gets
-no fewer than its streams need slots: short prompts with long answers ask for
-little reading, and where engines have few slots they would fill a lane that was
-measured by reading, and go beside long prompts after all.
+"""Divides a service's upstreams into lanes for loose and for tight streams.
+
+An engine prefills a long prompt in chunks, between steps of the streams that
+run beside it. Each chunk takes as long as many tokens, so that the inter-token
+gaps of those streams become longer than their callers accept. Each route has a
+target for the inter-token gap. Streams that tolerate long gaps ("loose") get
+upstreams of their own, and their long prompts go there with them; the others
+("tight") share the rest.
+
+Which routes are loose follows from the routes alone. How many upstreams the
+loose lane gets follows from the prompt tokens that all hosts send, smoothed, so
+that hosts that hear each other arrive at the same number and a burst shifts it.
+Each lane also gets the slots that its streams need: short prompts with long
+answers need little prefill, and where engines have few slots they would fill a
+lane that is sized by prefill alone and overflow to engines with long prompts.
 """
 
 import math
@@ -24,48 +25,51 @@
 from hollyknot_state.routes import Route, RouteKind, UpstreamEntry
 
 TIGHT_GAP_RATIO = 1.4
-"""How much longer than the shortest accepted pause another one may be for its
-streams to share upstreams with those. Streams that bear half as much again bear
-an engine that reads prompts all the time, if those prompts are short or wait
-behind theirs; with them gone, the shortest pauses are kept even in a burst."""
+"""Ratio to the shortest gap target below which a target still counts as tight.
+
+Streams that tolerate gaps half as long again can share an engine that prefills
+all the time, if its prompts are short or wait behind theirs. With such streams
+in the loose lane, the shortest targets are met even in a burst."""
 
 TIGHT_UTILISATION = 0.6
-"""How busy upstreams of tight streams are to be, as a share of how busy the
-others are: a stream is late by one pause, a long prompt only by its sum."""
+"""Utilisation of the tight lane's upstreams, relative to the loose lane's: a
+tight stream misses its target by a single long gap, a long prompt only by the
+sum of its delays."""
 
 SMOOTHING_S = 4.0
-"""Over which demand is averaged: shorter than a burst, longer than the gap
-between two long prompts at one host."""
+"""Time constant in seconds of the average of demand: shorter than a burst, and
+longer than the time between two long prompts at one host."""
 
 SLOT_UTILISATION = 0.6
-"""Of a lane's slots, the part that its streams may take on the mean before it
-gets more upstreams: a burst takes some at once, and one stream in the wrong
-lane is late, or makes others late."""
+"""Mean share of a lane's slots in use above which it gets more upstreams: a
+burst takes some slots at once, and a stream in the wrong lane misses its target
+or makes others miss theirs."""
 
 MIN_LOOSE_SHARE = 0.4
-"""Of the upstreams, the part that loose streams keep where slots are short: it
-is the tight ones that are late as soon as they are beside the others."""
+"""Least share of the upstreams that the loose lane keeps where slots are short.
+The tight lane gets the rest, since tight streams miss their targets as soon as
+they run beside loose ones."""
 
 HYSTERESIS = 0.6
-"""How far, in upstreams, the wanted number has to be from the present one: at
-each change streams with short pauses meet long prompts that still run, and
-sessions are moved."""
+"""Change in the wanted number of upstreams, beyond rounding, below which a lane
+keeps its size: at each change tight streams meet long prompts that still run,
+and sessions are moved."""
 
 _ROUNDING_ERROR = 0.5
-"""How far a number of upstreams may be from the wanted one, being whole."""
+"""Largest distance of a whole number of upstreams from the wanted number."""
 
 _MIN_DEMAND = 1.0
-"""Prompt tokens a second below which nothing can be said of the lanes."""
+"""Prompt tokens per second below which demand does not determine the lanes."""
 
 _DEFAULT_LOOSE_SHARE = 0.5
-"""The part of loose streams then."""
+"""Share of the loose lane below that demand."""
 
 
 class GapTolerance:
-    """From which accepted pause on a route's streams are loose."""
+    """Tells loose routes of a service from tight ones by their gap targets."""
 
     def __init__(self, routes: Iterable[Route], service: str) -> None:
-        """Finds the pauses that are much longer than the shortest."""
+        """Computes the gap target from which streams of a service are loose."""
         targets_s = {
             route.gap_target_s
             for route in routes
@@ -76,7 +80,7 @@
         self._loose_from_s = min(targets_s, default=math.inf) * TIGHT_GAP_RATIO
 
     def is_loose(self, route: Route) -> bool:
-        """Whether a route's streams bear long pauses."""
+        """Whether a route's streams tolerate long inter-token gaps."""
         return (
             not route.gap_target_s or route.gap_target_s >= self._loose_from_s
         )
@@ -96,10 +100,10 @@
 
 
 class Demand:
-    """What streams ask of upstreams by service and lane, of all hosts."""
+    """Prompt tokens and streams of all hosts, by service and lane."""
 
     def __init__(self) -> None:
-        """Nothing was asked for yet."""
+        """Builds a demand of zero."""
         self._own: dict[tuple[str, bool], _Rate] = {}
         self._own_streams: Counter[tuple[str, bool]] = Counter()
         self._tokens: Counter[tuple[str, bool]] = Counter()
@@ -109,24 +113,24 @@
     def begin(
         self, service: str, tokens: int, now_s: float, *, is_loose: bool
     ) -> None:
-        """Notes a stream that this host sends, with tokens to be read in."""
+        """Records a stream that this host sends, with its tokens to prefill."""
         rate = self._own.setdefault((service, is_loose), _Rate(0.0, now_s))
         rate.add(tokens, now_s)
         self._own_streams[service, is_loose] += 1
 
     def end(self, service: str, *, is_loose: bool) -> None:
-        """Notes the end of one."""
+        """Records the end of a stream that this host sent."""
         self._own_streams[service, is_loose] -= 1
 
     def take(
         self, reported: Iterable[LaneDemand], heard_part: float = 1.0
     ) -> None:
-        """Replaces what peers told before.
+        """Replaces the demand that peers reported before.
 
         Args:
-            reported: What they tell now.
-            heard_part: Of all hosts, those whose word this is, this one
-                included.
+            reported: Demand in the current reports of peers.
+            heard_part: Share of all hosts that these reports and this host
+                itself stand for, from 0 to 1.
         """
         self._heard_part = heard_part
         tokens: Counter[tuple[str, bool]] = Counter()
@@ -155,7 +159,10 @@
         )
 
     def share_of_loose(self, service: str, now_s: float) -> float:
-        """Returns the part of a service's upstreams that loose streams need."""
+        """Returns the share of a service's upstreams that loose streams need.
+
+        It follows from prompt tokens, from 0 to 1.
+        """
         loose = self._tokens_per_s(service, True, now_s)
         tight = self._tokens_per_s(service, False, now_s) / TIGHT_UTILISATION
         if loose + tight < _MIN_DEMAND:
@@ -163,7 +170,10 @@
         return loose / (loose + tight)
 
     def streams(self, service: str, *, is_loose: bool) -> float:
-        """Returns how many streams of a lane have not ended, at all hosts."""
+        """Returns how many streams of a lane are in flight at all hosts.
+
+        Hosts that are not heard are estimated from those that are.
+        """
         lane = (service, is_loose)
         counted = self._streams[lane] + self._own_streams[lane]
         return counted / self._heard_part
@@ -171,8 +181,8 @@
     def _tokens_per_s(
         self, service: str, is_loose: bool, now_s: float
     ) -> float:
-        told = self._tokens[service, is_loose]
-        return told + self._own_tokens(service, is_loose, now_s)
+        reported = self._tokens[service, is_loose]
+        return reported + self._own_tokens(service, is_loose, now_s)
 
     def _own_tokens(self, service: str, is_loose: bool, now_s: float) -> float:
         rate = self._own.get((service, is_loose))
@@ -180,10 +190,10 @@
 
 
 class Lanes:
-    """How the upstreams of each service are divided."""
+    """Assigns the upstreams of each service to the two lanes."""
 
     def __init__(self, demand: Demand) -> None:
-        """Divides by demand."""
+        """Builds lanes that are sized by a demand."""
         self._demand = demand
         self._loose_count: dict[str, int] = {}
 
@@ -197,11 +207,13 @@
     ) -> Sequence[UpstreamEntry]:
         """Returns the upstreams of one lane.
 
+        A single upstream belongs to both lanes.
+
         Args:
-            service: The service.
-            entries: Its upstreams, in an order that all hosts share.
-            now_s: The time.
-            is_loose: Which lane.
+            service: Name of the service.
+            entries: Upstreams of the service, in an order that all hosts share.
+            now_s: Current time in seconds.
+            is_loose: Whether to return the loose lane or the tight one.
         """
         count = len(entries)
         if count == 1:
@@ -217,7 +229,7 @@
     def _wanted(
         self, service: str, entries: Sequence[UpstreamEntry], now_s: float
     ) -> float:
-        """Returns how many upstreams loose streams are to have."""
+        """Returns how many upstreams the loose lane should have."""
         count = len(entries)
         by_prefill = count * self._demand.share_of_loose(service, now_s)
         used_slots = (
@@ -226,6 +238,6 @@
         loose = self._demand.streams(service, is_loose=True) / used_slots
         tight = self._demand.streams(service, is_loose=False) / used_slots
         if loose + tight > count:
-            # The tight ones first: loose streams wait, or are refused.
+            # Tight streams first: loose ones can wait or be refused.
             return max(count - tight, count * MIN_LOOSE_SHARE)
         return min(max(by_prefill, loose), count - tight)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
@@ -1,4 +1,4 @@
-"""Work in flight at upstreams: a host's own, exactly, and what peers tell."""
+"""Counts work in flight at upstreams, a host's own and its peers'."""
 
 import math
 import operator
@@ -10,17 +10,18 @@
 from hollyknot_state import HostReport, UpstreamUse, short_name
 
 URGENCIES = LEAST_URGENT + 1
-"""How many urgencies there are: 0, the first, to the least urgent."""
+"""Number of urgencies, from 0, the most urgent, to the least urgent."""
 
 _MAX_COUNT = 255
-"""What fits into a byte; no upstream has as many slots for one host."""
+"""Largest number of requests per urgency in a report, where each number takes
+one byte. No upstream has as many slots for one host."""
 
 TRACKED_S = 0.03
-"""How long a tracker's answer goes before reports: work changes within tens of
-milliseconds, and a round trip takes some."""
+"""Seconds for which a tracker's answer takes precedence over reports: work in
+flight changes within tens of milliseconds, and a round trip takes some."""
 
 _MAX_TRACKED = 500
-"""Answers that are kept before those that no longer count are dropped."""
+"""Trackers' answers that may be kept before expired ones are dropped."""
 
 _NO_COUNTS = (0,) * URGENCIES
 
@@ -30,10 +31,10 @@
     """Work at one upstream.
 
     Attributes:
-        tokens: Of prompts that may not have been read in yet, at each urgency.
-        waiting: Requests that have not been answered.
+        tokens: Prompt tokens at each urgency whose prefill may not be complete.
+        waiting: Requests without a first event.
         running: Streams that have begun.
-        urgencies: All of these at each urgency.
+        urgencies: Requests at each urgency, waiting or running.
     """
 
     tokens: tuple[int, ...] = _NO_COUNTS
@@ -43,32 +44,38 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Prompt tokens at all urgencies."""
+        """Prompt tokens that wait for prefill, at all urgencies."""
         return sum(self.tokens)
 
     @property
     def requests(self) -> int:
-        """All that is in flight."""
+        """Requests in flight."""
         return self.waiting + self.running
 
     def requests_ahead_of(self, urgency: int) -> int:
-        """Returns how many requests an upstream does not put back for one."""
+        """Returns how many requests are at an urgency or more urgent.
+
+        The upstream does not preempt these for a request of that urgency.
+        """
         return sum(self.urgencies[: urgency + 1])
 
     def behind(self, urgency: int) -> int:
-        """Returns how many requests are of an urgency or less urgent."""
+        """Returns how many requests are at an urgency or less urgent."""
         return sum(self.urgencies[urgency:])
 
     def tokens_ahead_of(self, urgency: int) -> int:
-        """Returns the prompt tokens that it reads in before those of one."""
+        """Returns the prompt tokens at an urgency or more urgent.
+
+        The upstream prefills these before a prompt of that urgency.
+        """
         return sum(self.tokens[: urgency + 1])
 
     def tokens_in_prefill(self, urgency: int) -> int:
-        """Returns what is left, on average, of a less urgent prompt in work.
+        """Returns the expected rest of a less urgent prompt in prefill.
 
-        An engine puts less urgent prompts back, but for the one that it has
-        begun to read: a prompt of 34,000 tokens made more urgent streams wait
-        for half a second.
+        An engine defers less urgent prompts, except for the one whose prefill
+        has begun: a prompt of 34,000 tokens makes more urgent streams wait for
+        half a second. On average half of it is left.
         """
         less_urgent = sum(self.tokens[urgency + 1 :])
         return less_urgent // (2 * max(1, self.waiting))
@@ -101,7 +108,7 @@
     urgencies: list[int] = attrs.Factory(_zeros)
 
     def load(self) -> Load:
-        """Returns it as it is now."""
+        """Returns a snapshot."""
         return Load(
             tuple(self.tokens),
             self.waiting,
@@ -111,14 +118,14 @@
 
 
 class Loads:
-    """Work in flight of all hosts that are heard of.
+    """Work in flight of this host and of the peers that it hears.
 
     Attributes:
-        on_change: Told of each change of own work.
+        on_change: Called after each change of this host's own work.
     """
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Builds loads without any work in flight."""
         self._own: dict[str, _OwnLoad] = {}
         self._peers: dict[int, Load] = {}
         self._tracked: dict[int, tuple[Load, float]] = {}
@@ -126,7 +133,7 @@
         self.on_change: Callable[[], None] = _ignore
 
     def begin(self, upstream: str, tokens: int, urgency: int) -> None:
-        """Notes that a request was sent."""
+        """Records that a request was sent."""
         own = self._own.setdefault(upstream, _OwnLoad())
         own.waiting += 1
         own.tokens[urgency] += tokens
@@ -134,7 +141,7 @@
         self._note_change(upstream)
 
     def start(self, upstream: str, tokens: int, urgency: int) -> None:
-        """Notes that a stream has begun: its prompt has been read in."""
+        """Records that a stream has begun, so that its prefill is complete."""
         own = self._own[upstream]
         own.waiting -= 1
         own.tokens[urgency] -= tokens
@@ -144,7 +151,7 @@
     def end(
         self, upstream: str, tokens: int, urgency: int, *, has_started: bool
     ) -> None:
-        """Notes the end of a request."""
+        """Records that a request has ended."""
         own = self._own[upstream]
         own.urgencies[urgency] -= 1
         if has_started:
@@ -157,7 +164,7 @@
         self._note_change(upstream)
 
     def pop_changed(self) -> set[str]:
-        """Returns where own work has changed since this was last asked."""
+        """Returns the upstreams whose own work changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
@@ -166,7 +173,7 @@
         self.on_change()
 
     def replace_reports(self, reports: Iterable[HostReport]) -> None:
-        """Replaces what peers told before."""
+        """Replaces the work in the previous reports of peers."""
         sums: dict[int, Load] = {}
         for report in reports:
             for use in report.uses:
@@ -175,10 +182,10 @@
         self._peers = sums
 
     def add_tracked(self, uses: Iterable[UpstreamUse], now_s: float) -> None:
-        """Takes what trackers have answered: others' work at this moment.
+        """Adds trackers' answers: the current work of all other hosts.
 
-        It goes before what peers have reported, and is kept for a short while:
-        several requests that arrive together ask for the same upstreams.
+        An answer takes precedence over reports of peers. It is kept for a short
+        time, since requests that arrive together ask for the same upstreams.
         """
         newest_s = now_s - TRACKED_S
         if len(self._tracked) > _MAX_TRACKED:
@@ -194,8 +201,9 @@
         """Returns the work in flight at an upstream.
 
         Args:
-            upstream: Its incarnation.
-            now_s: The time; without it, what trackers answered is left out.
+            upstream: Incarnation of the upstream.
+            now_s: Current time in seconds; without it, answers of trackers are
+                left out.
         """
         short = short_name(upstream)
         peers = self._peers.get(short, _NO_LOAD)
@@ -206,36 +214,37 @@
         return peers if own is None else peers + own.load()
 
     def use_of(self, upstream: str) -> UpstreamUse:
-        """Returns a host's own work at an upstream, for its tracker."""
+        """Returns this host's own work at an upstream, for its tracker."""
         own = self._own.get(upstream)
         return _own_use(upstream, own if own is not None else _OwnLoad())
 
     def uses(self) -> tuple[UpstreamUse, ...]:
-        """Returns a host's own work, for its report."""
+        """Returns this host's own work, for its report."""
         return tuple(_own_use(name, own) for name, own in self._own.items())
 
     @property
     def busy(self) -> list[str]:
-        """The incarnations where this host has work in flight."""
+        """Incarnations where this host has work in flight."""
         return list(self._own)
 
 
 def _ignore() -> None:
-    """Nobody wants to know of changes."""
+    """Does nothing."""
 
 
 def merged_uses(
     before: Iterable[UpstreamUse], waiting: Iterable[UpstreamUse]
 ) -> tuple[UpstreamUse, ...]:
-    """Returns a host's work from its last whole report and a short one.
+    """Returns a host's work by its last full report and a short one after it.
 
-    Where no prompt waits any more, those that did are taken to run.
+    A short report lists only upstreams where prompts wait. Requests that waited
+    at any other upstream are assumed to run by now.
 
     Args:
-        before: All upstreams with work, some reports ago.
-        waiting: Those where prompts wait now.
+        before: Uses of all upstreams, by the last full report.
+        waiting: Uses of the upstreams where prompts wait, by the short report.
     """
-    told = {use.upstream: use for use in waiting}
+    reported = {use.upstream: use for use in waiting}
     merged = [
         attrs.evolve(
             use,
@@ -244,13 +253,13 @@
             running=use.waiting + use.running,
         )
         for use in before
-        if use.upstream not in told
+        if use.upstream not in reported
     ]
-    return (*merged, *told.values())
+    return (*merged, *reported.values())
 
 
 def summed_use(upstream: int, uses: Iterable[UpstreamUse]) -> UpstreamUse:
-    """Returns the work of several hosts at one upstream."""
+    """Returns the total work of several hosts at one upstream."""
     total = sum((_load_of(use) for use in uses), _NO_LOAD)
     return UpstreamUse(
         upstream,
@@ -276,7 +285,7 @@
 
 
 def _without_trailing_zeros(counts: Sequence[int]) -> tuple[int, ...]:
-    """Returns counts without the zeros at their end."""
+    """Returns the counts without trailing zeros."""
     last = max((i for i, count in enumerate(counts) if count), default=-1)
     return tuple(counts[: last + 1])
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
@@ -1,4 +1,4 @@
-"""Chooses an upstream among those that may get work."""
+"""Chooses the upstream that each request is sent to."""
 
 import enum
 import random
@@ -18,44 +18,49 @@
 from hollyknot_state.routes import CallTraits, Service, UpstreamEntry
 
 MISSING_TOKEN_WEIGHT = 1.0
-"""What a token costs that an upstream lacks although another one has it cached,
-beside the time to read it: an upstream has to be busier by this many tokens
-before a session is moved. Mostly what lacks is fetched, but it then takes
-memory at both."""
+"""Cost of each token that is cached elsewhere but not here, beside prefill.
+
+A session moves away from its cached parts only if their upstream is busier by
+this many tokens for each of them. Missing parts are mostly fetched from another
+upstream's cache, but they then take memory at both."""
 
 RUNNING_STREAM_TOKENS = 100
-"""What a running stream counts, in tokens to be read in: each makes each step
-of its engine a little longer."""
+"""Cost of a running stream, in prompt tokens: each one makes every step of its
+engine a little longer."""
 
 TIGHT_OVERFLOW_TOKENS = 5_000
-"""How much more work the lane of tight streams has to have before one goes to
-the other lane: that of 50 more running streams. Where a lane of few upstreams
-fills its slots, streams put each other back and pause for longer than beside a
-prompt."""
+"""Extra cost at the tight lane, in tokens, above which a tight stream overflows
+into the loose lane: that of 50 running streams. Where a lane of few upstreams
+fills its slots, streams preempt each other, which makes longer inter-token gaps
+than a prefill beside them does."""
 
 LOOSE_OVERFLOW_TOKENS = 200_000
-"""The same for loose streams. Each of their long prompts makes most streams
-late that it is put beside, so that they wait for seconds rather."""
+"""Extra cost at the loose lane, in tokens, above which a loose stream overflows
+into the tight lane. Each long prompt makes most of the streams beside it miss
+their targets, so that loose streams wait for seconds before they overflow."""
 
 QUEUED_REQUEST_TOKENS = 40_000
-"""What each request beyond an upstream's slots counts: it waits for another
-one to end. Less urgent ones do not count, since they are put back for it."""
+"""Cost of each request in flight beyond an upstream's slots, in tokens: the new
+request waits for another one to end. Less urgent requests are left out, since
+the engine preempts them for it."""
 
 
 NEW_CONNECTION_TOKENS = 200
-"""What a connection that is to be made first counts: an engine reads so many
-tokens in a round trip or two."""
+"""Cost of opening a connection, in tokens: as many as an engine prefills in one
+or two round trips."""
 
 OWN_LANE_SHORTLIST = 3
-"""Upstreams of a request's lane whose trackers are asked before it is placed:
-the least busy of a few is nearly as good as that of all."""
+"""Upstreams of a request's own lane whose trackers are asked for their load
+before it is placed: the least busy of a few is nearly as good as the least busy
+of all."""
 
 OTHER_LANE_SHORTLIST = 1
-"""The same of the other lane, where the request goes if its own is full."""
+"""Upstreams of the other lane that are asked as well, since the request goes
+there if its own lane is full."""
 
 
 class NoUpstream(enum.Enum):
-    """No upstream can take a request."""
+    """Why no upstream can take a request."""
 
     NONE_KNOWN = "no-upstream"
 
@@ -66,14 +71,15 @@
 
 @attrs.frozen
 class Choice:
-    """Where a request is to go.
+    """The upstream chosen for a request.
 
     Attributes:
         entry: The upstream.
-        tokens: Of its prompt, those that are likely to be read in there.
-        ahead: What was in flight there, in tokens.
-        source: From which upstream it can fetch cached parts of the prompt
-            that it lacks; None for none.
+        tokens: Prompt tokens that the upstream is expected to prefill.
+        ahead: Load at the upstream at the time of the choice: in tokens for
+            an engine, in requests for a plain service.
+        source: Upstream from which it can fetch cached parts of the prompt
+            that it lacks; None if there is none.
     """
 
     entry: UpstreamEntry
@@ -84,14 +90,14 @@
 
 @attrs.define
 class PlacedRequest:
-    """One request at one upstream.
+    """One request in flight at one upstream.
 
     Attributes:
         entry: The upstream.
-        tokens: To be read in before its first event.
-        urgency: Its urgency.
-        is_loose: Whether its stream bears long pauses.
-        has_started: Whether its first event is out.
+        tokens: Prompt tokens to prefill before the first event.
+        urgency: Urgency of the request, from 0, the most urgent.
+        is_loose: Whether its stream tolerates long inter-token gaps.
+        has_started: Whether its first event has arrived.
     """
 
     entry: UpstreamEntry
@@ -109,7 +115,7 @@
 
 @attrs.frozen
 class _PlacementRequest:
-    """A request that looks for a place at an engine."""
+    """A request to place at an engine, with the limits on the choice."""
 
     call: CallTraits
     excluded: frozenset[str]
@@ -119,7 +125,13 @@
 
 
 class Placement:
-    """The choice of an upstream, and the loads that it follows from."""
+    """Places requests at upstreams and keeps the loads up to date.
+
+    For engines the cheapest upstream wins: its load, the prompt tokens that it
+    has to prefill, and the cached parts that it lacks count towards its cost,
+    all in tokens. For plain services the one with the fewest requests per slot
+    wins.
+    """
 
     def __init__(
         self,
@@ -130,16 +142,18 @@
         rng: random.Random,
         is_connected: Callable[[str], bool] = _not_connected,
     ) -> None:
-        """Starts with nothing learnt.
+        """Builds the placement of one host.
 
         Args:
-            loads: Work in flight.
-            demand: Prompt tokens that are sent, by lane.
-            cached: Which upstream has which parts of prompts.
-            data_centre: This host's; preferred where nothing else decides.
-            rng: Breaks ties, so that hosts do not all choose the same.
-            is_connected: Whether a connection is kept to an incarnation, over
-                which a request can be sent at once.
+            loads: Work in flight at each upstream.
+            demand: Prompt tokens and streams sent, by lane.
+            cached: Parts of prompts that each upstream is believed to cache.
+            data_centre: Data centre of this host, preferred between upstreams
+                of a plain service that are equally busy.
+            rng: Source of random choices and tie-breaks, so that hosts do not
+                all choose the same upstream.
+            is_connected: Returns whether an idle connection to an incarnation
+                is kept open.
         """
         self._loads = loads
         self._data_centre = data_centre
@@ -162,21 +176,22 @@
         among: Collection[str] = (),
         limited: Collection[str] = (),
     ) -> Choice | NoUpstream:
-        """Returns where a request is to go.
+        """Returns the upstream that a request is to be sent to.
 
         Args:
-            service: The service.
-            candidates: Its upstreams that may get work, in an order that is
-                the same at all hosts.
+            service: Service that the request is for.
+            candidates: Upstreams of the service that may get work, in an order
+                that is the same at all hosts.
             call: The request.
-            excluded: Incarnations that it was sent to before.
-            now_s: The time.
-            is_loose: Whether its stream bears long pauses.
-            urgency: The same at all hosts; 0 is the first.
-            among: Incarnations whose loads were asked for; empty for none. Only
-                if none of them may be chosen, any other one is.
-            limited: Incarnations that take few requests only. They belong to
-                both lanes and to the size of neither.
+            excluded: Incarnations that must not be chosen.
+            now_s: Current time in seconds.
+            is_loose: Whether its stream tolerates long inter-token gaps.
+            urgency: Urgency of the request, on a scale that all hosts share;
+                0 is the most urgent.
+            among: Incarnations on the shortlist, whose loads were asked for;
+                empty for none. Others are chosen only if none of these may be.
+            limited: Incarnations under a rate limit. They belong to both lanes
+                and do not count towards the size of either.
         """
         if service.engine is None or not call.prompt or not candidates:
             return self._choose_plain(candidates, excluded, among, now_s)
@@ -202,22 +217,23 @@
         is_loose: bool,
         limited: Collection[str] = (),
     ) -> list[UpstreamEntry]:
-        """Returns upstreams to ask for before a request is placed.
+        """Returns the upstreams whose load is asked for before placement.
 
-        Those that all hosts prefer for its shared parts, so that these are
-        cached at a few; where little is shared, some at random. Choosing the
-        least busy of a few that are known is nearly as good as knowing all,
-        and no two requests crowd on the one that seemed idle a moment ago.
+        These are the ones that all hosts prefer for its shared parts, so that
+        the parts are cached at few upstreams; where little is shared, some are
+        drawn at random. Choosing the least busy of a few with a fresh load is
+        nearly as good as knowing all loads, and requests do not crowd on the
+        one upstream that seemed idle a moment ago.
 
         Args:
-            service: The service.
-            candidates: Its upstreams that may get work, in an order that is
-                the same at all hosts.
+            service: Service that the request is for.
+            candidates: Upstreams of the service that may get work, in an order
+                that is the same at all hosts.
             call: The request.
-            excluded: Incarnations that it is not to go to.
-            now_s: The time.
-            is_loose: Whether its stream bears long pauses.
-            limited: As of `choose`.
+            excluded: Incarnations that must not be chosen.
+            now_s: Current time in seconds.
+            is_loose: Whether its stream tolerates long inter-token gaps.
+            limited: Incarnations under a rate limit, as for `choose`.
         """
         if service.engine is None or not call.prompt:
             usable = [c for c in candidates if c.incarnation not in excluded]
@@ -252,11 +268,12 @@
     def _sample(
         self, entries: list[UpstreamEntry], count: int
     ) -> list[UpstreamEntry]:
-        """Returns some by chance: most with a kept connection, one of all.
+        """Returns a random sample: all but one with an idle connection.
 
-        One of many hosts sends to an upstream so seldom that a connection
-        that is kept for it is closed before it is used again, unless the host
-        goes back to where it has just been.
+        In a large fleet each host sends to any one upstream so seldom that its
+        idle connection is closed before it is used again, unless the host
+        prefers upstreams that it has used lately. The last one is drawn from
+        all others, as are those that too few idle connections leave open.
         """
         kept = [e for e in entries if self._is_connected(e.incarnation)]
         found = self._rng.sample(kept, min(count - 1, len(kept)))
@@ -272,7 +289,7 @@
         is_loose: bool,
         urgency: int,
     ) -> PlacedRequest:
-        """Notes that a request was sent."""
+        """Records that a request was sent and returns it."""
         incarnation = choice.entry.incarnation
         if choice.tokens:
             self._demand.begin(
@@ -284,13 +301,13 @@
         return work
 
     def start(self, work: PlacedRequest) -> None:
-        """Notes that its first event is out."""
+        """Records that the first event of a request has arrived."""
         if not work.has_started:
             work.has_started = True
             self._loads.start(work.entry.incarnation, work.tokens, work.urgency)
 
     def end(self, work: PlacedRequest) -> None:
-        """Notes that it has ended."""
+        """Records that a request has ended."""
         entry = work.entry
         self._loads.end(
             entry.incarnation,
@@ -311,10 +328,10 @@
         open_ones = [c for c in candidates if c.incarnation not in excluded]
         if not open_ones:
             return NoUpstream.NONE_KNOWN
-        request = [c for c in open_ones if c.incarnation in among]
+        shortlisted = [c for c in open_ones if c.incarnation in among]
         free = [
             c
-            for c in request
+            for c in shortlisted
             if self._loads.at(c.incarnation, now_s).requests < c.slots
         ]
         open_ones = free or open_ones
@@ -337,10 +354,11 @@
         *,
         is_loose: bool,
     ) -> Sequence[UpstreamEntry]:
-        """Returns the upstreams of one lane, and those with a limit.
+        """Returns the upstreams of one lane, followed by all limited ones.
 
-        A lane whose upstreams have used up their limits would send its streams
-        to the other one.
+        Limited upstreams do not count towards a lane's size: a lane whose
+        upstreams had all used up their rate limits would send its streams to
+        the other lane.
         """
         if not limited:
             return self._lanes.of(service, candidates, now_s, is_loose=is_loose)
@@ -412,9 +430,10 @@
     def _load_cost(
         self, entry: UpstreamEntry, urgency: int, now_s: float
     ) -> int:
-        """Returns what is in flight at an upstream, in tokens.
+        """Returns the load that a new request meets at an upstream, in tokens.
 
-        Less urgent prompts that wait there are read in later, but for one.
+        Less urgent prompts that wait there are prefilled after the request's,
+        except for the one whose prefill has begun.
         """
         load = self._loads.at(entry.incarnation, now_s)
         beyond = load.requests_ahead_of(urgency) + 1 - entry.slots
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
@@ -1,16 +1,18 @@
-"""Refuses some of the least urgent streams while engines are nearly full.
-
-The more of an engine's time goes into reading prompts, the fewer steps are left
-for the streams that run: they end later, so that more run at once, until urgent
-ones put back others, whose prompts then are read in again. Past that point most
-streams are late, urgent ones too, and long ones time out when nearly done. One
-notices it by streams that take three times as long as usual and by requests put
-back. A stream refused in time is told when to come back, and spares the others.
-
-Only the least urgent routes of a service are refused, never all of their
-requests: all others are left to the engines, which sort them by urgency. So no
-request is refused for one of a less urgent route, and no route starves. Among
-requests of the least urgent routes chance decides, not the customer's priority.
+"""Sheds some of the least urgent streams while engines are nearly full.
+
+The more of an engine's time goes into prefill, the fewer steps are left for the
+streams that run. They end later, so that more run at once, until urgent ones
+preempt others, whose prompts then need prefill again. Past that point most
+streams miss their targets, urgent ones too, and long ones time out when nearly
+done. The signs are streams that take three times as long as usual, and
+preempted requests. A stream refused early gets a time to retry after, and its
+engine time goes to the others.
+
+Only the least urgent routes of a service are refused, and never all of their
+requests; all others are left to the engines, which order them by urgency. So no
+request is refused in favour of a less urgent route, and no route starves. Among
+requests of the least urgent routes the choice is random and does not depend on
+the customer's priority.
 """
 
 import enum
@@ -23,36 +25,37 @@
 from hollyknot_state.routes import UpstreamEntry
 
 BACKLOG_SHARE = 0.6
-"""Of all slots, the part in flight from which the least urgent are refused
-where prompts pile up."""
+"""Requests in flight, as a share of all slots, from which the least urgent are
+refused while prompts wait for prefill in a backlog."""
 
 NO_BACKLOG_SHARE = 0.75
-"""The same where they don't: engines with few slots fill them on any day, and
-are as fast then. The rest is for more urgent ones, which would else put back
-others that are then read in again."""
+"""The same share without a backlog: engines with few slots fill them under
+normal load and are as fast then. The remaining slots are for more urgent
+requests, which would otherwise preempt others that then need prefill again."""
 
 BACKLOG_TOKENS = 10_000
-"""Prompt tokens that wait at an upstream, on the mean, from which they pile up:
-the prompts of one or two long requests, which one engine reads in a sixth of a
-second. More means that reading, and not slots, is short."""
+"""Mean number of waiting prompt tokens per upstream from which there is a
+backlog: the prompts of one or two long requests, which an engine prefills in a
+sixth of a second. With more, the bottleneck is prefill, not slots."""
 
 ADMITTED_SHARE = 0.1
-"""Of the least urgent, what is admitted all the same, so that none starves."""
+"""Share of the least urgent requests that is admitted under any load, so that
+no route starves."""
 
 MIN_SHED_SHARE = 0.02
-"""Of all slots, what the least urgent may hold in any case: refusing a route
-that holds less would help nobody."""
+"""Share of all slots up to which the least urgent requests are never refused:
+to refuse a route that holds less would free too little to help others."""
 
 SLOW_FROM = 0.6
 SLOW_UNTIL = 1.2
-"""Of the time that a request has left after its first event, the part that its
-answer is expected to take from which some of the least urgent are refused, and
-up to which ever more of them. Lengths vary, so that at 0.6 some would time out
-and at 1.2 some would not."""
+"""Bounds of the ratio of an answer's expected duration to the time left after
+its first event. Between them the share of the least urgent requests that is
+refused rises from none to nearly all. Lengths vary, so that at a ratio of 0.6
+some would time out and at 1.2 some would not."""
 
 SHED_RETRY_AFTER_S = 3.0
-"""When a refused caller is told to come back, on the mean: bursts last a few
-seconds, and streams that run take about as long to end."""
+"""Mean time in seconds after which a refused caller is asked to retry: bursts
+last a few seconds, and running streams take about as long to end."""
 
 
 class Admission(enum.Enum):
@@ -63,11 +66,11 @@
 
 @attrs.frozen
 class Shed:
-    """A request is refused, so that others are served.
+    """A request is refused so that others are served in time.
 
     Attributes:
-        taken: Requests in flight at the service's upstreams.
-        slots: What the upstreams can run at once.
+        in_flight: Requests in flight at the service's upstreams.
+        slots: Requests that these upstreams can run at once.
     """
 
     in_flight: int
@@ -76,11 +79,11 @@
 
 @attrs.frozen
 class TooSlow:
-    """A request is refused, since its answer would hardly end in time.
+    """A request is refused since its answer would probably time out.
 
     Attributes:
-        needed_s: From its first event to its end, as expected.
-        left_s: From its first event to its time limit.
+        needed_s: Expected seconds from its first event to its end.
+        left_s: Seconds from its first event to its timeout.
     """
 
     needed_s: float
@@ -91,11 +94,11 @@
     """Decides which streams are refused."""
 
     def __init__(self, loads: Loads, rng: random.Random) -> None:
-        """Follows the loads.
+        """Builds load shedding that follows the loads.
 
         Args:
-            loads: Work in flight, of all hosts that are heard.
-            rng: Chooses which of the least urgent are admitted.
+            loads: Work in flight of this host and of the peers that it hears.
+            rng: Source of the random choice of requests to admit.
         """
         self._loads = loads
         self._rng = rng
@@ -103,12 +106,12 @@
     def decide(
         self, entries: Sequence[UpstreamEntry], sheds_from: int, now_s: float
     ) -> Admission | Shed:
-        """Returns whether one of the least urgent streams may be sent.
+        """Decides by load whether one of the least urgent streams may be sent.
 
         Args:
-            entries: The upstreams that it could go to.
-            sheds_from: The urgency from which streams are the least urgent.
-            now_s: The time.
+            entries: Upstreams that it could be sent to.
+            sheds_from: Urgency from which streams count as the least urgent.
+            now_s: Current time in seconds.
         """
         loads = [self._loads.at(e.incarnation, now_s) for e in entries]
         slots = sum(entry.slots for entry in entries)
@@ -126,11 +129,11 @@
     def decide_by_time(
         self, needed_s: float, left_s: float
     ) -> Admission | TooSlow:
-        """Returns whether one of the least urgent streams may be sent.
+        """Decides by time whether one of the least urgent streams may be sent.
 
         Args:
-            needed_s: How long its answer is expected to take.
-            left_s: How long it may take.
+            needed_s: Expected seconds from its first event to its end.
+            left_s: Seconds from its first event to its timeout.
         """
         share = needed_s / left_s if left_s > 0 else SLOW_UNTIL
         chance = (share - SLOW_FROM) / (SLOW_UNTIL - SLOW_FROM)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_steps.py
@@ -1,4 +1,4 @@
-"""What follows a try: decided from the verdict and the route alone."""
+"""Decides whether a request is retried or answered after a failed try."""
 
 import attrs
 
@@ -6,7 +6,7 @@
 from hollyknot_state.routes import Route
 
 _MIN_LEFT_S = 0.05
-"""A retry with less time left is answered by its timeout anyway."""
+"""Seconds left below which a retry would time out anyway and is not sent."""
 
 _REFUSED = 503
 _BAD_GATEWAY = 502
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class TryState:
-    """What is known when a try has ended.
+    """State of a request when a try has ended.
 
     Attributes:
-        sent: Upstreams that the request was sent to so far.
-        may_have_run: Whether one of the tries may have run.
-        left_s: Until the request times out.
-        budget_left: Retries that the service's budget still allows.
-        candidates: Upstreams of the service not tried yet.
+        sent: Number of upstreams that the request was sent to so far.
+        may_have_run: Whether any upstream may have run the request.
+        left_s: Seconds until the request times out.
+        budget_left: Retries that the service's retry budget still allows.
+        candidates: Number of upstreams that the request can still be sent to.
     """
 
     sent: int
@@ -37,8 +37,8 @@
     """Send the request to another upstream.
 
     Attributes:
-        is_retry: Whether it draws on the budget: the request has reached an
-            upstream before.
+        is_retry: Whether the try is charged to the retry budget, since the
+            request has been sent to an upstream before.
     """
 
     is_retry: bool
@@ -49,10 +49,9 @@
     """Answer the caller now.
 
     Attributes:
-        status: The HTTP status.
-        verdict: Whether the request may have run.
-        is_unpaid: Whether only the budget of retries stood against another
-            try.
+        status: HTTP status of the answer.
+        verdict: Outcome of the request, with its reason.
+        is_budget_spent: Whether only the retry budget prevented another try.
     """
 
     status: int
@@ -63,16 +62,16 @@
 def next_step(
     route: Route, verdict: Verdict, state: TryState
 ) -> TryAnother | GiveUp:
-    """Decides what follows a try without an answer for the caller.
+    """Returns what to do after a try without an answer for the caller.
 
     Args:
-        route: What may be repeated, and how often.
-        verdict: How the last try ended.
-        state: Of the whole request, the last try included.
+        route: Route of the request: whether it is repeatable, and how often.
+        verdict: Outcome of the last try.
+        state: State of the request, the last try included.
     """
     is_safe = not state.may_have_run or route.is_repeatable
     has_time = state.left_s > _MIN_LEFT_S
-    # A request that never reached an upstream has used up no attempt.
+    # A try that never reached an upstream does not count as an attempt.
     is_allowed = state.sent < route.max_attempts
     is_retry = state.sent > 0
     has_budget = not is_retry or state.budget_left >= 1.0
@@ -83,10 +82,10 @@
 
 
 def give_up(verdict: Verdict, state: TryState) -> GiveUp:
-    """Returns the answer of a request that no try has answered.
+    """Returns the answer to a request that no upstream has answered.
 
-    503 promises that the request has not run and never will, so that it is
-    given only if every try proved so.
+    Status 503 promises that the request has not run and never will, so it is
+    used only if every try proved this.
     """
     if not state.may_have_run:
         refused = attrs.evolve(verdict, outcome=Outcome.NOT_RUN)
