--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
@@ -19,7 +19,7 @@
 class TestCachedParts:
     """Beliefs of one host, and what hosts tell each other."""
 
-    def test_nobody_is_known_to_have_what_was_never_sent(self) -> None:
+    def test_parts_that_were_never_sent_count_as_uncached(self) -> None:
         """Loads count a tenth of what is read when all caches are empty.
 
         Sequence: a fleet starts, all sessions are new; each request was taken
@@ -31,7 +31,7 @@
         assert found.holders == ()
         assert set(found.missing_tokens.values()) == {4600}
 
-    def test_a_host_knows_where_it_sent_what(self) -> None:
+    def test_sent_parts_count_as_cached_at_the_upstream(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         found = _of(cached, 1.0)
@@ -39,19 +39,19 @@
         assert found.uncached_tokens == 0
         assert [entry.name for entry in found.holders] == ["b"]
 
-    def test_a_part_that_sessions_share_counts_alone(self) -> None:
+    def test_part_shared_by_sessions_counts_as_cached_for_both(self) -> None:
         cached = CachedParts()
         other = call(("sys", 600), ("another", 900), ("own", 9)).prompt
         cached.note("c", other, 0.0)
         assert _of(cached, 1.0).missing_tokens["c"] == 4000
         assert _of(cached, 1.0).uncached_tokens == 4000
 
-    def test_it_is_forgotten(self) -> None:
+    def test_sent_parts_expire(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         assert _of(cached, REMEMBERED_S + 0.1).missing_tokens["b"] == 4600
 
-    def test_peers_learn_it_once(self) -> None:
+    def test_held_run_is_reported_once(self) -> None:
         one, other = CachedParts(), CachedParts()
         one.note("b", PROMPT, 0.0)
         told = one.told(0.1)
@@ -63,12 +63,12 @@
         other.note("b", PROMPT, 1.0)
         assert one.told(1.0) == other.told(1.0) == ()
 
-    def test_news_are_told_for_a_moment_only(self) -> None:
+    def test_held_run_leaves_reports_after_a_moment(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         assert cached.told(REPORTED_S + 0.01) == ()
 
-    def test_short_parts_are_not_told(self) -> None:
+    def test_short_runs_are_not_reported(self) -> None:
         cached = CachedParts()
         cached.note("b", call(("s", 100), ("t", 90), ("own", 9)).prompt, 0.0)
         assert cached.told(0.0) == ()
@@ -77,20 +77,20 @@
 class TestSource:
     """Where an upstream is told to fetch what it lacks."""
 
-    def test_it_is_one_that_is_known_to_have_it(self) -> None:
+    def test_source_is_an_upstream_known_to_have_the_parts(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         source = _of(cached, 1.0).source(POOL[0], None, ())
         assert source is POOL[1]
 
-    def test_it_is_never_itself(self) -> None:
+    def test_source_is_never_the_upstream_itself(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
         found = _of(cached, 1.0)
         assert found.source(POOL[1], POOL[1], ()) is None
         assert found.source(POOL[1], POOL[2], ()) is POOL[2]
 
-    def test_a_holder_is_told_another_one(self) -> None:
+    def test_holder_gets_another_holder_as_source(self) -> None:
         """Parts are read again though another upstream has them.
 
         Sequence: an upstream has dropped parts that were sent there seconds
@@ -102,7 +102,7 @@
         cached.note("c", PROMPT, 0.5)
         assert _of(cached, 1.0).source(POOL[1], None, ()) is POOL[2]
 
-    def test_unknown_parts_are_asked_for_at_the_preferred_one(self) -> None:
+    def test_source_of_unknown_parts_is_the_preferred_upstream(self) -> None:
         found = _of(CachedParts())
         preferred_entry = found.preferred_entry(POOL)
         other = next(entry for entry in POOL if entry is not preferred_entry)
@@ -113,7 +113,7 @@
         found = CachedParts().missing(POOL, prompt, 0.0)
         assert found.source(POOL[0], POOL[1], ()) is None
 
-    def test_one_that_cannot_be_reached_is_not_asked(self) -> None:
+    def test_unreachable_upstream_is_not_a_source(self) -> None:
         """Prompts wait behind a fetch that never ends.
 
         Sequence: a data centre is cut off; upstreams are told to fetch from
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_events.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_events.py
@@ -8,7 +8,7 @@
 class TestEventFramer:
     """Bytes in, whole events out."""
 
-    def test_holds_a_torn_event_back(self) -> None:
+    def test_partial_event_is_held_back(self) -> None:
         cutter = EventFramer()
         assert cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == (
             b"id: 1\ndata: a\n\n"
@@ -23,11 +23,11 @@
         assert not cutter.has_partial_event
 
     @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
-    def test_knows_each_line_end(self, end: bytes) -> None:
+    def test_each_kind_of_line_end_ends_an_event(self, end: bytes) -> None:
         cutter = EventFramer()
         assert cutter.feed(b"data: a" + end + b"data") == b"data: a" + end
 
-    def test_torn_event_is_not_joined_to_the_next_upstreams(self) -> None:
+    def test_partial_event_is_not_joined_to_the_next_upstreams(self) -> None:
         """A caller reads a piece that no upstream sent.
 
         Sequence: an upstream crashes within an event; the stream goes on at
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
@@ -21,7 +21,7 @@
 class TestForecasts:
     """Durations by what other streams show."""
 
-    def test_nothing_is_said_of_what_was_never_seen(self) -> None:
+    def test_no_forecast_without_observations(self) -> None:
         forecasts = Forecasts()
         assert forecasts.duration_s("i", "r", 0.0) is None
         forecasts.note_interval("i", 0.4, 0.0)
@@ -29,12 +29,12 @@
         known = _known()
         assert known.duration_s("i", "r", 0.0) is None
 
-    def test_an_answer_takes_its_intervals(self) -> None:
+    def test_duration_is_interval_times_usual_length(self) -> None:
         forecasts = _known()
         forecasts.note_interval("i", 0.4, 0.0)
         assert forecasts.duration_s("i", "r", 0.1) == pytest.approx(4.0)
 
-    def test_an_upstream_without_streams_is_forgotten(self) -> None:
+    def test_pace_of_an_upstream_without_streams_expires(self) -> None:
         forecasts = _known()
         forecasts.note_interval("i", 0.4, 0.0)
         assert forecasts.duration_s("i", "r", FRESH_S + 0.1) is None
@@ -44,7 +44,7 @@
         forecasts.forget("i")
         assert forecasts.duration_s("i", "r", FRESH_S + 0.2) is None
 
-    def test_a_busy_engine_shows_at_once_and_an_idle_one_soon(self) -> None:
+    def test_forecast_rises_at_once_and_falls_soon(self) -> None:
         forecasts = _known()
         now_s = 0.0
         for _ in range(50):
@@ -63,7 +63,7 @@
         assert idle is not None
         assert idle < 0.5
 
-    def test_answers_that_end_in_a_burst_are_the_short_ones(self) -> None:
+    def test_short_answers_in_a_burst_do_not_lower_the_forecast(self) -> None:
         """Requests are admitted that time out, the more the busier it is.
 
         Sequence: engines are busy, only answers of a fifth of the usual
@@ -80,7 +80,7 @@
         found = forecasts.duration_s("i", "r", 0.0)
         assert found == pytest.approx(0.4 * 10, rel=0.25)
 
-    def test_callers_that_expect_nothing_count_alike(self) -> None:
+    def test_expected_length_of_zero_still_gives_a_forecast(self) -> None:
         forecasts = _known(tokens=0)
         forecasts.note_interval("i", 0.1, 0.0)
         assert forecasts.duration_s("i", "r", 0.0) == pytest.approx(1.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
@@ -17,14 +17,14 @@
 class TestLanes:
     """As many upstreams as the demand asks for."""
 
-    def test_follow_the_demand_of_all_hosts(self) -> None:
+    def test_lane_sizes_follow_the_demand_of_all_hosts(self) -> None:
         demand = Demand()
         lanes = Lanes(demand)
         assert _sizes(lanes, 0.0) == (3, 3)
         demand.take([LaneDemand("engines", 90_000, 9_000)])
         assert _sizes(lanes, 0.0) == (5, 1)
 
-    def test_a_lane_has_the_slots_that_its_streams_take(self) -> None:
+    def test_lane_has_enough_slots_for_its_streams(self) -> None:
         """Streams with short pauses run beside long prompts on a calm day.
 
         Sequence: short prompts with long answers take all slots of the few
@@ -45,13 +45,13 @@
             demand.end("engines", is_loose=False)
         assert demand.streams("engines", is_loose=False) == 0
 
-    def test_streams_of_hosts_that_were_not_heard_count(self) -> None:
+    def test_streams_of_unheard_hosts_are_estimated(self) -> None:
         demand = Demand()
         demand.take([LaneDemand("engines", 0, 0, 6, 3)], 0.5)
         assert demand.streams("engines", is_loose=True) == 12
         assert demand.streams("engines", is_loose=False) == 6
 
-    def test_where_slots_are_short_tight_streams_go_first(self) -> None:
+    def test_tight_lane_is_served_first_where_slots_are_short(self) -> None:
         """Both kinds of streams are late in a burst of either.
 
         Sequence: long prompts come faster than their answers end, and take up
@@ -64,15 +64,15 @@
         demand.take([LaneDemand("engines", 90_000, 5_000, 80, 80)])
         assert _sizes(Lanes(demand), 0.0) == (2, 4)
 
-    def test_each_lane_keeps_one(self) -> None:
+    def test_each_lane_keeps_one_upstream(self) -> None:
         demand = Demand()
         demand.take([LaneDemand("engines", 90_000, 0)])
         assert _sizes(Lanes(demand), 0.0, count=2) == (1, 1)
 
-    def test_one_upstream_serves_both(self) -> None:
+    def test_single_upstream_serves_both_lanes(self) -> None:
         assert _sizes(Lanes(Demand()), 0.0, count=1) == (1, 1)
 
-    def test_small_changes_move_nothing(self) -> None:
+    def test_small_changes_of_demand_keep_the_lane_sizes(self) -> None:
         demand = Demand()
         lanes = Lanes(demand)
         demand.take([LaneDemand("engines", 50_000, 30_000)])
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -8,7 +8,7 @@
 class TestLoads:
     """A host's own work, and what peers tell of theirs."""
 
-    def test_a_request_from_its_sending_to_its_end(self) -> None:
+    def test_request_is_counted_until_it_ends(self) -> None:
         loads = Loads()
         loads.begin("i-1", 500, 2)
         assert loads.at("i-1").waiting_tokens == 500
@@ -31,21 +31,21 @@
         told = [load.tokens_ahead_of(u) for u in (0, 6, 7)]
         assert told == [400, 400, 800]
 
-    def test_half_of_one_less_urgent_prompt_is_being_read(self) -> None:
+    def test_half_of_one_less_urgent_prompt_counts_as_in_prefill(self) -> None:
         loads = Loads()
         for tokens in (8000, 2000):
             loads.begin("i-1", tokens, 7)
         load = loads.at("i-1")
         assert [load.tokens_in_prefill(u) for u in (0, 6, 7)] == [2500, 2500, 0]
 
-    def test_a_peer_that_is_silent_no_longer_counts(self) -> None:
+    def test_peer_without_a_report_no_longer_counts(self) -> None:
         own, peer = Loads(), Loads()
         peer.begin("i-1", 300, 0)
         own.replace_reports([report("b", uses=peer.uses())])
         own.replace_reports([])
         assert own.at("i-1") == Load()
 
-    def test_more_than_a_byte_holds(self) -> None:
+    def test_reported_counts_are_capped_at_one_byte(self) -> None:
         peer = Loads()
         for _ in range(300):
             peer.begin("i-1", 1, 1)
@@ -56,7 +56,7 @@
 class TestMergedUses:
     """Short reports, which tell only of upstreams where prompts wait."""
 
-    def test_prompts_that_wait_no_more_are_taken_to_run(self) -> None:
+    def test_prompts_missing_from_a_short_report_count_as_running(self) -> None:
         """An upstream looks busy long after it has read all prompts.
 
         Sequence: a whole report tells of prompts that wait there, short ones
@@ -76,7 +76,7 @@
         assert (second.waiting_tokens, second.waiting) == (500, 1)
         assert first.requests_ahead_of(1) == 1
 
-    def test_an_upstream_that_gets_its_first_prompt_is_added(self) -> None:
+    def test_upstream_missing_from_the_full_report_is_added(self) -> None:
         peer = Loads()
         peer.begin("i-1", 900, 0)
         assert merged_uses((), peer.uses()) == peer.uses()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
@@ -88,7 +88,7 @@
         }
         assert len(chosen) == 1
 
-    def test_sessions_are_spread(self) -> None:
+    def test_sessions_reach_every_upstream_of_a_lane(self) -> None:
         """An upstream of a lane gets no session at all.
 
         Sequence: three upstreams share a lane; each session's home is the one
@@ -120,7 +120,9 @@
                 tight.add(short_one.entry.incarnation)
         assert loose.isdisjoint(tight)
 
-    def test_a_busy_home_is_left_once_more_waits_than_parts_cost(self) -> None:
+    def test_session_moves_once_load_exceeds_the_cost_of_missing_parts(
+        self,
+    ) -> None:
         host = _Host()
         prompt = call(("sys", 500), ("s1", 4000), ("q", 50))
         home = host.choose(prompt, is_loose=True).entry.incarnation
@@ -136,7 +138,7 @@
             for _ in range(2 * entry.slots):
                 host.loads.begin(entry.incarnation, 10, urgency)
 
-    def test_an_urgent_stream_goes_where_less_urgent_ones_run(self) -> None:
+    def test_urgent_stream_disregards_requests_that_are_preempted(self) -> None:
         """Urgent streams get nothing while others begin beside them.
 
         Sequence: urgent streams wait at the full upstreams of their lane; at
@@ -150,7 +152,7 @@
         found = host.choose(urgent, is_loose=False, urgency=1)
         assert found.entry in POOL[:3]
 
-    def test_prompts_that_are_read_in_later_do_not_keep_one_away(self) -> None:
+    def test_less_urgent_waiting_prompts_do_not_prevent_overflow(self) -> None:
         """Urgent streams wait for seconds, and time out, in a burst.
 
         Sequence: more urgent prompts wait in the lane of tight streams, less
@@ -167,7 +169,7 @@
         found = host.choose(urgent, is_loose=False, urgency=1)
         assert found.entry in POOL[:3]
 
-    def test_an_urgent_stream_avoids_a_long_prompt_that_is_being_read(
+    def test_urgent_stream_avoids_a_long_prompt_in_prefill(
         self,
     ) -> None:
         """A short prompt is answered after half a second on a calm day.
@@ -183,7 +185,7 @@
         found = host.choose(urgent, is_loose=True, urgency=1)
         assert found.entry.incarnation != home
 
-    def test_a_less_urgent_stream_stays_away_from_urgent_ones(self) -> None:
+    def test_less_urgent_stream_does_not_overflow_to_urgent_ones(self) -> None:
         host = _Host()
         self._fill(host, is_loose=True, urgency=5)
         self._fill(host, is_loose=False, urgency=1)
@@ -270,23 +272,25 @@
     @pytest.mark.parametrize(
         "limited", [{"a", "b", "c"}, {"d", "e", "f"}, {"a", "f"}]
     )
-    def test_lanes_are_made_of_the_others(self, limited: set[str]) -> None:
+    def test_limited_upstreams_do_not_empty_a_lane(
+        self, limited: set[str]
+    ) -> None:
         """Guards against a lane that is lost with its limited upstreams."""
         used_up = frozenset(limited)
         loose, tight = self._places(used_up, used_up)
         assert not loose & tight
         assert loose | tight == {e.incarnation for e in POOL} - limited
 
-    def test_one_with_a_permit_takes_streams_of_both_lanes(self) -> None:
+    def test_limited_upstreams_serve_both_lanes(self) -> None:
         limited = frozenset({"a", "b", "c", "d"})
         loose, tight = self._places(limited)
         assert loose & limited
         assert tight & limited
 
-    def test_where_all_are_limited_any_is_chosen(self) -> None:
+    def test_all_are_used_where_all_are_limited(self) -> None:
         loose, tight = self._places(frozenset(e.incarnation for e in POOL))
         assert loose | tight == {e.incarnation for e in POOL}
 
-    def test_one_that_is_used_up_is_not_chosen(self) -> None:
+    def test_limited_upstream_that_is_excluded_is_not_chosen(self) -> None:
         loose, tight = self._places(frozenset({"a", "b"}), frozenset({"a"}))
         assert "a" not in loose | tight
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shedding.py
@@ -52,10 +52,12 @@
             (40, 0),
         ],
     )
-    def test_refuses_none(self, urgent: int, least_urgent: int) -> None:
+    def test_refuses_none_where_shedding_does_not_help(
+        self, urgent: int, least_urgent: int
+    ) -> None:
         assert _refused(_loads(urgent, least_urgent)) == 0
 
-    def test_full_slots_refuse_none_while_prompts_are_read_at_once(
+    def test_busy_slots_without_backlog_refuse_none(
         self,
     ) -> None:
         """Callers are turned away from engines that have time.
@@ -84,19 +86,19 @@
         expected = ADMITTED_SHARE * TRIES
         assert 0.7 * expected < admitted < 1.3 * expected
 
-    def test_tells_what_it_follows_from(self) -> None:
+    def test_refusal_names_requests_in_flight_and_slots(self) -> None:
         shedding = Shedding(_loads(30, 10), random.Random(1))
         found = {shedding.decide(POOL, LEAST_URGENT, 0.0) for _ in range(50)}
         assert found == {Admission.ADMITTED, Shed(40, SLOTS)}
 
-    def test_no_upstream_at_all_refuses_nothing(self) -> None:
+    def test_service_without_upstreams_refuses_none(self) -> None:
         """A service without upstreams has an answer of its own."""
         shedding = Shedding(_loads(30, 10), random.Random(1))
         found = {shedding.decide([], LEAST_URGENT, 0.0) for _ in range(50)}
         assert found == {Admission.ADMITTED}
 
 
-class TestByTime:
+class TestSheddingByTime:
     """Answers that would hardly end in time."""
 
     @pytest.mark.parametrize(
@@ -109,7 +111,7 @@
             (1.0, 0.0, 850, 950),
         ],
     )
-    def test_the_longer_it_takes_the_more_are_refused(
+    def test_refused_share_grows_with_the_expected_duration(
         self, needed_s: float, left_s: float, least: int, most: int
     ) -> None:
         shedding = Shedding(Loads(), random.Random(1))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
@@ -62,7 +62,7 @@
 class TestShortlist:
     """A few of the own lane, one of the other."""
 
-    def test_all_hosts_ask_for_the_same_where_much_is_shared(self) -> None:
+    def test_hosts_agree_on_the_shortlist_where_much_is_shared(self) -> None:
         """Shared parts are read again at each engine of a large fleet.
 
         Sequence: each host sends the requests of a session to whichever engine
@@ -74,13 +74,13 @@
         }
         assert len(lists[0]) == OWN_LANE_SHORTLIST + OTHER_LANE_SHORTLIST
 
-    def test_where_little_is_shared_they_are_spread(self) -> None:
+    def test_shortlist_is_random_where_little_is_shared(self) -> None:
         counts = Counter(
             name for seed in range(200) for name in _Host(seed).shortlist(SHORT)
         )
         assert len(counts) == len(POOL)
 
-    def test_where_little_is_shared_it_goes_back(self) -> None:
+    def test_idle_connections_are_reused_where_little_is_shared(self) -> None:
         """Each request makes a connection of its own.
 
         Sequence: a host sends a request to one of many upstreams; the next
@@ -121,22 +121,22 @@
         assert reused == 100
         assert len(others) > 3
 
-    def test_none_that_is_excluded(self) -> None:
+    def test_excluded_upstreams_are_not_on_the_shortlist(self) -> None:
         host = _Host(1)
         excluded = frozenset(host.shortlist(LONG))
         assert not excluded & set(host.shortlist(LONG, excluded=excluded))
 
-    def test_each_is_asked_for_once_where_there_are_few(self) -> None:
+    def test_shortlist_of_a_small_pool_has_no_duplicates(self) -> None:
         for size in (1, 2, 3):
             found = _Host(1).shortlist(LONG, pool=POOL[:size])
             assert sorted(found) == [e.incarnation for e in POOL[:size]]
 
-    def test_plain_services_have_one_too(self) -> None:
+    def test_plain_services_get_a_shortlist(self) -> None:
         found = _Host(1).shortlist(call(), PLAIN, APPS)
         assert len(set(found)) == OWN_LANE_SHORTLIST
 
 
-class TestChoiceAmong:
+class TestChoiceFromShortlist:
     """Only those that were asked for are chosen among."""
 
     def _choose(self, host: _Host, among: list[str]) -> str:
@@ -153,7 +153,7 @@
         assert isinstance(found, Choice)
         return found.entry.incarnation
 
-    def test_the_least_busy_of_those(self) -> None:
+    def test_least_busy_of_the_shortlist_is_chosen(self) -> None:
         host = _Host(1)
         among = host.shortlist(LONG)
         uses = [
@@ -163,7 +163,7 @@
         host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) == among[2]
 
-    def test_one_that_only_seems_idle_is_not_chosen(self) -> None:
+    def test_upstream_that_only_seems_idle_is_not_chosen(self) -> None:
         """All hosts send to one engine within the age of a report.
 
         Sequence: reports say that one engine has nothing to do. Cause: it was
@@ -178,7 +178,7 @@
         host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) in among
 
-    def test_if_none_of_those_is_left_any_other(self) -> None:
+    def test_others_are_chosen_if_the_shortlist_is_excluded(self) -> None:
         host = _Host(1)
         found = host.placement.choose(
             ENGINES,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
@@ -47,7 +47,7 @@
             (RESUMED, LOST, True, True),
         ],
     )
-    def test_repeats_only_what_may_be_repeated(
+    def test_retries_only_requests_that_are_safe_to_repeat(
         self, way: Route, verdict: Verdict, may_have_run: bool, is_retried: bool
     ) -> None:
         step = next_step(way, verdict, _state(may_have_run=may_have_run))
@@ -62,12 +62,12 @@
             _state(candidates=0, may_have_run=False),
         ],
     )
-    def test_ends_without_attempts_time_budget_or_upstreams(
+    def test_gives_up_without_attempts_time_budget_or_upstreams(
         self, state: TryState
     ) -> None:
         assert isinstance(next_step(READ, REFUSED, state), GiveUp)
 
-    def test_a_request_that_reached_nobody_costs_no_budget(self) -> None:
+    def test_request_that_reached_no_upstream_costs_no_budget(self) -> None:
         verdict = Verdict(Outcome.NOT_RUN, Reason.CONNECT_FAILED)
         state = _state(sent=0, budget=0.0, may_have_run=False)
         assert next_step(ONCE, verdict, state) == TryAnother(is_retry=False)
@@ -85,7 +85,7 @@
             (SILENT, True, 504, Outcome.MAY_HAVE_RUN),
         ],
     )
-    def test_status_tells_the_truth(
+    def test_status_is_503_only_if_nothing_ran(
         self,
         verdict: Verdict,
         may_have_run: bool,
