--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts believe of upstreams' caches."""
+"""Tests of which prompt parts hosts believe to be cached."""
 
 from hollyknot_coordination.forwarding import CachedParts
 from hollyknot_coordination.forwarding._cached_parts import (
@@ -17,14 +17,13 @@
 
 
 class TestCachedParts:
-    """Beliefs of one host, and what hosts tell each other."""
+    """What one host believes, and what hosts report to each other."""
 
     def test_parts_that_were_never_sent_count_as_uncached(self) -> None:
-        """Loads count a tenth of what is read when all caches are empty.
+        """Guards against loads of a tenth of the prefill with empty caches.
 
-        Sequence: a fleet starts, all sessions are new; each request was taken
-        to be read but for its shared parts. Cause: the upstream that hosts
-        prefer was taken to have them.
+        When a fleet starts, all sessions are new. The upstream that hosts
+        prefer must not be believed to have the shared parts already.
         """
         found = _of(CachedParts())
         assert found.uncached_tokens == 4600
@@ -58,7 +57,7 @@
         assert len(told) == 2
         other.take(told, 0.1)
         assert _of(other, 0.2).missing_tokens["b"] == 0
-        # What all know is not told again, by either.
+        # Neither host reports again what both know.
         one.note("b", PROMPT, 1.0)
         other.note("b", PROMPT, 1.0)
         assert one.told(1.0) == other.told(1.0) == ()
@@ -75,7 +74,7 @@
 
 
 class TestSource:
-    """Where an upstream is told to fetch what it lacks."""
+    """The upstream from which missing parts can be fetched."""
 
     def test_source_is_an_upstream_known_to_have_the_parts(self) -> None:
         cached = CachedParts()
@@ -91,11 +90,11 @@
         assert found.source(POOL[1], POOL[2], ()) is POOL[2]
 
     def test_holder_gets_another_holder_as_source(self) -> None:
-        """Parts are read again though another upstream has them.
+        """Guards against a prefill of parts that another upstream has cached.
 
-        Sequence: an upstream has dropped parts that were sent there seconds
-        ago, since running streams took the memory. Cause: it was believed to
-        have them, so that it was not told where to fetch them.
+        An upstream may have evicted parts that were sent there seconds ago,
+        since running streams needed the memory. So it needs a source although
+        it is believed to have the parts.
         """
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
@@ -114,10 +113,10 @@
         assert found.source(POOL[0], POOL[1], ()) is None
 
     def test_unreachable_upstream_is_not_a_source(self) -> None:
-        """Prompts wait behind a fetch that never ends.
+        """Guards against prompts that wait for a fetch that never ends.
 
-        Sequence: a data centre is cut off; upstreams are told to fetch from
-        those that were there. Cause: only where parts are was looked at.
+        After a data centre is cut off, the upstreams there must not be a source
+        any more, although they are known to have the parts.
         """
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_forecasts.py
@@ -1,4 +1,4 @@
-"""Tests of how long streams are expected to take."""
+"""Tests of the expected duration of streams."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def _known(intervals: int = 10, tokens: int = 50) -> Forecasts:
-    """Returns forecasts that know a route's usual answer."""
+    """Returns forecasts that know the usual length of a route's answers."""
     forecasts = Forecasts()
     for _ in range(MIN_ANSWERS):
         forecasts.note_request("r", tokens)
@@ -19,7 +19,7 @@
 
 
 class TestForecasts:
-    """Durations by what other streams show."""
+    """Durations by the intervals of other streams."""
 
     def test_no_forecast_without_observations(self) -> None:
         forecasts = Forecasts()
@@ -64,11 +64,11 @@
         assert idle < 0.5
 
     def test_short_answers_in_a_burst_do_not_lower_the_forecast(self) -> None:
-        """Requests are admitted that time out, the more the busier it is.
+        """Guards against admitting requests that time out under load.
 
-        Sequence: engines are busy, only answers of a fifth of the usual
-        length end in time. Cause: the usual length was taken from whole
-        answers alone.
+        While engines are busy only answers of a fifth of the usual length end
+        in time. A forecast from complete answers alone would be too short, and
+        the more so the busier the engines are.
         """
         forecasts = Forecasts()
         for number in range(500):
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
@@ -1,4 +1,4 @@
-"""Tests of dividing a service's upstreams."""
+"""Tests that a service's upstreams are divided into lanes."""
 
 from hollyknot_coordination.forwarding import Demand, Lanes
 from hollyknot_coordination.forwarding.tests._builders import upstream
@@ -15,7 +15,7 @@
 
 
 class TestLanes:
-    """As many upstreams as the demand asks for."""
+    """Each lane gets as many upstreams as the demand needs."""
 
     def test_lane_sizes_follow_the_demand_of_all_hosts(self) -> None:
         demand = Demand()
@@ -25,15 +25,15 @@
         assert _sizes(lanes, 0.0) == (5, 1)
 
     def test_lane_has_enough_slots_for_its_streams(self) -> None:
-        """Streams with short pauses run beside long prompts on a calm day.
+        """Guards against tight streams beside long prompts under normal load.
 
-        Sequence: short prompts with long answers take all slots of the few
-        upstreams that their reading asks for; the others of them go where
-        long prompts are read. Cause: upstreams were shared out by prompts.
+        Short prompts with long answers need little prefill but many slots. If
+        lanes were sized by prompt tokens alone, these streams would fill the
+        few upstreams of their lane and overflow to those with long prompts.
         """
         lanes = Lanes(demand := Demand())
         demand.take([LaneDemand("engines", 90_000, 5_000, 4, 14)])
-        # Of 8 slots each, 6 tenths are to be taken: 14 streams need three.
+        # At 6 tenths of 8 slots per upstream, 14 streams need three.
         assert _sizes(lanes, 0.0) == (3, 3)
 
     def test_streams_that_have_ended_need_no_slots(self) -> None:
@@ -52,11 +52,11 @@
         assert demand.streams("engines", is_loose=False) == 6
 
     def test_tight_lane_is_served_first_where_slots_are_short(self) -> None:
-        """Both kinds of streams are late in a burst of either.
+        """Guards against a burst of one lane that delays the streams of both.
 
-        Sequence: long prompts come faster than their answers end, and take up
-        slots that the others need as before. Cause: slots were shared out in
-        proportion to the streams of each.
+        Long prompts arrive faster than their answers end. If slots were divided
+        in proportion to streams, the loose lane would take slots that tight
+        streams still need.
         """
         lanes = Lanes(demand := Demand())
         demand.take([LaneDemand("engines", 90_000, 5_000, 80, 14)])
@@ -86,10 +86,10 @@
             for step in range(20):
                 demand.begin("engines", 900 * (index + 1), step, is_loose=True)
                 demand.begin("engines", 700, step, is_loose=False)
-        told = [demand.told(20.0) for demand in demands]
+        reports = [demand.told(20.0) for demand in demands]
         shares = []
         for index, demand in enumerate(demands):
-            others = [t for i, t in enumerate(told) if i != index]
+            others = [t for i, t in enumerate(reports) if i != index]
             demand.take(d for report in others for d in report)
             shares.append(round(demand.share_of_loose("engines", 20.0), 2))
         assert len(set(shares)) == 1
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of counting work in flight."""
+"""Tests that work in flight is counted."""
 
 from hollyknot_coordination.forwarding import Loads
 from hollyknot_coordination.forwarding._loads import Load, merged_uses
@@ -6,7 +6,7 @@
 
 
 class TestLoads:
-    """A host's own work, and what peers tell of theirs."""
+    """A host's own work and the work that its peers report."""
 
     def test_request_is_counted_until_it_ends(self) -> None:
         loads = Loads()
@@ -28,8 +28,8 @@
         load = own.at("i-1")
         assert (load.waiting_tokens, load.requests) == (800, 3)
         assert [load.requests_ahead_of(u) for u in (0, 6, 7, 9)] == [2, 2, 3, 3]
-        told = [load.tokens_ahead_of(u) for u in (0, 6, 7)]
-        assert told == [400, 400, 800]
+        ahead = [load.tokens_ahead_of(u) for u in (0, 6, 7)]
+        assert ahead == [400, 400, 800]
 
     def test_half_of_one_less_urgent_prompt_counts_as_in_prefill(self) -> None:
         loads = Loads()
@@ -54,14 +54,13 @@
 
 
 class TestMergedUses:
-    """Short reports, which tell only of upstreams where prompts wait."""
+    """Short reports, which list only upstreams where prompts wait."""
 
     def test_prompts_missing_from_a_short_report_count_as_running(self) -> None:
-        """An upstream looks busy long after it has read all prompts.
+        """Guards against an upstream that looks busy after all its prefills.
 
-        Sequence: a whole report tells of prompts that wait there, short ones
-        after it don't name it any more. Cause: what a report left out was
-        taken to be as before.
+        A full report lists prompts that wait there, and the short reports after
+        it omit the upstream. What they omit must not be taken as unchanged.
         """
         peer, own = Loads(), Loads()
         peer.begin("i-1", 900, 1)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of choosing an upstream."""
+"""Tests that requests are placed at the right upstream."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class _Host:
-    """The placement of one host, with its parts."""
+    """The placement of one host, with its loads and demand."""
 
     def __init__(self, seed: int = 1) -> None:
         self.loads = Loads()
@@ -74,7 +74,7 @@
 
 
 class TestEngines:
-    """Lanes, shared parts and loads."""
+    """Placement at engines by lanes, cached parts and loads."""
 
     def test_hosts_send_a_session_to_the_same_upstream(self) -> None:
         chosen = {
@@ -89,11 +89,11 @@
         assert len(chosen) == 1
 
     def test_sessions_reach_every_upstream_of_a_lane(self) -> None:
-        """An upstream of a lane gets no session at all.
+        """Guards against an upstream of a lane that gets no session at all.
 
-        Sequence: three upstreams share a lane; each session's home is the one
-        with the highest hash. Cause: the hash was a checksum, whose order for
-        two upstreams hangs on one bit of the session's name.
+        Each session prefers the upstream with the highest hash. With a checksum
+        as hash the order of two upstreams depends on one bit of the session's
+        name, and one of three upstreams never comes first.
         """
         host = _Host()
         chosen = {
@@ -114,7 +114,7 @@
             short_one = host.choose(short, i * 0.2, is_loose=False)
             host.demand.begin("engines", 4000, i * 0.2, is_loose=True)
             host.demand.begin("engines", 1200, i * 0.2, is_loose=False)
-            # Until then the lanes follow the demand that is being learnt.
+            # Before that, the lane sizes still adapt to the demand.
             if i >= 50:
                 loose.add(long_one.entry.incarnation)
                 tight.add(short_one.entry.incarnation)
@@ -132,18 +132,18 @@
         assert host.choose(prompt, is_loose=True).entry.incarnation != home
 
     def _fill(self, host: _Host, is_loose: bool, urgency: int) -> None:
-        """Takes all slots of a lane, and as many places in its queues."""
+        """Fills all slots of a lane and queues as many requests again."""
         entries = POOL[:3] if is_loose else POOL[3:]
         for entry in entries:
             for _ in range(2 * entry.slots):
                 host.loads.begin(entry.incarnation, 10, urgency)
 
     def test_urgent_stream_disregards_requests_that_are_preempted(self) -> None:
-        """Urgent streams get nothing while others begin beside them.
+        """Guards against urgent streams that wait while less urgent ones run.
 
-        Sequence: urgent streams wait at the full upstreams of their lane; at
-        those of the other lane less urgent ones run, in as many slots. Cause:
-        all that ran there counted, though an upstream puts it back.
+        The upstreams of the urgent stream's lane are full; those of the other
+        lane run less urgent requests in as many slots. These must not count,
+        since the engine preempts them.
         """
         host = _Host()
         self._fill(host, is_loose=True, urgency=5)
@@ -153,11 +153,11 @@
         assert found.entry in POOL[:3]
 
     def test_less_urgent_waiting_prompts_do_not_prevent_overflow(self) -> None:
-        """Urgent streams wait for seconds, and time out, in a burst.
+        """Guards against urgent streams that time out in a burst.
 
-        Sequence: more urgent prompts wait in the lane of tight streams, less
-        urgent and long ones in the other. Cause: the long ones counted, so
-        that the other lane never looked worth while.
+        More urgent prompts wait in the tight lane, less urgent long ones in the
+        loose lane. If the long ones counted, the loose lane would never be
+        cheaper.
         """
         host = _Host()
         for entry in POOL[:3]:
@@ -172,11 +172,11 @@
     def test_urgent_stream_avoids_a_long_prompt_in_prefill(
         self,
     ) -> None:
-        """A short prompt is answered after half a second on a calm day.
+        """Guards against a short prompt that waits half a second without need.
 
-        Sequence: an upstream of its lane reads a less urgent prompt of 36,000
-        tokens, the others are idle. Cause: less urgent prompts were taken to
-        be put back, also the one that the engine has begun to read.
+        One upstream of its lane prefills a less urgent prompt of 36,000 tokens
+        and the others are idle. An engine defers less urgent prompts, but not
+        the one whose prefill has begun, so that this one must count.
         """
         host = _Host()
         urgent = call(("s", 200), ("q", 500))
@@ -209,7 +209,7 @@
 
 
 class TestPlainServices:
-    """The least busy, near ones first."""
+    """Placement of plain services: the least busy, then the nearest."""
 
     def test_prefers_the_least_busy_then_the_near(self) -> None:
         host = _Host()
@@ -241,12 +241,12 @@
 
 
 class TestLimitedUpstreams:
-    """Upstreams that take few requests, beside others."""
+    """Placement where some upstreams are under a rate limit."""
 
     def _places(
         self, limited: frozenset[str], closed: frozenset[str] = frozenset()
     ) -> tuple[set[str], set[str]]:
-        """Returns where loose streams are placed, and tight ones."""
+        """Returns the upstreams of loose streams, and those of tight ones."""
         host = _Host()
         found: tuple[set[str], set[str]] = (set(), set())
         for number in range(2 * ENGINE_SLOTS):
@@ -275,7 +275,7 @@
     def test_limited_upstreams_do_not_empty_a_lane(
         self, limited: set[str]
     ) -> None:
-        """Guards against a lane that is lost with its limited upstreams."""
+        """Guards against a lane that vanishes with its limited upstreams."""
         used_up = frozenset(limited)
         loose, tight = self._places(used_up, used_up)
         assert not loose & tight
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Tests of refusing the least urgent streams."""
+"""Tests of load shedding among the least urgent streams."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 def _loads(urgent: int, least_urgent: int) -> Loads:
-    """Returns loads with so many requests in flight, evenly spread."""
+    """Returns loads with these numbers of requests, evenly distributed."""
     loads = Loads()
     for index in range(urgent):
         loads.begin(POOL[index % len(POOL)].incarnation, 100, 0)
@@ -31,7 +31,7 @@
 
 
 def _refused(loads: Loads) -> int:
-    """Returns how many of 1,000 streams are refused."""
+    """Returns how many of 1,000 of the least urgent streams are refused."""
     shedding = Shedding(loads, random.Random(1))
     return sum(
         isinstance(shedding.decide(POOL, LEAST_URGENT, 0.0), Shed)
@@ -40,7 +40,7 @@
 
 
 class TestShedding:
-    """What is refused, by what is in flight in 40 slots."""
+    """Refusals by the number of requests in flight in 40 slots."""
 
     @pytest.mark.parametrize(
         ("urgent", "least_urgent"),
@@ -48,7 +48,7 @@
             (0, 0),
             (0, 23),
             (20, 3),
-            # Urgent ones alone fill all slots: refusing the others is no help.
+            # Urgent requests alone fill all slots, so shedding does not help.
             (40, 0),
         ],
     )
@@ -60,11 +60,11 @@
     def test_busy_slots_without_backlog_refuse_none(
         self,
     ) -> None:
-        """Callers are turned away from engines that have time.
+        """Guards against refused requests at engines with time to spare.
 
-        Sequence: short prompts with long answers take two thirds of the slots
-        of engines that have few; no prompt waits. Cause: slots taken were
-        held for a sign that reading is behind, whatever waited.
+        Short prompts with long answers use two thirds of the slots of engines
+        with few slots, and no prompt waits. Busy slots alone do not mean that
+        prefill is behind.
         """
         assert _refused(_loads(20, 4)) == 0
         assert _refused(_loads(26, 3)) == 0
@@ -76,11 +76,11 @@
     def test_refuses_most_but_not_all(
         self, urgent: int, least_urgent: int
     ) -> None:
-        """Most streams are late in a burst, and long ones time out.
+        """Guards against a burst in which most streams miss their targets.
 
-        Sequence: long prompts come faster than the engines read them beside
-        the streams that run; these take three times as long, more of them run
-        at once, and urgent ones put others back. Cause: all were admitted.
+        If all requests were admitted, long prompts would arrive faster than the
+        engines prefill them beside the running streams. These would take three
+        times as long, so that more run at once and urgent ones preempt others.
         """
         admitted = TRIES - _refused(_loads(urgent, least_urgent))
         expected = ADMITTED_SHARE * TRIES
@@ -92,14 +92,14 @@
         assert found == {Admission.ADMITTED, Shed(40, SLOTS)}
 
     def test_service_without_upstreams_refuses_none(self) -> None:
-        """A service without upstreams has an answer of its own."""
+        """A request without upstreams is refused elsewhere, not shed."""
         shedding = Shedding(_loads(30, 10), random.Random(1))
         found = {shedding.decide([], LEAST_URGENT, 0.0) for _ in range(50)}
         assert found == {Admission.ADMITTED}
 
 
 class TestSheddingByTime:
-    """Answers that would hardly end in time."""
+    """Refusals of answers that would probably time out."""
 
     @pytest.mark.parametrize(
         ("needed_s", "left_s", "least", "most"),
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
@@ -1,4 +1,4 @@
-"""Tests of which upstreams are asked for before a request is placed."""
+"""Tests of the upstreams whose load is asked for before placement."""
 
 import random
 from collections import Counter
@@ -52,7 +52,7 @@
         pool: list[UpstreamEntry] = POOL,
         excluded: frozenset[str] = frozenset(),
     ) -> list[str]:
-        """Returns the names of those that are asked for."""
+        """Returns the incarnations on the shortlist of a request."""
         found = self.placement.shortlist(
             service, pool, request, excluded, 0.0, is_loose=True
         )
@@ -60,13 +60,13 @@
 
 
 class TestShortlist:
-    """A few of the own lane, one of the other."""
+    """The shortlist has a few upstreams of the own lane, one of the other."""
 
     def test_hosts_agree_on_the_shortlist_where_much_is_shared(self) -> None:
-        """Shared parts are read again at each engine of a large fleet.
+        """Guards against shared parts that every engine of a fleet prefills.
 
-        Sequence: each host sends the requests of a session to whichever engine
-        seemed idle to it. Cause: a session had no few engines of its own.
+        This happens if each host sends the requests of a session to whichever
+        engine seems idle, instead of to the few that all hosts prefer.
         """
         lists = [_Host(seed).shortlist(LONG) for seed in range(20)]
         assert {tuple(found[:OWN_LANE_SHORTLIST]) for found in lists} == {
@@ -81,11 +81,11 @@
         assert len(counts) == len(POOL)
 
     def test_idle_connections_are_reused_where_little_is_shared(self) -> None:
-        """Each request makes a connection of its own.
+        """Guards against a new connection for each request.
 
-        Sequence: a host sends a request to one of many upstreams; the next
-        one goes to another; the connection is closed before the host comes
-        back. Cause: upstreams were asked whatever connections were kept.
+        In a large fleet a host sends each request to another upstream, and its
+        idle connections are closed before they are used again, unless the
+        shortlist prefers upstreams with an idle connection.
         """
         kept = {POOL[1].incarnation, POOL[2].incarnation, POOL[3].incarnation}
         placement = Placement(
@@ -137,7 +137,7 @@
 
 
 class TestChoiceFromShortlist:
-    """Only those that were asked for are chosen among."""
+    """The choice is limited to the upstreams on the shortlist."""
 
     def _choose(self, host: _Host, among: list[str]) -> str:
         found = host.placement.choose(
@@ -164,10 +164,10 @@
         assert self._choose(host, among) == among[2]
 
     def test_upstream_that_only_seems_idle_is_not_chosen(self) -> None:
-        """All hosts send to one engine within the age of a report.
+        """Guards against all hosts sending to one engine between two reports.
 
-        Sequence: reports say that one engine has nothing to do. Cause: it was
-        chosen without asking what had been sent there since.
+        By the reports an engine is idle; it must not be chosen without asking
+        for its load, since requests may have been sent there meanwhile.
         """
         host = _Host(1)
         among = host.shortlist(LONG)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
@@ -1,4 +1,4 @@
-"""Tests of what follows a try."""
+"""Tests of the decision that follows a failed try."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 class TestNextStep:
-    """By verdict and route alone."""
+    """Whether a request is sent to another upstream."""
 
     @pytest.mark.parametrize(
         ("way", "verdict", "may_have_run", "is_retried"),
@@ -74,7 +74,7 @@
 
 
 class TestGiveUp:
-    """503 only where nothing ran."""
+    """The status of a request that no upstream has answered."""
 
     @pytest.mark.parametrize(
         ("verdict", "may_have_run", "status", "outcome"),
