--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -56,7 +56,9 @@
 class TestMergedUses:
     """Short reports, which list only upstreams where prompts wait."""
 
-    def test_prompts_missing_from_a_short_report_count_as_running(self) -> None:
+    def test_prompts_missing_from_a_partial_report_count_as_running(
+        self,
+    ) -> None:
         """Guards against an upstream that looks busy after all its prefills.
 
         A full report lists prompts that wait there, and the short reports after
@@ -75,7 +77,7 @@
         assert (second.waiting_tokens, second.waiting) == (500, 1)
         assert first.requests_ahead_of(1) == 1
 
-    def test_upstream_missing_from_the_full_report_is_added(self) -> None:
+    def test_upstream_first_named_in_a_partial_report_is_added(self) -> None:
         peer = Loads()
         peer.begin("i-1", 900, 0)
         assert merged_uses((), peer.uses()) == peer.uses()
