--- a/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
@@ -235,14 +235,14 @@
 def merged_uses(
     before: Iterable[UpstreamUse], waiting: Iterable[UpstreamUse]
 ) -> tuple[UpstreamUse, ...]:
-    """Returns a host's work by its last full report and a short one after it.
+    """Returns a host's work as updated by a partial use report.
 
-    A short report lists only upstreams where prompts wait. Requests that waited
-    at any other upstream are assumed to run by now.
+    A partial use report lists only upstreams where prompts wait. Requests that
+    waited at any other upstream are assumed to run by now.
 
     Args:
-        before: Uses of all upstreams, by the last full report.
-        waiting: Uses of the upstreams where prompts wait, by the short report.
+        before: Uses of all upstreams with work, as known before the report.
+        waiting: Uses in the report.
     """
     reported = {use.upstream: use for use in waiting}
     merged = [
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -54,15 +54,16 @@
 
 
 class TestMergedUses:
-    """Short reports, which list only upstreams where prompts wait."""
+    """Partial use reports, which list only upstreams where prompts wait."""
 
     def test_prompts_missing_from_a_partial_report_count_as_running(
         self,
     ) -> None:
         """Guards against an upstream that looks busy after all its prefills.
 
-        A full report lists prompts that wait there, and the short reports after
-        it omit the upstream. What they omit must not be taken as unchanged.
+        A full report lists prompts that wait there, and the partial reports
+        after it omit the upstream. What they omit must not be taken as
+        unchanged.
         """
         peer, own = Loads(), Loads()
         peer.begin("i-1", 900, 1)
