--- a/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
@@ -1,4 +1,4 @@
-"""Work in flight at upstreams: a host's own, exactly, and what peers tell."""
+"""Counts work in flight at upstreams, a host's own and its peers'."""
 
 import math
 import operator
@@ -10,19 +10,20 @@
 from hollyknot_state import HostReport, UpstreamUse, short_name
 
 URGENCIES = LEAST_URGENT + 1
-"""How many urgencies there are: 0, the first, to the least urgent."""
+"""Number of urgencies, from 0, the most urgent, to the least urgent."""
 
-_MOST_TOLD = 255
-"""What fits into a byte; no upstream has as many slots for one host."""
+_MAX_COUNT = 255
+"""Largest number of requests per urgency in a report, where each number takes
+one byte. No upstream has as many slots for one host."""
 
 TRACKED_S = 0.03
-"""How long a tracker's answer goes before reports: work changes within tens of
-milliseconds, and a round trip takes some."""
+"""Seconds for which a tracker's answer takes precedence over reports: work in
+flight changes within tens of milliseconds, and a round trip takes some."""
 
-_MOST_TRACKED = 500
-"""Answers that are kept before those that no longer count are dropped."""
+_MAX_TRACKED = 500
+"""Trackers' answers that may be kept before expired ones are dropped."""
 
-_NONE_AT_ANY = (0,) * URGENCIES
+_NO_COUNTS = (0,) * URGENCIES
 
 
 @attrs.frozen
@@ -30,45 +31,51 @@
     """Work at one upstream.
 
     Attributes:
-        tokens: Of prompts that may not have been read in yet, at each urgency.
-        waiting: Requests that have not been answered.
+        tokens: Prompt tokens at each urgency whose prefill may not be complete.
+        waiting: Requests without a first event.
         running: Streams that have begun.
-        urgencies: All of these at each urgency.
+        urgencies: Requests at each urgency, waiting or running.
     """
 
-    tokens: tuple[int, ...] = _NONE_AT_ANY
+    tokens: tuple[int, ...] = _NO_COUNTS
     waiting: int = 0
     running: int = 0
-    urgencies: tuple[int, ...] = _NONE_AT_ANY
+    urgencies: tuple[int, ...] = _NO_COUNTS
 
     @property
     def waiting_tokens(self) -> int:
-        """Prompt tokens at all urgencies."""
+        """Prompt tokens that wait for prefill, at all urgencies."""
         return sum(self.tokens)
 
     @property
     def requests(self) -> int:
-        """All that is in flight."""
+        """Requests in flight."""
         return self.waiting + self.running
 
-    def ahead_of(self, urgency: int) -> int:
-        """Returns how many requests an upstream does not put back for one."""
+    def requests_ahead_of(self, urgency: int) -> int:
+        """Returns how many requests are at an urgency or more urgent.
+
+        The upstream does not preempt these for a request of that urgency.
+        """
         return sum(self.urgencies[: urgency + 1])
 
     def behind(self, urgency: int) -> int:
-        """Returns how many requests are of an urgency or less urgent."""
+        """Returns how many requests are at an urgency or less urgent."""
         return sum(self.urgencies[urgency:])
 
     def tokens_ahead_of(self, urgency: int) -> int:
-        """Returns the prompt tokens that it reads in before those of one."""
+        """Returns the prompt tokens at an urgency or more urgent.
+
+        The upstream prefills these before a prompt of that urgency.
+        """
         return sum(self.tokens[: urgency + 1])
 
-    def tokens_being_read(self, urgency: int) -> int:
-        """Returns what is left, on average, of a less urgent prompt in work.
+    def tokens_in_prefill(self, urgency: int) -> int:
+        """Returns the expected rest of a less urgent prompt in prefill.
 
-        An engine puts less urgent prompts back, but for the one that it has
-        begun to read: a prompt of 34,000 tokens made more urgent streams wait
-        for half a second.
+        An engine defers less urgent prompts, except for the one whose prefill
+        has begun: a prompt of 34,000 tokens makes more urgent streams wait for
+        half a second. On average half of it is left.
         """
         less_urgent = sum(self.tokens[urgency + 1 :])
         return less_urgent // (2 * max(1, self.waiting))
@@ -86,7 +93,7 @@
     return tuple(map(operator.add, some, others))
 
 
-_NONE = Load()
+_NO_LOAD = Load()
 
 
 def _zeros() -> list[int]:
@@ -94,14 +101,14 @@
 
 
 @attrs.define
-class _Own:
+class _OwnLoad:
     waiting: int = 0
     running: int = 0
     tokens: list[int] = attrs.Factory(_zeros)
     urgencies: list[int] = attrs.Factory(_zeros)
 
     def load(self) -> Load:
-        """Returns it as it is now."""
+        """Returns a snapshot."""
         return Load(
             tuple(self.tokens),
             self.waiting,
@@ -111,30 +118,30 @@
 
 
 class Loads:
-    """Work in flight of all hosts that are heard of.
+    """Work in flight of this host and of the peers that it hears.
 
     Attributes:
-        on_change: Told of each change of own work.
+        on_change: Called after each change of this host's own work.
     """
 
     def __init__(self) -> None:
-        """Starts with none."""
-        self._own: dict[str, _Own] = {}
+        """Builds loads without any work in flight."""
+        self._own: dict[str, _OwnLoad] = {}
         self._peers: dict[int, Load] = {}
         self._tracked: dict[int, tuple[Load, float]] = {}
         self._changed: set[str] = set()
         self.on_change: Callable[[], None] = _ignore
 
     def begin(self, upstream: str, tokens: int, urgency: int) -> None:
-        """Notes that a request was sent."""
-        own = self._own.setdefault(upstream, _Own())
+        """Records that a request was sent."""
+        own = self._own.setdefault(upstream, _OwnLoad())
         own.waiting += 1
         own.tokens[urgency] += tokens
         own.urgencies[urgency] += 1
         self._note_change(upstream)
 
     def start(self, upstream: str, tokens: int, urgency: int) -> None:
-        """Notes that a stream has begun: its prompt has been read in."""
+        """Records that a stream has begun, so that its prefill is complete."""
         own = self._own[upstream]
         own.waiting -= 1
         own.tokens[urgency] -= tokens
@@ -144,7 +151,7 @@
     def end(
         self, upstream: str, tokens: int, urgency: int, *, has_started: bool
     ) -> None:
-        """Notes the end of a request."""
+        """Records that a request has ended."""
         own = self._own[upstream]
         own.urgencies[urgency] -= 1
         if has_started:
@@ -156,8 +163,8 @@
             del self._own[upstream]
         self._note_change(upstream)
 
-    def take_changed(self) -> set[str]:
-        """Returns where own work has changed since this was last asked."""
+    def pop_changed(self) -> set[str]:
+        """Returns the upstreams whose own work changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
@@ -165,40 +172,41 @@
         self._changed.add(upstream)
         self.on_change()
 
-    def take_reports(self, reports: Iterable[HostReport]) -> None:
-        """Replaces what peers told before."""
+    def replace_reports(self, reports: Iterable[HostReport]) -> None:
+        """Replaces the work in the previous reports of peers."""
         sums: dict[int, Load] = {}
         for report in reports:
             for use in report.uses:
-                known = sums.get(use.upstream, _NONE)
-                sums[use.upstream] = known + _told(use)
+                known = sums.get(use.upstream, _NO_LOAD)
+                sums[use.upstream] = known + _load_of(use)
         self._peers = sums
 
-    def take_tracked(self, uses: Iterable[UpstreamUse], now_s: float) -> None:
-        """Takes what trackers have answered: others' work at this moment.
+    def add_tracked(self, uses: Iterable[UpstreamUse], now_s: float) -> None:
+        """Adds trackers' answers: the current work of all other hosts.
 
-        It goes before what peers have reported, and is kept for a short while:
-        several requests that arrive together ask for the same upstreams.
+        An answer takes precedence over reports of peers. It is kept for a short
+        time, since requests that arrive together ask for the same upstreams.
         """
         newest_s = now_s - TRACKED_S
-        if len(self._tracked) > _MOST_TRACKED:
+        if len(self._tracked) > _MAX_TRACKED:
             self._tracked = {
                 name: kept
                 for name, kept in self._tracked.items()
                 if kept[1] >= newest_s
             }
         for use in uses:
-            self._tracked[use.upstream] = (_told(use), now_s)
+            self._tracked[use.upstream] = (_load_of(use), now_s)
 
     def at(self, upstream: str, now_s: float = math.inf) -> Load:
         """Returns the work in flight at an upstream.
 
         Args:
-            upstream: Its incarnation.
-            now_s: The time; without it, what trackers answered is left out.
+            upstream: Incarnation of the upstream.
+            now_s: Current time in seconds; without it, answers of trackers are
+                left out.
         """
         short = short_name(upstream)
-        peers = self._peers.get(short, _NONE)
+        peers = self._peers.get(short, _NO_LOAD)
         tracked = self._tracked.get(short)
         if tracked is not None and now_s - tracked[1] <= TRACKED_S:
             peers = tracked[0]
@@ -206,36 +214,37 @@
         return peers if own is None else peers + own.load()
 
     def use_of(self, upstream: str) -> UpstreamUse:
-        """Returns a host's own work at an upstream, for its tracker."""
+        """Returns this host's own work at an upstream, for its tracker."""
         own = self._own.get(upstream)
-        return _use(upstream, own if own is not None else _Own())
+        return _own_use(upstream, own if own is not None else _OwnLoad())
 
     def uses(self) -> tuple[UpstreamUse, ...]:
-        """Returns a host's own work, for its report."""
-        return tuple(_use(name, own) for name, own in self._own.items())
+        """Returns this host's own work, for its report."""
+        return tuple(_own_use(name, own) for name, own in self._own.items())
 
     @property
     def busy(self) -> list[str]:
-        """The incarnations where this host has work in flight."""
+        """Incarnations where this host has work in flight."""
         return list(self._own)
 
 
 def _ignore() -> None:
-    """Nobody wants to know of changes."""
+    """Does nothing."""
 
 
 def merged_uses(
     before: Iterable[UpstreamUse], waiting: Iterable[UpstreamUse]
 ) -> tuple[UpstreamUse, ...]:
-    """Returns a host's work from its last whole report and a short one.
+    """Returns a host's work as updated by a partial use report.
 
-    Where no prompt waits any more, those that did are taken to run.
+    A partial use report lists only upstreams where prompts wait. Requests that
+    waited at any other upstream are assumed to run by now.
 
     Args:
-        before: All upstreams with work, some reports ago.
-        waiting: Those where prompts wait now.
+        before: Uses of all upstreams with work, as known before the report.
+        waiting: Uses in the report.
     """
-    told = {use.upstream: use for use in waiting}
+    reported = {use.upstream: use for use in waiting}
     merged = [
         attrs.evolve(
             use,
@@ -244,27 +253,27 @@
             running=use.waiting + use.running,
         )
         for use in before
-        if use.upstream not in told
+        if use.upstream not in reported
     ]
-    return (*merged, *told.values())
+    return (*merged, *reported.values())
 
 
 def summed_use(upstream: int, uses: Iterable[UpstreamUse]) -> UpstreamUse:
-    """Returns the work of several hosts at one upstream."""
-    total = sum((_told(use) for use in uses), _NONE)
+    """Returns the total work of several hosts at one upstream."""
+    total = sum((_load_of(use) for use in uses), _NO_LOAD)
     return UpstreamUse(
         upstream,
-        _without_end(total.tokens),
+        _without_trailing_zeros(total.tokens),
         total.waiting,
         total.running,
         _counts(total.urgencies),
     )
 
 
-def _use(name: str, own: _Own) -> UpstreamUse:
+def _own_use(name: str, own: _OwnLoad) -> UpstreamUse:
     return UpstreamUse(
         short_name(name),
-        _without_end(own.tokens),
+        _without_trailing_zeros(own.tokens),
         own.waiting,
         own.running,
         _counts(own.urgencies),
@@ -272,16 +281,16 @@
 
 
 def _counts(urgencies: Sequence[int]) -> bytes:
-    return bytes(min(n, _MOST_TOLD) for n in _without_end(urgencies))
+    return bytes(min(n, _MAX_COUNT) for n in _without_trailing_zeros(urgencies))
 
 
-def _without_end(counts: Sequence[int]) -> tuple[int, ...]:
-    """Returns counts without the zeros at their end."""
+def _without_trailing_zeros(counts: Sequence[int]) -> tuple[int, ...]:
+    """Returns the counts without trailing zeros."""
     last = max((i for i, count in enumerate(counts) if count), default=-1)
     return tuple(counts[: last + 1])
 
 
-def _told(use: UpstreamUse) -> Load:
+def _load_of(use: UpstreamUse) -> Load:
     return Load(
         _padded(use.waiting_tokens),
         use.waiting,
@@ -291,4 +300,4 @@
 
 
 def _padded(counts: tuple[int, ...]) -> tuple[int, ...]:
-    return (counts + _NONE_AT_ANY)[:URGENCIES]
+    return (counts + _NO_COUNTS)[:URGENCIES]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of choosing an upstream."""
+"""Tests that requests are placed at the right upstream."""
 
 import random
 
@@ -9,7 +9,7 @@
     Choice,
     Demand,
     Loads,
-    NoPlace,
+    NoUpstream,
     Placement,
 )
 from hollyknot_coordination.forwarding.tests._builders import (
@@ -25,7 +25,7 @@
 
 
 class _Host:
-    """The placement of one host, with its parts."""
+    """The placement of one host, with its loads and demand."""
 
     def __init__(self, seed: int = 1) -> None:
         self.loads = Loads()
@@ -74,7 +74,7 @@
 
 
 class TestEngines:
-    """Lanes, shared parts and loads."""
+    """Placement at engines by lanes, cached parts and loads."""
 
     def test_hosts_send_a_session_to_the_same_upstream(self) -> None:
         chosen = {
@@ -88,12 +88,12 @@
         }
         assert len(chosen) == 1
 
-    def test_sessions_are_spread(self) -> None:
-        """An upstream of a lane gets no session at all.
+    def test_sessions_reach_every_upstream_of_a_lane(self) -> None:
+        """Guards against an upstream of a lane that gets no session at all.
 
-        Sequence: three upstreams share a lane; each session's home is the one
-        with the highest hash. Cause: the hash was a checksum, whose order for
-        two upstreams hangs on one bit of the session's name.
+        Each session prefers the upstream with the highest hash. With a checksum
+        as hash the order of two upstreams depends on one bit of the session's
+        name, and one of three upstreams never comes first.
         """
         host = _Host()
         chosen = {
@@ -114,13 +114,15 @@
             short_one = host.choose(short, i * 0.2, is_loose=False)
             host.demand.begin("engines", 4000, i * 0.2, is_loose=True)
             host.demand.begin("engines", 1200, i * 0.2, is_loose=False)
-            # Until then the lanes follow the demand that is being learnt.
+            # Before that, the lane sizes still adapt to the demand.
             if i >= 50:
                 loose.add(long_one.entry.incarnation)
                 tight.add(short_one.entry.incarnation)
         assert loose.isdisjoint(tight)
 
-    def test_a_busy_home_is_left_once_more_waits_than_parts_cost(self) -> None:
+    def test_session_moves_once_load_exceeds_the_cost_of_missing_parts(
+        self,
+    ) -> None:
         host = _Host()
         prompt = call(("sys", 500), ("s1", 4000), ("q", 50))
         home = host.choose(prompt, is_loose=True).entry.incarnation
@@ -130,18 +132,18 @@
         assert host.choose(prompt, is_loose=True).entry.incarnation != home
 
     def _fill(self, host: _Host, is_loose: bool, urgency: int) -> None:
-        """Takes all slots of a lane, and as many places in its queues."""
+        """Fills all slots of a lane and queues as many requests again."""
         entries = POOL[:3] if is_loose else POOL[3:]
         for entry in entries:
             for _ in range(2 * entry.slots):
                 host.loads.begin(entry.incarnation, 10, urgency)
 
-    def test_an_urgent_stream_goes_where_less_urgent_ones_run(self) -> None:
-        """Urgent streams get nothing while others begin beside them.
+    def test_urgent_stream_disregards_requests_that_are_preempted(self) -> None:
+        """Guards against urgent streams that wait while less urgent ones run.
 
-        Sequence: urgent streams wait at the full upstreams of their lane; at
-        those of the other lane less urgent ones run, in as many slots. Cause:
-        all that ran there counted, though an upstream puts it back.
+        The upstreams of the urgent stream's lane are full; those of the other
+        lane run less urgent requests in as many slots. These must not count,
+        since the engine preempts them.
         """
         host = _Host()
         self._fill(host, is_loose=True, urgency=5)
@@ -150,12 +152,12 @@
         found = host.choose(urgent, is_loose=False, urgency=1)
         assert found.entry in POOL[:3]
 
-    def test_prompts_that_are_read_in_later_do_not_keep_one_away(self) -> None:
-        """Urgent streams wait for seconds, and time out, in a burst.
+    def test_less_urgent_waiting_prompts_do_not_prevent_overflow(self) -> None:
+        """Guards against urgent streams that time out in a burst.
 
-        Sequence: more urgent prompts wait in the lane of tight streams, less
-        urgent and long ones in the other. Cause: the long ones counted, so
-        that the other lane never looked worth while.
+        More urgent prompts wait in the tight lane, less urgent long ones in the
+        loose lane. If the long ones counted, the loose lane would never be
+        cheaper.
         """
         host = _Host()
         for entry in POOL[:3]:
@@ -167,14 +169,14 @@
         found = host.choose(urgent, is_loose=False, urgency=1)
         assert found.entry in POOL[:3]
 
-    def test_an_urgent_stream_avoids_a_long_prompt_that_is_being_read(
+    def test_urgent_stream_avoids_a_long_prompt_in_prefill(
         self,
     ) -> None:
-        """A short prompt is answered after half a second on a calm day.
+        """Guards against a short prompt that waits half a second without need.
 
-        Sequence: an upstream of its lane reads a less urgent prompt of 36,000
-        tokens, the others are idle. Cause: less urgent prompts were taken to
-        be put back, also the one that the engine has begun to read.
+        One upstream of its lane prefills a less urgent prompt of 36,000 tokens
+        and the others are idle. An engine defers less urgent prompts, but not
+        the one whose prefill has begun, so that this one must count.
         """
         host = _Host()
         urgent = call(("s", 200), ("q", 500))
@@ -183,7 +185,7 @@
         found = host.choose(urgent, is_loose=True, urgency=1)
         assert found.entry.incarnation != home
 
-    def test_a_less_urgent_stream_stays_away_from_urgent_ones(self) -> None:
+    def test_less_urgent_stream_does_not_overflow_to_urgent_ones(self) -> None:
         host = _Host()
         self._fill(host, is_loose=True, urgency=5)
         self._fill(host, is_loose=False, urgency=1)
@@ -203,11 +205,11 @@
             is_loose=True,
             urgency=0,
         )
-        assert found is NoPlace.NONE_KNOWN
+        assert found is NoUpstream.NONE_KNOWN
 
 
 class TestPlainServices:
-    """The least busy, near ones first."""
+    """Placement of plain services: the least busy, then the nearest."""
 
     def test_prefers_the_least_busy_then_the_near(self) -> None:
         host = _Host()
@@ -239,12 +241,12 @@
 
 
 class TestLimitedUpstreams:
-    """Upstreams that take few requests, beside others."""
+    """Placement where some upstreams are under a rate limit."""
 
     def _places(
         self, limited: frozenset[str], closed: frozenset[str] = frozenset()
     ) -> tuple[set[str], set[str]]:
-        """Returns where loose streams are placed, and tight ones."""
+        """Returns the upstreams of loose streams, and those of tight ones."""
         host = _Host()
         found: tuple[set[str], set[str]] = (set(), set())
         for number in range(2 * ENGINE_SLOTS):
@@ -270,23 +272,25 @@
     @pytest.mark.parametrize(
         "limited", [{"a", "b", "c"}, {"d", "e", "f"}, {"a", "f"}]
     )
-    def test_lanes_are_made_of_the_others(self, limited: set[str]) -> None:
-        """Guards against a lane that is lost with its limited upstreams."""
+    def test_limited_upstreams_do_not_empty_a_lane(
+        self, limited: set[str]
+    ) -> None:
+        """Guards against a lane that vanishes with its limited upstreams."""
         used_up = frozenset(limited)
         loose, tight = self._places(used_up, used_up)
         assert not loose & tight
         assert loose | tight == {e.incarnation for e in POOL} - limited
 
-    def test_one_with_a_permit_takes_streams_of_both_lanes(self) -> None:
+    def test_limited_upstreams_serve_both_lanes(self) -> None:
         limited = frozenset({"a", "b", "c", "d"})
         loose, tight = self._places(limited)
         assert loose & limited
         assert tight & limited
 
-    def test_where_all_are_limited_any_is_chosen(self) -> None:
+    def test_all_are_used_where_all_are_limited(self) -> None:
         loose, tight = self._places(frozenset(e.incarnation for e in POOL))
         assert loose | tight == {e.incarnation for e in POOL}
 
-    def test_one_that_is_used_up_is_not_chosen(self) -> None:
+    def test_limited_upstream_that_is_excluded_is_not_chosen(self) -> None:
         loose, tight = self._places(frozenset({"a", "b"}), frozenset({"a"}))
         assert "a" not in loose | tight
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_shortlist.py
@@ -1,4 +1,4 @@
-"""Tests of which upstreams are asked for before a request is placed."""
+"""Tests of the upstreams whose load is asked for before placement."""
 
 import random
 from collections import Counter
@@ -12,7 +12,10 @@
     Loads,
     Placement,
 )
-from hollyknot_coordination.forwarding._placement import ASKED, ASKED_BESIDE
+from hollyknot_coordination.forwarding._placement import (
+    OTHER_LANE_SHORTLIST,
+    OWN_LANE_SHORTLIST,
+)
 from hollyknot_coordination.forwarding.tests._builders import (
     ENGINES,
     PLAIN,
@@ -49,7 +52,7 @@
         pool: list[UpstreamEntry] = POOL,
         excluded: frozenset[str] = frozenset(),
     ) -> list[str]:
-        """Returns the names of those that are asked for."""
+        """Returns the incarnations on the shortlist of a request."""
         found = self.placement.shortlist(
             service, pool, request, excluded, 0.0, is_loose=True
         )
@@ -57,32 +60,32 @@
 
 
 class TestShortlist:
-    """A few of the own lane, one of the other."""
+    """The shortlist has a few upstreams of the own lane, one of the other."""
 
-    def test_all_hosts_ask_for_the_same_where_much_is_shared(self) -> None:
-        """Shared parts are read again at each engine of a large fleet.
+    def test_hosts_agree_on_the_shortlist_where_much_is_shared(self) -> None:
+        """Guards against shared parts that every engine of a fleet prefills.
 
-        Sequence: each host sends the requests of a session to whichever engine
-        seemed idle to it. Cause: a session had no few engines of its own.
+        This happens if each host sends the requests of a session to whichever
+        engine seems idle, instead of to the few that all hosts prefer.
         """
         lists = [_Host(seed).shortlist(LONG) for seed in range(20)]
-        assert {tuple(found[:ASKED]) for found in lists} == {
-            tuple(lists[0][:ASKED])
+        assert {tuple(found[:OWN_LANE_SHORTLIST]) for found in lists} == {
+            tuple(lists[0][:OWN_LANE_SHORTLIST])
         }
-        assert len(lists[0]) == ASKED + ASKED_BESIDE
+        assert len(lists[0]) == OWN_LANE_SHORTLIST + OTHER_LANE_SHORTLIST
 
-    def test_where_little_is_shared_they_are_spread(self) -> None:
+    def test_shortlist_is_random_where_little_is_shared(self) -> None:
         counts = Counter(
             name for seed in range(200) for name in _Host(seed).shortlist(SHORT)
         )
         assert len(counts) == len(POOL)
 
-    def test_where_little_is_shared_it_goes_back(self) -> None:
-        """Each request makes a connection of its own.
+    def test_idle_connections_are_reused_where_little_is_shared(self) -> None:
+        """Guards against a new connection for each request.
 
-        Sequence: a host sends a request to one of many upstreams; the next
-        one goes to another; the connection is closed before the host comes
-        back. Cause: upstreams were asked whatever connections were kept.
+        In a large fleet a host sends each request to another upstream, and its
+        idle connections are closed before they are used again, unless the
+        shortlist prefers upstreams with an idle connection.
         """
         kept = {POOL[1].incarnation, POOL[2].incarnation, POOL[3].incarnation}
         placement = Placement(
@@ -99,9 +102,9 @@
             found = placement.shortlist(
                 ENGINES, POOL, SHORT, frozenset(), 0.0, is_loose=True
             )
-            names = {entry.incarnation for entry in found[:ASKED]}
-            assert len(names) == ASKED
-            assert len(names & kept) >= ASKED - 1
+            names = {entry.incarnation for entry in found[:OWN_LANE_SHORTLIST]}
+            assert len(names) == OWN_LANE_SHORTLIST
+            assert len(names & kept) >= OWN_LANE_SHORTLIST - 1
             others |= names - kept
             choice = placement.choose(
                 ENGINES,
@@ -118,23 +121,23 @@
         assert reused == 100
         assert len(others) > 3
 
-    def test_none_that_is_excluded(self) -> None:
+    def test_excluded_upstreams_are_not_on_the_shortlist(self) -> None:
         host = _Host(1)
         excluded = frozenset(host.shortlist(LONG))
         assert not excluded & set(host.shortlist(LONG, excluded=excluded))
 
-    def test_each_is_asked_for_once_where_there_are_few(self) -> None:
+    def test_shortlist_of_a_small_pool_has_no_duplicates(self) -> None:
         for size in (1, 2, 3):
             found = _Host(1).shortlist(LONG, pool=POOL[:size])
             assert sorted(found) == [e.incarnation for e in POOL[:size]]
 
-    def test_plain_services_have_one_too(self) -> None:
+    def test_plain_services_get_a_shortlist(self) -> None:
         found = _Host(1).shortlist(call(), PLAIN, APPS)
-        assert len(set(found)) == ASKED
+        assert len(set(found)) == OWN_LANE_SHORTLIST
 
 
-class TestChoiceAmong:
-    """Only those that were asked for are chosen among."""
+class TestChoiceFromShortlist:
+    """The choice is limited to the upstreams on the shortlist."""
 
     def _choose(self, host: _Host, among: list[str]) -> str:
         found = host.placement.choose(
@@ -150,21 +153,21 @@
         assert isinstance(found, Choice)
         return found.entry.incarnation
 
-    def test_the_least_busy_of_those(self) -> None:
+    def test_least_busy_of_the_shortlist_is_chosen(self) -> None:
         host = _Host(1)
         among = host.shortlist(LONG)
         uses = [
             UpstreamUse(short_name(name), (0, 0, 90_000), 3, 0, b"\0\0\3")
             for name in among[:2]
         ]
-        host.loads.take_tracked(uses, 0.0)
+        host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) == among[2]
 
-    def test_one_that_only_seems_idle_is_not_chosen(self) -> None:
-        """All hosts send to one engine within the age of a report.
+    def test_upstream_that_only_seems_idle_is_not_chosen(self) -> None:
+        """Guards against all hosts sending to one engine between two reports.
 
-        Sequence: reports say that one engine has nothing to do. Cause: it was
-        chosen without asking what had been sent there since.
+        By the reports an engine is idle; it must not be chosen without asking
+        for its load, since requests may have been sent there meanwhile.
         """
         host = _Host(1)
         among = host.shortlist(LONG)
@@ -172,10 +175,10 @@
             UpstreamUse(short_name(name), (0, 0, 500), 1, 0, b"\0\0\1")
             for name in among
         ]
-        host.loads.take_tracked(uses, 0.0)
+        host.loads.add_tracked(uses, 0.0)
         assert self._choose(host, among) in among
 
-    def test_if_none_of_those_is_left_any_other(self) -> None:
+    def test_others_are_chosen_if_the_shortlist_is_excluded(self) -> None:
         host = _Host(1)
         found = host.placement.choose(
             ENGINES,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_steps.py
@@ -1,10 +1,10 @@
-"""Tests of what follows a try."""
+"""Tests of the decision that follows a failed try."""
 
 import pytest
 
 from hollyknot_coordination.forwarding import (
-    Again,
     GiveUp,
+    TryAnother,
     TryState,
     next_step,
 )
@@ -33,10 +33,10 @@
 
 
 class TestNextStep:
-    """By verdict and route alone."""
+    """Whether a request is sent to another upstream."""
 
     @pytest.mark.parametrize(
-        ("way", "verdict", "may_have_run", "is_again"),
+        ("way", "verdict", "may_have_run", "is_retried"),
         [
             (ONCE, REFUSED, False, True),
             (ONCE, LOST, True, False),
@@ -47,11 +47,11 @@
             (RESUMED, LOST, True, True),
         ],
     )
-    def test_repeats_only_what_may_be_repeated(
-        self, way: Route, verdict: Verdict, may_have_run: bool, is_again: bool
+    def test_retries_only_requests_that_are_safe_to_repeat(
+        self, way: Route, verdict: Verdict, may_have_run: bool, is_retried: bool
     ) -> None:
         step = next_step(way, verdict, _state(may_have_run=may_have_run))
-        assert isinstance(step, Again) is is_again
+        assert isinstance(step, TryAnother) is is_retried
 
     @pytest.mark.parametrize(
         "state",
@@ -62,19 +62,19 @@
             _state(candidates=0, may_have_run=False),
         ],
     )
-    def test_ends_without_attempts_time_budget_or_upstreams(
+    def test_gives_up_without_attempts_time_budget_or_upstreams(
         self, state: TryState
     ) -> None:
         assert isinstance(next_step(READ, REFUSED, state), GiveUp)
 
-    def test_a_request_that_reached_nobody_costs_no_budget(self) -> None:
+    def test_request_that_reached_no_upstream_costs_no_budget(self) -> None:
         verdict = Verdict(Outcome.NOT_RUN, Reason.CONNECT_FAILED)
         state = _state(sent=0, budget=0.0, may_have_run=False)
-        assert next_step(ONCE, verdict, state) == Again(is_retry=False)
+        assert next_step(ONCE, verdict, state) == TryAnother(is_retry=False)
 
 
 class TestGiveUp:
-    """503 only where nothing ran."""
+    """The status of a request that no upstream has answered."""
 
     @pytest.mark.parametrize(
         ("verdict", "may_have_run", "status", "outcome"),
@@ -85,7 +85,7 @@
             (SILENT, True, 504, Outcome.MAY_HAVE_RUN),
         ],
     )
-    def test_status_tells_the_truth(
+    def test_status_is_503_only_if_nothing_ran(
         self,
         verdict: Verdict,
         may_have_run: bool,
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hollyknot_coordination.forwarding import (
-    COME_BACK_S,
+    SHED_RETRY_AFTER_S,
     Choice,
     GiveUp,
     NoOwner,
@@ -137,7 +137,7 @@
                 job.route, result.verdict, self._try_state(job)
             )
             if isinstance(following, GiveUp):
-                if following.is_unpaid:
+                if following.is_budget_spent:
                     self._log_retry(job, is_sent=False)
                 self._answers.give_up(job, result, following)
                 return
@@ -199,7 +199,7 @@
         )
         if not isinstance(decision, Shed):
             return None
-        return _shed(f"{decision.taken} in flight, {decision.slots} slots")
+        return _shed(f"{decision.in_flight} in flight, {decision.slots} slots")
 
     def _shed_by_time(self, job: Job, choice: Choice) -> GiveUp | None:
         """Sheds a request whose answer is unlikely to end before its deadline.
@@ -238,7 +238,7 @@
 
 def _shed(detail: str) -> GiveUp:
     verdict = Verdict(
-        Outcome.NOT_RUN, Reason.SHED, detail, retry_after_s=COME_BACK_S
+        Outcome.NOT_RUN, Reason.SHED, detail, retry_after_s=SHED_RETRY_AFTER_S
     )
     return GiveUp(_UNAVAILABLE, verdict)
 
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -5,7 +5,12 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding import Choice, NoPlace, Work, runs_of
+from hollyknot_coordination.forwarding import (
+    Choice,
+    NoUpstream,
+    PlacedRequest,
+    runs_of,
+)
 from hollyknot_coordination.suspects import Clear, Isolate
 from hollyknot_gateway import _metrics as metrics
 from hollyknot_gateway._answers import RETRY_AFTER_S
@@ -133,7 +138,7 @@
         )
         return Result(verdict)
 
-    def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoPlace:
+    def choose(self, job: Job, gate: Clear | Isolate) -> Choice | NoUpstream:
         """Returns the upstream to send a request to next."""
         parts = self._parts
         now = parts.clock()
@@ -144,7 +149,7 @@
         ejected = parts.health.ejected(usable, now)
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
-        chosen: Choice | NoPlace = NoPlace.NONE_KNOWN
+        chosen: Choice | NoUpstream = NoUpstream.NONE_KNOWN
         # An upstream that fails often or was unreachable lately is better than
         # none, so the exclusions are relaxed step by step.
         for avoided in (away | ejected, away, frozenset[str]()):
@@ -284,12 +289,12 @@
         job: Job,
         choice: Choice,
         connection: UpstreamConnection,
-        work: Work,
+        work: PlacedRequest,
     ) -> Exchange:
         parts = self._parts
         entry = choice.entry
         stream = job.stream
-        stream.cutter.drop_torn()
+        stream.cutter.drop_partial()
         stream.resumes_after = stream.cutter.last_id or job.call.last_event_id
         exchange = Exchange(
             parts.dialect,
@@ -348,7 +353,7 @@
         self,
         job: Job,
         choice: Choice,
-        work: Work,
+        work: PlacedRequest,
         exchange: Exchange,
     ) -> bool:
         """Ends a try whose caller has left or whose deadline has passed.
@@ -382,7 +387,7 @@
         self,
         job: Job,
         choice: Choice,
-        work: Work,
+        work: PlacedRequest,
         exchange: Exchange,
     ) -> None:
         verdict = _CALLER_GONE
