--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -18,7 +18,7 @@
     Trackers,
 )
 from hollyknot_gateway import (
-    WHOLE_EVERY,
+    COMPLETE_REPORT_EVERY,
     encode_message,
     encode_report,
 )
@@ -79,7 +79,7 @@
         if not self.rate.affordable(self._size, now_s):
             return None
         self._sequence += 1
-        is_whole = self._sequence % WHOLE_EVERY == 0
+        is_whole = self._sequence % COMPLETE_REPORT_EVERY == 0
         host = self.host
         uses = host.loads.uses()
         report = UseReport(
--- a/packages/bench/src/hollyknot_bench/experiment/_wire.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_wire.py
@@ -17,7 +17,7 @@
     Inquiries,
     Inquiry,
 )
-from hollyknot_gateway import REPORT_S
+from hollyknot_gateway import REPORT_INTERVAL_S
 from hollyknot_state import LoadAnswer, LoadNote, LoadQuery, UseReport
 from hollyknot_state.routes import UpstreamEntry
 
@@ -47,7 +47,9 @@
     def begin_reports(self) -> None:
         """Has each host send as many reports as its bytes allow."""
         for number in range(len(self.tellers)):
-            self._later(self._rng.random() * REPORT_S, self._report, number)
+            self._later(
+                self._rng.random() * REPORT_INTERVAL_S, self._report, number
+            )
 
     def begin_notes(self) -> None:
         """Has trackers told of each change, and now and then of all work."""
@@ -113,7 +115,7 @@
             for target in targets:
                 other = self.tellers[number_of(target)]
                 self._send(self._take_report, other, report)
-        self._later(now_s + REPORT_S, self._report, number)
+        self._later(now_s + REPORT_INTERVAL_S, self._report, number)
 
     def _take_report(self, teller: Teller, report: UseReport) -> None:
         teller.take(report, self._clock.now_s)
--- a/packages/gateway/src/hollyknot_gateway/__init__.py
+++ b/packages/gateway/src/hollyknot_gateway/__init__.py
@@ -2,7 +2,10 @@
 
 from hollyknot_gateway._fetch import Document, FetchFailure, fetch
 from hollyknot_gateway._host import Host, Ports
-from hollyknot_gateway._neighbours import REPORT_S, WHOLE_EVERY
+from hollyknot_gateway._neighbours import (
+    COMPLETE_REPORT_EVERY,
+    REPORT_INTERVAL_S,
+)
 from hollyknot_gateway._pool import Pool
 from hollyknot_gateway._ports import (
     Changes,
@@ -19,8 +22,8 @@
 from hollyknot_gateway._run import run
 
 __all__ = [
-    "REPORT_S",
-    "WHOLE_EVERY",
+    "REPORT_INTERVAL_S",
+    "COMPLETE_REPORT_EVERY",
     "encode_message",
     "encode_report",
     "Changes",
--- a/packages/gateway/src/hollyknot_gateway/_flow_parts.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow_parts.py
@@ -19,7 +19,7 @@
 from hollyknot_coordination.suspects import SuspectRegister
 from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
-from hollyknot_gateway._losses import Losses
+from hollyknot_gateway._loss_classifier import LossClassifier
 from hollyknot_gateway._metrics import Metrics
 from hollyknot_gateway._neighbours import Neighbours
 from hollyknot_gateway._pool import Pool
@@ -72,7 +72,7 @@
     permits: Permits
     prober: Prober
     suspects: SuspectRegister
-    losses: Losses
+    losses: LossClassifier
     stalls: Stalls
     budget: RetryBudget
     pool: Pool
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -36,15 +36,15 @@
 from hollyknot_gateway._flow_parts import FlowParts
 from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
-from hollyknot_gateway._losses import Losses
+from hollyknot_gateway._loss_classifier import LossClassifier
 from hollyknot_gateway._metrics import Metrics
-from hollyknot_gateway._neighbours import Neighbours, Shared
+from hollyknot_gateway._neighbours import Neighbours, SharedState
 from hollyknot_gateway._operators import Operators
 from hollyknot_gateway._pool import ConnectFailure, Pool
 from hollyknot_gateway._ports import Dialect, Source
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._rate_limits import RateLimits
-from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._revision_gossip import RevisionGossip
 from hollyknot_gateway._stalls import Stalls
 from hollyknot_gateway._suspension import Suspension
 from hollyknot_state import ReadRevisions
@@ -147,7 +147,7 @@
         self._suspects = SuspectRegister(SuspectOptions())
         self._neighbours = Neighbours(
             settings,
-            Shared(
+            SharedState(
                 self._loads,
                 self._demand,
                 self._cached,
@@ -159,7 +159,7 @@
             self._in_force,
             self._reachability,
             self._prober,
-            ReadNews(lambda: self._directory.read, self._peer_has_read),
+            RevisionGossip(lambda: self._directory.read, self._peer_has_read),
             self._log,
             rng,
             clock,
@@ -213,10 +213,10 @@
             neighbours=self._neighbours,
             permits=self._neighbours.permits,
             suspects=self._suspects,
-            losses=Losses(
+            losses=LossClassifier(
                 self._suspects,
                 self._prober,
-                self._neighbours.may_be_cut_off,
+                self._neighbours.may_be_partitioned,
                 self._log,
                 self._clock,
             ),
@@ -424,8 +424,8 @@
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
         """Ends what hangs at an upstream, and looks at those beside it."""
-        self._stalls.upstream_away(entry.incarnation)
-        self._neighbours.upstream_away(entry, failure)
+        self._stalls.on_upstream_unreachable(entry.incarnation)
+        self._neighbours.on_upstream_unreachable(entry, failure)
 
     def _upstream_back(self, entry: UpstreamEntry) -> None:
         """Spares an upstream that may have started again under its name.
@@ -440,7 +440,7 @@
         """Forgets what was learnt of an incarnation that has left."""
         incarnation = ended.incarnation
         if ended.runs_no_more:
-            self._stalls.upstream_away(incarnation)
+            self._stalls.on_upstream_unreachable(incarnation)
         self._reachability.forget(incarnation)
         self._health.forget(incarnation)
         self._cold_starts.forget(incarnation)
--- a/packages/gateway/src/hollyknot_gateway/_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/_inquirer.py
@@ -42,7 +42,7 @@
         self._entry_of = entry_of
         self._log = log
         self._clock = clock
-        self._is_telling = False
+        self._is_send_scheduled = False
 
     async def ask(
         self, entries: Sequence[UpstreamEntry], runs: tuple[int, ...]
@@ -62,7 +62,7 @@
         answered = asyncio.Event()
         inquiry.on_done = answered.set
         for tracker, query in inquiry.sent:
-            self._put(query, tracker.address)
+            self._send_message(query, tracker.address)
         try:
             async with asyncio.timeout(ANSWER_S):
                 await answered.wait()
@@ -79,28 +79,28 @@
         if isinstance(message, LoadNote):
             self._inquiries.take_note(message, now_s)
         elif isinstance(message, LoadQuery):
-            self._put(self._inquiries.answer(message, now_s), sender)
+            self._send_message(self._inquiries.answer(message, now_s), sender)
         else:
             self._inquiries.take_answer(message, now_s)
 
-    def tell_soon(self) -> None:
+    def schedule_notes(self) -> None:
         """Tells trackers of work that has just changed.
 
         Once for all changes of one turn of the loop: a request that ends often
         makes place for the next.
         """
-        if not self._is_telling:
-            self._is_telling = True
-            asyncio.get_running_loop().call_soon(self.tell)
+        if not self._is_send_scheduled:
+            self._is_send_scheduled = True
+            asyncio.get_running_loop().call_soon(self.send_notes)
 
-    def tell(self) -> None:
+    def send_notes(self) -> None:
         """Tells trackers of work that has changed, and now and then of all."""
-        self._is_telling = False
+        self._is_send_scheduled = False
         notes = self._inquiries.notes(self._entry_of, self._clock())
         for tracker, note in notes:
-            self._put(note, tracker.address)
+            self._send_message(note, tracker.address)
 
-    def _put(self, message: LoadMessage, address: Address) -> None:
+    def _send_message(self, message: LoadMessage, address: Address) -> None:
         data = encode_message(message)
         self._send(data, [address])
         self._rate.spend_on_queries(len(data))
--- a/packages/gateway/src/hollyknot_gateway/_losses.py
+++ b/packages/gateway/src/hollyknot_gateway/_loss_classifier.py
@@ -18,15 +18,15 @@
 from hollyknot_state import Outcome, Reason, Verdict
 from hollyknot_state.routes import UpstreamEntry
 
-SETTLE_S = 0.03
+PROBE_DELAY_S = 0.03
 """From a loss to the probe: a process that crashes closes its connections one
 after the other, and its listening socket with them."""
 
-JUDGE_S = 0.8
+VERDICT_DELAY_S = 0.8
 """From a refused connection to the verdict: a data centre that was cut off has
 fallen silent by then, twice over."""
 
-_TOLD = 8
+_MAX_LOGGED = 8
 """Fingerprints in one line."""
 
 _LOST = frozenset({Reason.UPSTREAM_LOST, Reason.TRUNCATED})
@@ -34,14 +34,14 @@
 _CRASH = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
 
 
-class Losses:
+class LossClassifier:
     """Tells the register of suspects how each try ended."""
 
     def __init__(
         self,
         suspects: SuspectRegister,
         prober: Prober,
-        is_cut: Callable[[UpstreamEntry], bool],
+        may_be_partitioned: Callable[[UpstreamEntry], bool],
         log: Log,
         clock: Callable[[], float],
     ) -> None:
@@ -56,18 +56,18 @@
         """
         self._suspects = suspects
         self._prober = prober
-        self._is_cut = is_cut
+        self._may_be_partitioned = may_be_partitioned
         self._log = log
         self._clock = clock
         self._pending: dict[str, list[int]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def ended(
+    def on_try_end(
         self, entry: UpstreamEntry, fingerprint: int, verdict: Verdict
     ) -> None:
         """Takes in the end of a try that was sent."""
         if verdict.reason not in _LOST:
-            self._tell(entry, fingerprint, verdict)
+            self._report_end(entry, fingerprint, verdict)
             return
         pending = self._pending.get(entry.incarnation)
         if pending is not None:
@@ -78,31 +78,33 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def judged(self) -> None:
+    async def wait_until_judged(self) -> None:
         """Waits until all losses so far have been judged."""
         while self._tasks:
             await asyncio.gather(*self._tasks)
 
     async def _judge(self, entry: UpstreamEntry) -> None:
-        await asyncio.sleep(SETTLE_S)
-        found = await self._prober.check(entry)
-        is_refused = found is ConnectFailure.REFUSED
+        await asyncio.sleep(PROBE_DELAY_S)
+        failure = await self._prober.check(entry)
+        is_refused = failure is ConnectFailure.REFUSED
         is_crash = is_refused
         if is_refused:
-            await asyncio.sleep(JUDGE_S)
-            is_crash = not self._is_cut(entry)
+            await asyncio.sleep(VERDICT_DELAY_S)
+            is_crash = not self._may_be_partitioned(entry)
         lost = self._pending.pop(entry.incarnation)
         if is_refused:
             self._log.line(
                 "crash" if is_crash else "crash_or_cut",
                 upstream=entry.incarnation,
                 requests=len(lost),
-                fingerprints=",".join(f"{f:016x}" for f in lost[:_TOLD]),
+                fingerprints=",".join(f"{f:016x}" for f in lost[:_MAX_LOGGED]),
             )
         for fingerprint in lost:
-            self._tell(entry, fingerprint, _CRASH if is_crash else _NO_CRASH)
+            self._report_end(
+                entry, fingerprint, _CRASH if is_crash else _NO_CRASH
+            )
 
-    def _tell(
+    def _report_end(
         self, entry: UpstreamEntry, fingerprint: int, verdict: Verdict
     ) -> None:
         self._suspects.on_end(
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -30,15 +30,15 @@
 from hollyknot_gateway._permit_requester import PermitRequester
 from hollyknot_gateway._pool import ConnectFailure
 from hollyknot_gateway._prober import Prober
-from hollyknot_gateway._read_news import ReadNews
 from hollyknot_gateway._reports import (
     Message,
     PermitMessage,
     Report,
     ReportSocket,
-    encode_news,
     encode_report,
+    encode_suspect_news,
 )
+from hollyknot_gateway._revision_gossip import RevisionGossip
 from hollyknot_state import (
     Address,
     HostReport,
@@ -48,19 +48,19 @@
 )
 from hollyknot_state.routes import GatewaySettings, UpstreamEntry
 
-REPORT_S = 0.1
+REPORT_INTERVAL_S = 0.1
 """Between two rounds of reports. Work in flight changes within tens of
 milliseconds, and a report costs some tens of microseconds."""
 
-WHOLE_EVERY = 6
+COMPLETE_REPORT_EVERY = 6
 """One of so many short reports tells of all upstreams with work in flight; the
 others only of those where prompts wait, which change the soonest."""
 
-NEWS_TARGETS = 5
+SUSPECT_NEWS_FANOUT = 5
 """Peers to which each host passes on new evidence of a crash, once: all hosts
 but one in a hundred then have it after a few rounds, however many they are."""
 
-CUT_SPREAD_S = 1.5
+PARTITION_DETECTION_S = 1.5
 """Within which upstreams behind one cut are found to be away, one by one."""
 
 _INCARNATION_BITS = 62
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class Shared:
+class SharedState:
     """What hosts tell each other of.
 
     Attributes:
@@ -86,7 +86,7 @@
     cached: CachedParts
     forecasts: Forecasts
     suspects: SuspectRegister
-    size: FleetSize
+    host_count: FleetSize
     limits: NamedLimits
 
 
@@ -96,11 +96,11 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        shared: Shared,
+        shared: SharedState,
         in_force: InForce,
         reachability: Reachability,
         prober: Prober,
-        news: ReadNews,
+        directory_revisions: RevisionGossip,
         log: Log,
         rng: random.Random,
         clock: Callable[[], float],
@@ -123,23 +123,23 @@
         self._in_force = in_force
         self._reachability = reachability
         self._prober = prober
-        self._news = news
+        self._directory_revisions = directory_revisions
         self._log = log
         self._rng = rng
         self._clock = clock
         self._peers = Peers(
             settings.peers, settings.data_centre, settings.seeds, rng
         )
-        self._socket = ReportSocket(self._take, log)
+        self._socket = ReportSocket(self._handle_message, log)
         self._incarnation = rng.getrandbits(_INCARNATION_BITS)
         self._sequence = 0
         self._rate = ReportRate()
-        self._size = 0
+        self._report_bytes = 0
         own = Tracker(self._incarnation, settings.peers, settings.data_centre)
         trackers = Trackers(own, lambda: self._peers.hosts)
         self._permits = Permits(
             trackers,
-            shared.size,
+            shared.host_count,
             shared.limits,
             in_force.fleet.entry_of,
             rng,
@@ -161,8 +161,8 @@
             log,
             clock,
         )
-        shared.loads.on_change = self._note_soon
-        self._silent: frozenset[str] = frozenset()
+        shared.loads.on_change = self._schedule_notes
+        self._silent_data_centres: frozenset[str] = frozenset()
 
     async def ask(
         self, entries: Sequence[UpstreamEntry], runs: tuple[int, ...]
@@ -192,7 +192,7 @@
         return self._permits
 
     @property
-    def asks(self) -> bool:
+    def should_query_trackers(self) -> bool:
         """Whether a choice had better ask trackers than believe reports.
 
         It had where reports come seldom, as long as the budget allows.
@@ -225,51 +225,66 @@
     async def run(self) -> None:
         """Tells and counts until it is cancelled."""
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             now_s = self._clock()
-            self._count(now_s)
-            self._note_soon()
-            self._look_at_silence(now_s)
-            self._pass_on(now_s)
-            self._tell(now_s)
+            self._aggregate_reports(now_s)
+            self._schedule_notes()
+            self._check_silent_data_centres(now_s)
+            self._forward_suspect_news(now_s)
+            self._send_reports(now_s)
 
-    def _pass_on(self, now_s: float) -> None:
+    def _forward_suspect_news(self, now_s: float) -> None:
         """Passes on new evidence of crashes, before anything else is told.
 
         Where bytes are short, only that against requests that were in more
         than one crash: an upstream that crashes takes many with it.
         """
         suspects = self._shared.suspects
-        news = suspects.take_news(now_s)
-        if news and not self._rate.affordable(self._size, now_s):
-            news = tuple(r for r in news if suspects.is_repeated(r.fingerprint))
-        if not news:
+        directory_revisions = suspects.take_news(now_s)
+        if directory_revisions and not self._rate.affordable(
+            self._report_bytes, now_s
+        ):
+            directory_revisions = tuple(
+                r
+                for r in directory_revisions
+                if suspects.is_repeated(r.fingerprint)
+            )
+        if not directory_revisions:
             return
         addresses = [host.address for host in self._peers.hosts]
-        most = min(NEWS_TARGETS, len(addresses))
-        self._send(encode_news(news), self._rng.sample(addresses, most))
+        max_targets = min(SUSPECT_NEWS_FANOUT, len(addresses))
+        self._send(
+            encode_suspect_news(directory_revisions),
+            self._rng.sample(addresses, max_targets),
+        )
 
-    def _tell(self, now_s: float) -> None:
+    def _send_reports(self, now_s: float) -> None:
         """Sends as many reports as the budget of bytes allows."""
-        if not self._rate.affordable(self._size, now_s):
+        if not self._rate.affordable(self._report_bytes, now_s):
             return
         self._sequence += 1
-        is_whole = self._sequence % WHOLE_EVERY == 0
-        data = encode_report(self._changes(now_s, is_whole=is_whole))
-        self._size = len(data)
-        most = self._rate.affordable(self._size, now_s)
-        targets = self._peers.targets(now_s, most)
-        detailed = [t for t in targets if self._peers.wants_details(t, now_s)]
-        brief = [target for target in targets if target not in detailed]
-        self._send(data, brief)
-        if detailed:
-            self._send(encode_report(self._own_report(now_s)), detailed)
+        is_whole = self._sequence % COMPLETE_REPORT_EVERY == 0
+        data = encode_report(self._use_report(now_s, is_whole=is_whole))
+        self._report_bytes = len(data)
+        max_targets = self._rate.affordable(self._report_bytes, now_s)
+        targets = self._peers.targets(now_s, max_targets)
+        full_report_targets = [
+            t for t in targets if self._peers.wants_details(t, now_s)
+        ]
+        use_report_targets = [
+            target for target in targets if target not in full_report_targets
+        ]
+        self._send(data, use_report_targets)
+        if full_report_targets:
+            self._send(
+                encode_report(self._full_report(now_s)), full_report_targets
+            )
 
     def _send(self, data: bytes, targets: list[Address]) -> None:
         self._socket.send(data, targets)
         self._rate.spend(len(data) * len(targets))
 
-    def _count(self, now_s: float) -> None:
+    def _aggregate_reports(self, now_s: float) -> None:
         """Counts what peers have told, and forgets those that are silent."""
         for host in self._peers.expire(now_s):
             self._log.line("peer_lost", peer=host)
@@ -280,30 +295,30 @@
             (d for report in fresh for d in report.demands),
             min(1.0, (len(fresh) + 1) / self.hosts),
         )
-        shared.size.set(
+        shared.host_count.set(
             self.hosts, self.count + 1, now_s, self._peers.by_centre
         )
 
-    def _changes(self, now_s: float, *, is_whole: bool) -> UseReport:
+    def _use_report(self, now_s: float, *, is_whole: bool) -> UseReport:
         shared = self._shared
         uses = shared.loads.uses()
         # Where reports come seldom, whole ones come too seldom for the lanes.
-        tells_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
+        includes_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
         return UseReport(
             self._incarnation,
             self._sequence,
             uses if is_whole else tuple(use for use in uses if use.waiting),
-            shared.demand.told(now_s) if tells_demand else (),
+            shared.demand.told(now_s) if includes_demand else (),
             shared.suspects.records(now_s),
             shared.cached.told(now_s),
             is_whole,
-            self._news.told(now_s, is_whole=is_whole),
+            self._directory_revisions.told(now_s, is_whole=is_whole),
             self._permits.told(now_s, is_all=is_whole),
         )
 
-    def _own_report(self, now_s: float) -> HostReport:
+    def _full_report(self, now_s: float) -> HostReport:
         index = self._in_force.index
-        changes = self._changes(now_s, is_whole=True)
+        use_report = self._use_report(now_s, is_whole=True)
         return HostReport(
             host=self._settings.host,
             incarnation=self._incarnation,
@@ -311,42 +326,42 @@
             address=self._settings.peers,
             data_centre=self._settings.data_centre,
             table_version=index.table.version if index is not None else 0,
-            uses=changes.uses,
-            demands=changes.demands,
-            suspects=changes.suspects,
+            uses=use_report.uses,
+            demands=use_report.demands,
+            suspects=use_report.suspects,
             contacts=self._peers.contacts(),
-            held=changes.held,
-            revisions=self._news.read,
-            limits=changes.limits,
+            held=use_report.held,
+            revisions=self._directory_revisions.read,
+            limits=use_report.limits,
         )
 
-    def _note_soon(self) -> None:
+    def _schedule_notes(self) -> None:
         if self._peers.interval_s >= NOTE_FROM_S:
-            self._inquirer.tell_soon()
+            self._inquirer.schedule_notes()
         else:
             # Nobody asks; the names of all upstreams would pile up.
             self._shared.loads.take_changed()
 
-    def _take(self, message: Message, sender: Address) -> None:
+    def _handle_message(self, message: Message, sender: Address) -> None:
         if isinstance(message, HostReport | UseReport):
-            self._take_report(message)
+            self._handle_report(message)
         elif isinstance(message, PermitMessage):
             self._permit_requester.take(message, sender)
         elif isinstance(message, SuspectNews):
-            self._take_suspects(message.suspects, self._clock())
+            self._handle_suspects(message.suspects, self._clock())
         else:
             self._inquirer.take(message, sender)
 
-    def _take_report(self, report: Report) -> None:
+    def _handle_report(self, report: Report) -> None:
         now = self._clock()
-        self._take_suspects(report.suspects, now)
+        self._handle_suspects(report.suspects, now)
         self._shared.cached.take(report.held, now)
         for limit in self._permits.take(report.limits, now):
             self._log.line(
                 "limit_told", upstream=limit.upstream, rate=limit.rate
             )
         if report.revisions is not None:
-            self._news.take(report.revisions)
+            self._directory_revisions.take(report.revisions)
         if isinstance(report, UseReport):
             self._peers.take_uses(report, now)
         elif self._peers.take(report, now):
@@ -354,7 +369,7 @@
                 "peer_met", peer=report.host, data_centre=report.data_centre
             )
 
-    def _take_suspects(
+    def _handle_suspects(
         self, records: tuple[SuspectRecord, ...], now_s: float
     ) -> None:
         for record in self._shared.suspects.on_records(records, now_s):
@@ -365,19 +380,19 @@
                 age_ms=record.age_ms,
             )
 
-    def _look_at_silence(self, now_s: float) -> None:
+    def _check_silent_data_centres(self, now_s: float) -> None:
         """Probes an upstream of each data centre that has just gone silent.
 
         One of them tells whether it is cut off; the others are probed only if
         it is. A silence may come by chance, and each probe is a connection.
         """
         silent = self._peers.silent_data_centres(now_s)
-        for data_centre in silent - self._silent:
+        for data_centre in silent - self._silent_data_centres:
             self._log.line("data_centre_silent", silent=data_centre)
-            self._probe_one(self._in(data_centre))
-        self._silent = silent
+            self._probe_one(self._usable_in(data_centre))
+        self._silent_data_centres = silent
 
-    def may_be_cut_off(self, entry: UpstreamEntry) -> bool:
+    def may_be_partitioned(self, entry: UpstreamEntry) -> bool:
         """Whether an upstream that refuses may only be behind a cut.
 
         Two upstreams that crash within a second in one data centre are taken
@@ -385,12 +400,14 @@
         One that has been away for longer tells nothing: where upstreams take
         minutes to start, no crash beside it would be held against anybody.
         """
-        if entry.data_centre in self._silent:
+        if entry.data_centre in self._silent_data_centres:
             return True
-        since_s = self._clock() - CUT_SPREAD_S
-        return self._reachability.has_lost(self._beside(entry), since_s)
+        since_s = self._clock() - PARTITION_DETECTION_S
+        return self._reachability.has_lost(
+            self._others_in_data_centre(entry), since_s
+        )
 
-    def upstream_away(
+    def on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
         """Probes upstreams of a data centre that may be cut off.
@@ -400,12 +417,12 @@
         data centre is silent or a connection hung: in a cut, requests would
         wait at each of them in turn.
         """
-        beside = self._beside(entry)
-        is_silent = entry.data_centre in self._silent
+        others = self._others_in_data_centre(entry)
+        is_silent = entry.data_centre in self._silent_data_centres
         if failure is ConnectFailure.REFUSED and not is_silent:
-            self._probe_one(beside)
+            self._probe_one(others)
             return
-        self._prober.check_all(self._reachable(beside))
+        self._prober.check_all(self._reachable(others))
 
     def _probe_one(self, entries: Sequence[UpstreamEntry]) -> None:
         reachable = self._reachable(entries)
@@ -419,14 +436,16 @@
         away = self._reachability.away(entries)
         return [entry for entry in entries if entry.incarnation not in away]
 
-    def _beside(self, entry: UpstreamEntry) -> list[UpstreamEntry]:
+    def _others_in_data_centre(
+        self, entry: UpstreamEntry
+    ) -> list[UpstreamEntry]:
         return [
             other
-            for other in self._in(entry.data_centre)
+            for other in self._usable_in(entry.data_centre)
             if other.incarnation != entry.incarnation
         ]
 
-    def _in(self, data_centre: str) -> list[UpstreamEntry]:
+    def _usable_in(self, data_centre: str) -> list[UpstreamEntry]:
         """Returns the upstreams of a data centre that may get work."""
         return [
             entry
--- a/packages/gateway/src/hollyknot_gateway/_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/_permit_requester.py
@@ -55,17 +55,17 @@
         request.on_done = answered.set
         try:
             while request.is_issued is None:
-                self._put_all(queries)
+                self._send_queries(queries)
                 try:
                     async with asyncio.timeout(PERMIT_ANSWER_S):
                         await answered.wait()
                 except TimeoutError:
-                    queries = self._overdue(request)
+                    queries = self._handle_timeout(request)
             return request.is_issued
         finally:
             self._permits.drop(request)
 
-    def _overdue(self, request: PermitRequest) -> Queries:
+    def _handle_timeout(self, request: PermitRequest) -> Queries:
         """Returns what is to be sent after an answer that has not come."""
         silent, queries = self._permits.overdue(request, self._clock())
         if silent is not None:
@@ -76,15 +76,17 @@
         """Takes a message, as an issuer or as one who asked."""
         now_s = self._clock()
         if isinstance(message, PermitQuery):
-            self._put(self._permits.answer(message, now_s), sender)
+            self._send_message(self._permits.answer(message, now_s), sender)
         else:
-            self._put_all(self._permits.take_answer(message, now_s))
+            self._send_queries(self._permits.take_answer(message, now_s))
 
-    def _put_all(self, queries: Iterable[tuple[Address, PermitQuery]]) -> None:
+    def _send_queries(
+        self, queries: Iterable[tuple[Address, PermitQuery]]
+    ) -> None:
         for address, query in queries:
-            self._put(query, address)
+            self._send_message(query, address)
 
-    def _put(self, message: PermitMessage, address: Address) -> None:
+    def _send_message(self, message: PermitMessage, address: Address) -> None:
         data = encode_message(message)
         self._send(data, [address])
         self._rate.spend_on_queries(len(data))
--- a/packages/gateway/src/hollyknot_gateway/_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/_reports.py
@@ -35,7 +35,7 @@
     UseReport,
 )
 
-MAX_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Fits into one packet. From a report that doesn't is left out, in this order,
 what does the least harm where it comes late: cached parts, upstreams that are
 not the busiest, limits, and most of the suspects."""
@@ -78,10 +78,10 @@
 def encode_report(report: Report) -> bytes:
     """Returns a report as a datagram, with less in it if it is too large."""
     data = encode_message(report)
-    for leave_out in _LEAVE_OUT:
-        if len(data) <= MAX_BYTES:
+    for reduce_report in _REDUCTIONS:
+        if len(data) <= MAX_DATAGRAM_BYTES:
             break
-        report = leave_out(report)
+        report = reduce_report(report)
         data = encode_message(report)
     return data
 
@@ -94,7 +94,7 @@
     return tuple(busiest)
 
 
-_LEAVE_OUT: tuple[Callable[[Report], Report], ...] = (
+_REDUCTIONS: tuple[Callable[[Report], Report], ...] = (
     lambda report: attrs.evolve(report, held=()),
     lambda report: attrs.evolve(report, uses=_busiest(report.uses)),
     lambda report: attrs.evolve(report, limits=()),
@@ -105,12 +105,12 @@
 """Makes a report smaller, step by step."""
 
 
-def encode_news(records: Sequence[SuspectRecord]) -> bytes:
+def encode_suspect_news(records: Sequence[SuspectRecord]) -> bytes:
     """Returns as much evidence as one datagram holds, the first of it."""
     count = len(records)
     data = encode_message(SuspectNews(tuple(records)))
-    while len(data) > MAX_BYTES:
-        count = count * MAX_BYTES // len(data)
+    while len(data) > MAX_DATAGRAM_BYTES:
+        count = count * MAX_DATAGRAM_BYTES // len(data)
         data = encode_message(SuspectNews(tuple(records[:count])))
     return data
 
--- a/packages/gateway/src/hollyknot_gateway/_read_news.py
+++ b/packages/gateway/src/hollyknot_gateway/_revision_gossip.py
@@ -4,13 +4,13 @@
 
 from hollyknot_state import ReadRevisions
 
-READ_NEWS_S = 2.0
+ANNOUNCEMENT_S = 2.0
 """How long a host tells in each report which change it has read last. News
 pass through a fleet of hundreds, each told by some ten others a second, within
 half a second; after that the whole reports carry them."""
 
 
-class ReadNews:
+class RevisionGossip:
     """The newest changes that a host has read from the directory."""
 
     def __init__(
@@ -48,5 +48,5 @@
         read = self._read()
         if read != self._newest:
             self._newest = read
-            self._until_s = now_s + READ_NEWS_S
+            self._until_s = now_s + ANNOUNCEMENT_S
         return read if is_whole or now_s < self._until_s else None
--- a/packages/gateway/src/hollyknot_gateway/_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/_stalls.py
@@ -100,7 +100,7 @@
         """Stops watching a try."""
         self._watched.pop(exchange, None)
 
-    def upstream_away(self, incarnation: str) -> int:
+    def on_upstream_unreachable(self, incarnation: str) -> int:
         """Ends the silent tries at an upstream that can't be reached.
 
         Returns:
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -51,7 +51,7 @@
         sample with loads as old as the last reports would not represent them.
         """
         parts = self._parts
-        if not parts.neighbours.asks:
+        if not parts.neighbours.should_query_trackers:
             job.asked = ()
             return
         now = parts.clock()
@@ -365,7 +365,7 @@
         self._log_try(job, choice, exchange.partial_result(caller_gone_verdict))
         if not is_call or is_late:
             exchange.connection.abandon()
-            self._parts.losses.ended(
+            self._parts.losses.on_try_end(
                 choice.entry, job.fingerprint, _CALLER_GONE
             )
             return False
@@ -402,7 +402,9 @@
             )
         finally:
             self._parts.placement.end(work)
-            self._parts.losses.ended(choice.entry, job.fingerprint, verdict)
+            self._parts.losses.on_try_end(
+                choice.entry, job.fingerprint, verdict
+            )
 
     def _record_result(self, job: Job, choice: Choice, result: Result) -> None:
         entry = choice.entry
@@ -410,7 +412,7 @@
         self._record_health(entry, verdict)
         if job.sent > job.sent_before:
             job.sent_before = job.sent
-            self._parts.losses.ended(entry, job.fingerprint, verdict)
+            self._parts.losses.on_try_end(entry, job.fingerprint, verdict)
         job.tried |= {entry.incarnation}
         if verdict.is_proved_not_run:
             job.may_have_run = job.may_have_run_before
--- a/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
@@ -20,19 +20,19 @@
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway._in_force import InForce
 from hollyknot_gateway._log import Log
-from hollyknot_gateway._neighbours import Neighbours, Shared
+from hollyknot_gateway._neighbours import Neighbours, SharedState
 from hollyknot_gateway._prober import Prober
-from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._revision_gossip import RevisionGossip
 from hollyknot_state import Address, ReadRevisions
 from hollyknot_state.routes import GatewaySettings
 
-ONE_WAY_S = 0.0014
+ONE_WAY_DELAY_S = 0.0014
 PORT = 7300
 SEEDS = 3
-ZONES = ("north", "south", "west")
+DATA_CENTRES = ("north", "south", "west")
 
-_DRAIN_S = 0.1
-_ANY_BYTES = 100_000
+_ROUND_S = 0.1
+_ABOVE_BUDGET_BYTES = 100_000
 
 
 def address(number: int) -> Address:
@@ -63,7 +63,7 @@
 
     suspects: SuspectRegister
     neighbours: Neighbours
-    size: FleetSize
+    host_count: FleetSize
     task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -83,12 +83,12 @@
             is_busy: Whether questions for loads leave reports the least.
         """
         self.rng = random.Random(seed)
-        self.lost_part = 0.0
+        self.loss_fraction = 0.0
         self.sent_bytes = 0
         self._is_busy = is_busy
         self._log = Log("h", "d", os.open(os.devnull, os.O_WRONLY))
         self._clock = asyncio.get_running_loop().time
-        self.hosts = [self._make(number, count) for number in range(count)]
+        self.hosts = [self._make_host(number, count) for number in range(count)]
         self._by_address = {
             address(number): host for number, host in enumerate(self.hosts)
         }
@@ -109,7 +109,7 @@
         before = self.hosts[number]
         if before.task is not None:
             before.task.cancel()
-        host = self._make(number, len(self.hosts))
+        host = self._make_host(number, len(self.hosts))
         self.hosts[number] = host
         self._by_address[address(number)] = host
         host.task = asyncio.create_task(self._run(host))
@@ -118,10 +118,10 @@
     def send(self, sender: Address, target: Address, data: bytes) -> None:
         """Delivers a datagram a moment later."""
         self.sent_bytes += len(data)
-        if self.lost_part and self.rng.random() < self.lost_part:
+        if self.loss_fraction and self.rng.random() < self.loss_fraction:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(ONE_WAY_S, self._deliver, sender, target, data)
+        loop.call_later(ONE_WAY_DELAY_S, self._deliver, sender, target, data)
 
     def _deliver(self, sender: Address, target: Address, data: bytes) -> None:
         host = self._by_address.get(target)
@@ -131,25 +131,25 @@
             )
 
     async def _run(self, host: Host) -> None:
-        await asyncio.sleep(self.rng.uniform(0, _DRAIN_S))
+        await asyncio.sleep(self.rng.uniform(0, _ROUND_S))
         if not self._is_busy:
             await host.run()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(host.run())
-            tasks.create_task(self._drain(host))
+            tasks.create_task(self._use_up_query_budget(host))
 
-    async def _drain(self, host: Host) -> None:
+    async def _use_up_query_budget(self, host: Host) -> None:
         """Spends what questions for loads may, again and again."""
         while True:
-            host.neighbours._rate.spend_on_queries(_ANY_BYTES)
-            await asyncio.sleep(_DRAIN_S)
+            host.neighbours._rate.spend_on_queries(_ABOVE_BUDGET_BYTES)
+            await asyncio.sleep(_ROUND_S)
 
-    def _make(self, number: int, count: int) -> Host:
+    def _make_host(self, number: int, count: int) -> Host:
         others = [n for n in range(count) if n != number]
         seeds = self.rng.sample(others, min(SEEDS, len(others)))
         settings = GatewaySettings(
             host=f"host-{number}",
-            data_centre=ZONES[number % len(ZONES)],
+            data_centre=DATA_CENTRES[number % len(DATA_CENTRES)],
             callers=Address("127.0.0.1", 1),
             readiness=Address("127.0.0.1", 2),
             peers=address(number),
@@ -157,24 +157,24 @@
             seeds=tuple(map(address, seeds)),
         )
         suspects = SuspectRegister(SuspectOptions())
-        size = FleetSize(
-            self._clock(), is_alone=not seeds, data_centres=len(ZONES)
+        host_count = FleetSize(
+            self._clock(), is_alone=not seeds, data_centres=len(DATA_CENTRES)
         )
         neighbours = Neighbours(
             settings,
-            Shared(
+            SharedState(
                 Loads(),
                 Demand(),
                 CachedParts(),
                 Forecasts(),
                 suspects,
-                size,
+                host_count,
                 NamedLimits(),
             ),
             InForce(Fleet(1.0)),
             Reachability(),
             cast(Prober, None),
-            ReadNews(ReadRevisions, lambda _: None),
+            RevisionGossip(ReadRevisions, lambda _: None),
             self._log,
             random.Random(self.rng.random()),
             self._clock,
@@ -182,4 +182,4 @@
         neighbours._socket.connection_made(
             cast(asyncio.BaseTransport, _Transport(self, address(number)))
         )
-        return Host(suspects, neighbours, size)
+        return Host(suspects, neighbours, host_count)
--- a/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.passed_s = 0.0
+        self.virtual_now_s = 0.0
 
     def select(
         self, timeout: float | None = None
@@ -22,7 +22,7 @@
         if timeout is None and not ready:
             raise RuntimeError("waits for something that never happens")
         if not ready:
-            self.passed_s += timeout or 0.0
+            self.virtual_now_s += timeout or 0.0
         return ready
 
 
@@ -32,7 +32,7 @@
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        return self._virtual.passed_s
+        return self._virtual.virtual_now_s
 
 
 def run_virtually(main: Coroutine[Any, Any, T]) -> T:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -14,8 +14,8 @@
     SuspectOptions,
     SuspectRegister,
 )
-from hollyknot_gateway._neighbours import NEWS_TARGETS, REPORT_S
-from hollyknot_gateway._reports import decode_message, encode_news
+from hollyknot_gateway._neighbours import REPORT_INTERVAL_S, SUSPECT_NEWS_FANOUT
+from hollyknot_gateway._reports import decode_message, encode_suspect_news
 from hollyknot_gateway.tests._neighbour_network import Network
 from hollyknot_gateway.tests._virtual_time import run_virtually
 from hollyknot_state import Outcome, Reason, SuspectNews, Verdict
@@ -129,9 +129,9 @@
         data = self.suspects.take_news(now_s)
         if not data:
             return
-        message = decode_message(encode_news(data))
+        message = decode_message(encode_suspect_news(data))
         assert isinstance(message, SuspectNews)
-        for peer in rng.sample(self.peers, NEWS_TARGETS):
+        for peer in rng.sample(self.peers, SUSPECT_NEWS_FANOUT):
             if rng.random() >= LOSS_FRACTION:
                 peer.suspects.on_records(message.suspects, now_s)
 
@@ -147,7 +147,7 @@
         culprit = _Culprit(news_hosts, rng)
         simulation = asyncio.create_task(culprit.repeat(2.0))
         while not simulation.done():
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             now_s = asyncio.get_running_loop().time()
             for news_host in news_hosts:
                 news_host.gossip(now_s, rng)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
@@ -19,7 +19,7 @@
 from hollyknot_state import Address, LoadAnswer, LoadNote, LoadQuery
 from hollyknot_state.routes import UpstreamEntry
 
-ENGINE = UpstreamEntry("i-1", "s", Address("127.0.0.1", 9), "north", 8)
+UPSTREAM = UpstreamEntry("i-1", "s", Address("127.0.0.1", 9), "north", 8)
 
 
 class _Host:
@@ -30,9 +30,9 @@
         self.loads = Loads()
         self.rate = ReportRate()
         self.heard = asyncio.Event()
-        self.is_deaf = False
+        self.is_unresponsive = False
         self.log = Log("h", "d", os.open(os.devnull, os.O_WRONLY))
-        self.socket = ReportSocket(self._take, self.log)
+        self.socket = ReportSocket(self._handle, self.log)
         self.inquirer: Inquirer | None = None
 
     async def open(self) -> Tracker:
@@ -43,7 +43,7 @@
         ip, port = transport.get_extra_info("sockname")
         return Tracker(self.number, Address(ip, port), "north")
 
-    def meet(self, own: Tracker, peers: tuple[Tracker, ...]) -> None:
+    def set_peers(self, own: Tracker, peers: tuple[Tracker, ...]) -> None:
         """Learns of the others."""
         trackers = Trackers(own, lambda: peers)
         self.inquirer = Inquirer(
@@ -52,28 +52,30 @@
             ),
             self.rate,
             self.socket.send,
-            lambda name: ENGINE if name == ENGINE.incarnation else None,
+            lambda name: UPSTREAM if name == UPSTREAM.incarnation else None,
             self.log,
             asyncio.get_running_loop().time,
         )
 
-    def _take(self, message: Message, sender: Address) -> None:
+    def _handle(self, message: Message, sender: Address) -> None:
         assert isinstance(message, LoadNote | LoadQuery | LoadAnswer)
         assert self.inquirer is not None
-        if not self.is_deaf:
+        if not self.is_unresponsive:
             self.inquirer.take(message, sender)
             self.heard.set()
 
 
-def _play(test: Callable[[_Host, _Host], Awaitable[None]]) -> None:
+def _run_with_two_hosts(
+    test: Callable[[_Host, _Host], Awaitable[None]],
+) -> None:
     """Runs a test with one who asks and one who tracks the engine."""
 
     async def main() -> None:
         asker, tracker = _Host(1), _Host(2)
         known = [await asker.open(), await tracker.open()]
         # Each knows the tracker alone, so that it tracks the engine.
-        asker.meet(Tracker(1, known[0].address, "south"), (known[1],))
-        tracker.meet(known[1], ())
+        asker.set_peers(Tracker(1, known[0].address, "south"), (known[1],))
+        tracker.set_peers(known[1], ())
         try:
             await test(asker, tracker)
         finally:
@@ -86,26 +88,26 @@
 class TestInquirer:
     """Questions, answers and notes as datagrams."""
 
-    def test_a_note_and_a_question(self) -> None:
+    def test_notes_and_queries_reach_tracker(self) -> None:
         async def test(asker: _Host, tracker: _Host) -> None:
             assert asker.inquirer is not None
             assert tracker.inquirer is not None
             tracker.loads.begin("i-1", 100, 2)
-            tracker.inquirer.tell()
+            tracker.inquirer.send_notes()
             asker.loads.begin("i-1", 50, 2)
-            asker.inquirer.tell_soon()
+            asker.inquirer.schedule_notes()
             await tracker.heard.wait()
             tracker.heard.clear()
-            await asker.inquirer.ask([ENGINE], ())
+            await asker.inquirer.ask([UPSTREAM], ())
             await asker.heard.wait()
             now_s = asyncio.get_running_loop().time()
             load = asker.loads.at("i-1", now_s)
             assert load.requests in (1, 2)
             assert asker.loads._tracked
 
-        _play(test)
+        _run_with_two_hosts(test)
 
-    def test_a_tracker_that_is_silent_holds_nothing_up(self) -> None:
+    def test_silent_tracker_does_not_block_requests(self) -> None:
         """Requests hang for as long as a tracker is gone.
 
         Sequence: its process is frozen or cut off. Cause: a choice waited for
@@ -114,15 +116,15 @@
 
         async def test(asker: _Host, tracker: _Host) -> None:
             assert asker.inquirer is not None
-            tracker.is_deaf = True
+            tracker.is_unresponsive = True
             for _ in range(3):
-                assert not await asker.inquirer.ask([ENGINE], ())
+                assert not await asker.inquirer.ask([UPSTREAM], ())
 
-        _play(test)
+        _run_with_two_hosts(test)
 
-    def test_nothing_to_ask_for_is_no_answer(self) -> None:
+    def test_query_for_no_upstreams_is_not_answered(self) -> None:
         async def test(asker: _Host, _: _Host) -> None:
             assert asker.inquirer is not None
             assert not await asker.inquirer.ask([], ())
 
-        _play(test)
+        _run_with_two_hosts(test)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_losses.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_loss_classifier.py
@@ -10,9 +10,9 @@
     SuspectOptions,
     SuspectRegister,
 )
-from hollyknot_gateway import _losses
+from hollyknot_gateway import _loss_classifier
 from hollyknot_gateway._log import Log
-from hollyknot_gateway._losses import Losses
+from hollyknot_gateway._loss_classifier import LossClassifier
 from hollyknot_gateway._pool import Pool
 from hollyknot_gateway._prober import Prober
 from hollyknot_state import Address, Outcome, Reason, Verdict
@@ -23,10 +23,10 @@
 FINGERPRINT = 7
 
 
-class _Parts:
+class _LossJudgement:
     """The parts of one host that judge losses."""
 
-    def __init__(self, port: int, *, is_cut: bool) -> None:
+    def __init__(self, port: int, *, is_partitioned: bool) -> None:
         clock = asyncio.get_running_loop().time
         log = Log("h", "d", os.open(os.devnull, os.O_WRONLY))
         self.suspects = SuspectRegister(SuspectOptions())
@@ -39,18 +39,18 @@
             log,
             clock,
         )
-        self.losses = Losses(
-            self.suspects, self.prober, lambda _: is_cut, log, clock
+        self.losses = LossClassifier(
+            self.suspects, self.prober, lambda _: is_partitioned, log, clock
         )
         self.entry = UpstreamEntry(
             "i-1", "s", Address("127.0.0.1", port), "north", 8
         )
 
-    async def lose(self) -> None:
+    async def lose_request(self) -> None:
         """Loses a request and waits for the judgement."""
         self.suspects.on_dispatch(FINGERPRINT, "i-1")
-        self.losses.ended(self.entry, FINGERPRINT, LOST)
-        await self.losses.judged()
+        self.losses.on_try_end(self.entry, FINGERPRINT, LOST)
+        await self.losses.wait_until_judged()
 
     @property
     def is_suspect(self) -> bool:
@@ -70,18 +70,18 @@
     asyncio.run(test())  # type: ignore[arg-type]
 
 
-class TestLosses:
+class TestLossClassifier:
     """A refused connection tells a crash, but not in a cut."""
 
-    def test_a_crash_makes_a_suspect(self) -> None:
+    def test_crash_makes_request_suspect(self) -> None:
         async def test() -> None:
-            parts = _Parts(await _free_port(), is_cut=False)
-            await parts.lose()
+            parts = _LossJudgement(await _free_port(), is_partitioned=False)
+            await parts.lose_request()
             assert parts.is_suspect
 
         _run(test)
 
-    def test_a_lost_answer_does_not(self) -> None:
+    def test_reset_answer_makes_no_suspect(self) -> None:
         """An innocent request is refused for an hour.
 
         Sequence: answers are reset on their way, one request loses two.
@@ -91,8 +91,8 @@
         async def test() -> None:
             server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
             port: int = server.sockets[0].getsockname()[1]
-            parts = _Parts(port, is_cut=False)
-            await parts.lose()
+            parts = _LossJudgement(port, is_partitioned=False)
+            await parts.lose_request()
             assert not parts.is_suspect
             gate = parts.suspects.gate(FINGERPRINT, 0.0)
             assert isinstance(gate, Clear)
@@ -101,7 +101,7 @@
 
         _run(test)
 
-    def test_a_cut_that_refuses_does_not(self) -> None:
+    def test_refusing_partition_makes_no_suspect(self) -> None:
         """All requests of a data centre are refused after a cut.
 
         Sequence: the network resets what crosses a cut, new connections too;
@@ -110,11 +110,11 @@
         """
 
         async def test() -> None:
-            parts = _Parts(await _free_port(), is_cut=True)
-            await parts.lose()
+            parts = _LossJudgement(await _free_port(), is_partitioned=True)
+            await parts.lose_request()
             assert not parts.is_suspect
 
         _run(test)
 
-    def test_the_wait_for_a_cut_is_longer_than_its_signs_take(self) -> None:
-        assert _losses.JUDGE_S >= 2 * _silences.SILENT_S
+    def test_verdict_waits_longer_than_partition_detection(self) -> None:
+        assert _loss_classifier.VERDICT_DELAY_S >= 2 * _silences.SILENT_S
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -69,7 +69,7 @@
 class TestPermitRequester:
     """Answers, silence, and callers that leave."""
 
-    def test_an_answer_decides(self) -> None:
+    def test_answer_decides_whether_permit_is_issued(self) -> None:
         async def main() -> None:
             for is_issued in (True, False):
                 host = _Host()
@@ -80,7 +80,7 @@
 
         run_virtually(main())
 
-    def test_a_second_host_is_asked_where_the_first_is_silent(self) -> None:
+    def test_asks_second_host_if_first_is_silent(self) -> None:
         """Guards against upstreams without an issuer while it is away."""
 
         async def main() -> None:
@@ -96,7 +96,7 @@
 
         run_virtually(main())
 
-    def test_silence_is_no_permit(self) -> None:
+    def test_silence_of_all_hosts_issues_no_permit(self) -> None:
         async def main() -> None:
             host = _Host()
             assert not await host.ask()
@@ -104,7 +104,7 @@
 
         run_virtually(main())
 
-    def test_nothing_is_kept_of_a_caller_that_leaves(self) -> None:
+    def test_cancelled_request_leaves_no_state(self) -> None:
         """Guards against questions that pile up without an answer."""
 
         async def main() -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -9,13 +9,13 @@
 from hollyknot_coordination.forwarding import Demand, Loads
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._reports import (
-    MAX_BYTES,
+    MAX_DATAGRAM_BYTES,
     MAX_SUSPECTS,
     Message,
     ReportSocket,
     decode_message,
-    encode_news,
     encode_report,
+    encode_suspect_news,
 )
 from hollyknot_state import (
     Address,
@@ -56,22 +56,22 @@
     uses=(UpstreamUse(5, (3, 4), 1, 2, b"\x01\x02"),),
     demands=(LaneDemand("engines", 4, 5),),
 )
-_GOOD = encode_report(_REPORT)
+_VALID = encode_report(_REPORT)
 
 
-def _taken(data: bytes) -> list[Message]:
+def _receive(data: bytes) -> list[Message]:
     """Returns what a datagram told."""
-    taken: list[Message] = []
+    received: list[Message] = []
     ReportSocket(
-        lambda message, _: taken.append(message), _LOG
+        lambda message, _: received.append(message), _LOG
     ).datagram_received(data, _SENDER)
-    return taken
+    return received
 
 
-class TestReportBytes:
+class TestReportEncoding:
     """What reports hold, and what they cost."""
 
-    def test_a_report_is_read_as_it_was_written(self) -> None:
+    def test_report_is_decoded_as_it_was_encoded(self) -> None:
         report = attrs.evolve(
             _REPORT,
             uses=(UpstreamUse(5, (32, 48), 1, 2, b"\x01\x02"),),
@@ -79,7 +79,7 @@
         )
         assert decode_message(encode_report(report)) == report
 
-    def test_one_that_is_too_large_still_tells_of_suspects(self) -> None:
+    def test_oversized_report_keeps_suspects(self) -> None:
         """A request crashes upstreams while reports are too large."""
         report = attrs.evolve(
             _REPORT,
@@ -88,23 +88,23 @@
                 SuspectRecord(n, "i-5d1c20ff01", 20, 900) for n in range(60)
             ),
         )
-        (told,) = _taken(encode_report(report))
-        assert isinstance(told, HostReport)
-        assert told.suspects == report.suspects[:MAX_SUSPECTS]
+        (received_message,) = _receive(encode_report(report))
+        assert isinstance(received_message, HostReport)
+        assert received_message.suspects == report.suspects[:MAX_SUSPECTS]
 
-    def test_news_that_are_too_large_tell_the_first(self) -> None:
+    def test_oversized_suspect_news_keeps_first_records(self) -> None:
         records = tuple(
             SuspectRecord(n, "i-5d1c20ff01", 20, 900) for n in range(128)
         )
-        data = encode_news(records)
-        assert len(data) <= MAX_BYTES
-        (told,) = _taken(data)
-        assert isinstance(told, SuspectNews)
-        count = len(told.suspects)
+        data = encode_suspect_news(records)
+        assert len(data) <= MAX_DATAGRAM_BYTES
+        (received_message,) = _receive(data)
+        assert isinstance(received_message, SuspectNews)
+        count = len(received_message.suspects)
         assert count >= 20
-        assert told.suspects == records[:count]
+        assert received_message.suspects == records[:count]
 
-    def test_one_that_tells_what_waits_is_short(self) -> None:
+    def test_partial_report_is_short(self) -> None:
         """Hosts decide by loads that are 0.7 s old.
 
         Sequence: eight hosts tell each other of twelve upstreams within a
@@ -115,42 +115,42 @@
         assert len(encode_report(report)) <= 60
 
 
-class TestReadReports:
+class TestReceivedDatagrams:
     """Datagrams that anybody may send."""
 
-    def test_a_good_one_is_taken(self) -> None:
-        assert len(_taken(_GOOD)) == 1
+    def test_valid_datagram_is_delivered(self) -> None:
+        assert len(_receive(_VALID)) == 1
 
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data: bytes) -> None:
-        _taken(data)
+    def test_arbitrary_bytes_raise_nothing(self, data: bytes) -> None:
+        _receive(data)
 
     @given(st.sampled_from([b"h", b"u"]), st.binary(max_size=200))
-    def test_any_bytes_that_begin_as_a_report(
+    def test_arbitrary_bytes_after_report_tag_raise_nothing(
         self, tag: bytes, data: bytes
     ) -> None:
-        _taken(tag + data)
+        _receive(tag + data)
 
     @given(
         st.lists(
             st.tuples(
-                st.integers(0, len(_GOOD) - 1),
+                st.integers(0, len(_VALID) - 1),
                 st.integers(min_value=0, max_value=255),
             ),
             max_size=4,
         ),
-        st.integers(0, len(_GOOD)),
+        st.integers(0, len(_VALID)),
     )
-    def test_a_good_one_that_was_changed_on_its_way(
+    def test_corrupted_report_raises_nothing(
         self, changes: list[tuple[int, int]], length: int
     ) -> None:
-        data = bytearray(_GOOD)
+        data = bytearray(_VALID)
         for place, value in changes:
             data[place] = value
-        _taken(bytes(data[:length]))
+        _receive(bytes(data[:length]))
 
     @given(_USES, _DEMANDS)
-    def test_any_numbers_are_counted_without_an_error(
+    def test_arbitrary_numbers_are_counted_without_error(
         self,
         uses: tuple[UpstreamUse, ...],
         demands: tuple[LaneDemand, ...],
--- a/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
@@ -96,4 +96,4 @@
     def test_silent_tries_at_an_unreachable_upstream_end(self) -> None:
         watch = _Watch(2, 0.0)
         watch.now_s = SILENT_S
-        assert watch.stalls.upstream_away("i-1") == 2
+        assert watch.stalls.on_upstream_unreachable("i-1") == 2
