--- a/packages/gateway/src/hollyknot_gateway/_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/_inquirer.py
@@ -1,4 +1,4 @@
-"""Carries a host's questions to the trackers of upstreams, and its answers."""
+"""Sends a host's load queries to trackers, and answers those of its peers."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -15,7 +15,7 @@
 
 
 class Inquirer:
-    """The messages between one host and the trackers that it knows."""
+    """Exchanges load queries, answers and notes with trackers."""
 
     def __init__(
         self,
@@ -26,14 +26,14 @@
         log: Log,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Builds an inquirer that has sent nothing yet.
 
         Args:
-            inquiries: Decides what is asked and told.
-            rate: What may be sent.
-            send: Sends a datagram to some hosts.
+            inquiries: Decides which queries, answers and notes are sent.
+            rate: Byte budget that all sent messages are charged to.
+            send: Sends a datagram to the given hosts.
             entry_of: Returns a known upstream by its incarnation.
-            log: Told of trackers that do not answer.
+            log: Logs trackers that do not answer.
             clock: The loop's monotonic clock, in seconds.
         """
         self._inquiries = inquiries
@@ -47,11 +47,15 @@
     async def ask(
         self, entries: Sequence[UpstreamEntry], runs: tuple[int, ...]
     ) -> bool:
-        """Asks for the loads of some upstreams, and waits for the answers.
+        """Asks trackers for the loads of upstreams and waits for the answers.
+
+        Args:
+            entries: The upstreams.
+            runs: Short names of the prefixes of the request's prompt.
 
         Returns:
-            Whether all that was asked for is known; if not, some loads are
-            those that reports told.
+            Whether all loads are known from trackers; if not, some are only
+            known from reports.
         """
         now_s = self._clock()
         if not entries:
@@ -74,7 +78,7 @@
                 self._log.line("tracker_silent", tracker=str(tracker.address))
 
     def take(self, message: LoadMessage, sender: Address) -> None:
-        """Takes a message, as a tracker or as one who asked."""
+        """Handles a message, either as a tracker or as the querying host."""
         now_s = self._clock()
         if isinstance(message, LoadNote):
             self._inquiries.take_note(message, now_s)
@@ -84,17 +88,17 @@
             self._inquiries.take_answer(message, now_s)
 
     def schedule_notes(self) -> None:
-        """Tells trackers of work that has just changed.
+        """Schedules notes to trackers about in-flight work that has changed.
 
-        Once for all changes of one turn of the loop: a request that ends often
-        makes place for the next.
+        Notes are sent once for all changes of one iteration of the event loop:
+        a request that ends often makes room for the next one.
         """
         if not self._is_send_scheduled:
             self._is_send_scheduled = True
             asyncio.get_running_loop().call_soon(self.send_notes)
 
     def send_notes(self) -> None:
-        """Tells trackers of work that has changed, and now and then of all."""
+        """Sends notes to trackers: changed work, and periodically all work."""
         self._is_send_scheduled = False
         notes = self._inquiries.notes(self._entry_of, self._clock())
         for tracker, note in notes:
--- a/packages/gateway/src/hollyknot_gateway/_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/_permit_requester.py
@@ -1,4 +1,4 @@
-"""Carries a host's questions for permits, and its answers as an issuer."""
+"""Sends a host's permit queries, and answers those of its peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -17,7 +17,7 @@
 
 
 class PermitRequester:
-    """The messages about permits between one host and the others."""
+    """Exchanges permit queries and answers with other hosts."""
 
     def __init__(
         self,
@@ -27,13 +27,13 @@
         log: Log,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Builds a requester that has sent nothing yet.
 
         Args:
-            permits: Decides what is asked and answered.
-            rate: Counts what is sent.
-            send: Sends a datagram to some hosts.
-            log: Told of hosts that do not answer.
+            permits: Decides which queries and answers are sent.
+            rate: Byte budget that all sent messages are charged to.
+            send: Sends a datagram to the given hosts.
+            log: Logs hosts that do not answer.
             clock: The loop's monotonic clock, in seconds.
         """
         self._permits = permits
@@ -43,10 +43,15 @@
         self._clock = clock
 
     async def ask(self, entry: UpstreamEntry, *, is_least_urgent: bool) -> bool:
-        """Asks for a permit to send a request to an upstream.
+        """Asks for a permit to send a request to a rate-limited upstream.
+
+        Args:
+            entry: The upstream.
+            is_least_urgent: Whether the request is among the least urgent of
+                its service.
 
         Returns:
-            Whether it may be sent.
+            Whether the request may be sent.
         """
         request, queries = self._permits.ask(
             entry, self._clock(), is_least_urgent=is_least_urgent
@@ -66,14 +71,14 @@
             self._permits.drop(request)
 
     def _handle_timeout(self, request: PermitRequest) -> Queries:
-        """Returns what is to be sent after an answer that has not come."""
+        """Returns the queries to send after an answer has timed out."""
         silent, queries = self._permits.overdue(request, self._clock())
         if silent is not None:
             self._log.line("tracker_silent", tracker=str(silent.address))
         return queries
 
     def take(self, message: PermitMessage, sender: Address) -> None:
-        """Takes a message, as an issuer or as one who asked."""
+        """Handles a message, either as an issuer or as the querying host."""
         now_s = self._clock()
         if isinstance(message, PermitQuery):
             self._send_message(self._permits.answer(message, now_s), sender)
--- a/packages/gateway/src/hollyknot_gateway/_revision_gossip.py
+++ b/packages/gateway/src/hollyknot_gateway/_revision_gossip.py
@@ -1,28 +1,28 @@
-"""What hosts tell each other of changes that they have read."""
+"""Decides when reports carry the directory revisions that a host has read."""
 
 from collections.abc import Callable
 
 from hollyknot_state import ReadRevisions
 
 ANNOUNCEMENT_S = 2.0
-"""How long a host tells in each report which change it has read last. News
-pass through a fleet of hundreds, each told by some ten others a second, within
-half a second; after that the whole reports carry them."""
+"""Seconds for which every report carries newly read revisions. They reach all
+of several hundred hosts, each of which gets some ten reports a second, within
+half a second; after this time only complete reports carry them."""
 
 
 class RevisionGossip:
-    """The newest changes that a host has read from the directory."""
+    """Exchanges with peers the newest directory revisions that were read."""
 
     def __init__(
         self,
         read: Callable[[], ReadRevisions],
         on_read: Callable[[ReadRevisions], None],
     ) -> None:
-        """Knows none.
+        """Builds the exchange without any announced revisions.
 
         Args:
-            read: Returns the newest changes that this host has read.
-            on_read: Takes those that a peer has read.
+            read: Returns the newest revisions that this host has read.
+            on_read: Called with the revisions that a peer has read.
         """
         self._read = read
         self._on_read = on_read
@@ -31,19 +31,20 @@
 
     @property
     def read(self) -> ReadRevisions:
-        """The newest changes that this host has read."""
+        """The newest revisions that this host has read."""
         return self._read()
 
     def take(self, read: ReadRevisions) -> None:
-        """Takes what a peer has read."""
+        """Passes on the revisions that a peer has read."""
         self._on_read(read)
 
     def told(self, now_s: float, *, is_whole: bool) -> ReadRevisions | None:
-        """Returns what a report tells; None where it is no news.
+        """Returns the revisions for the next report; None if not new.
 
         Args:
-            now_s: The time.
-            is_whole: Whether the report tells of everything.
+            now_s: The current time, in seconds.
+            is_whole: Whether the report is complete, so that it carries the
+                revisions in any case.
         """
         read = self._read()
         if read != self._newest:
