--- a/packages/gateway/src/hollyknot_gateway/_loss_classifier.py
+++ b/packages/gateway/src/hollyknot_gateway/_loss_classifier.py
@@ -1,11 +1,12 @@
-"""Finds out whether a lost answer was a crash, and which requests were in it.
-
-A request that crashes each upstream that runs it comes again through any host.
-But most lost answers are no crashes: a reset on the way loses an answer too,
-and blaming its request would refuse an innocent. A crashed process refuses new
-connections; that tells the two apart. In some cuts the network refuses them as
-well, for all that is behind the cut, so that the verdict waits until a cut
-would have shown.
+"""Decides whether a lost answer was a crash and which requests were part of it.
+
+A request that crashes every upstream that runs it may be sent again through any
+host, so the register of suspects must know of its crashes. But most lost
+answers are no crashes: a connection reset on the network path loses an answer
+too, and blaming the request for it would refuse a harmless request. The two
+differ in that a crashed process refuses new connections. In some network
+partitions, connections to all upstreams behind the partition are refused as
+well, so the verdict waits until a partition would have been detected.
 """
 
 import asyncio
@@ -19,15 +20,15 @@
 from hollyknot_state.routes import UpstreamEntry
 
 PROBE_DELAY_S = 0.03
-"""From a loss to the probe: a process that crashes closes its connections one
-after the other, and its listening socket with them."""
+"""Seconds from a loss to the probe: a process that crashes closes its
+connections one after the other, and its listening socket among them."""
 
 VERDICT_DELAY_S = 0.8
-"""From a refused connection to the verdict: a data centre that was cut off has
-fallen silent by then, twice over."""
+"""Seconds from a refused connection to the verdict: twice the shortest silence
+that shows that a data centre is behind a network partition."""
 
 _MAX_LOGGED = 8
-"""Fingerprints in one line."""
+"""Largest number of fingerprints in one log line."""
 
 _LOST = frozenset({Reason.UPSTREAM_LOST, Reason.TRUNCATED})
 _NO_CRASH = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT)
@@ -35,7 +36,7 @@
 
 
 class LossClassifier:
-    """Tells the register of suspects how each try ended."""
+    """Reports to the register of suspects how each try ended."""
 
     def __init__(
         self,
@@ -45,13 +46,14 @@
         log: Log,
         clock: Callable[[], float],
     ) -> None:
-        """Waits for losses.
+        """Builds a classifier without pending losses.
 
         Args:
             suspects: Weighs the evidence.
-            prober: Tells a crash by a refused connection.
-            is_cut: Whether an upstream may be behind a cut.
-            log: Told of crashes.
+            prober: Probes upstreams; a refused connection shows a crash.
+            may_be_partitioned: Returns whether an upstream may be behind a
+                network partition.
+            log: Logs crashes.
             clock: The loop's monotonic clock, in seconds.
         """
         self._suspects = suspects
@@ -65,7 +67,11 @@
     def on_try_end(
         self, entry: UpstreamEntry, fingerprint: int, verdict: Verdict
     ) -> None:
-        """Takes in the end of a try that was sent."""
+        """Handles the end of a try whose request was sent.
+
+        The first loss at an upstream starts a probe of it. Further losses
+        there until the verdict count as part of the same incident.
+        """
         if verdict.reason not in _LOST:
             self._report_end(entry, fingerprint, verdict)
             return
@@ -79,7 +85,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def wait_until_judged(self) -> None:
-        """Waits until all losses so far have been judged."""
+        """Waits until all losses so far have a verdict."""
         while self._tasks:
             await asyncio.gather(*self._tasks)
 
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -1,4 +1,4 @@
-"""What a host and its peers tell each other, and what follows from silence."""
+"""Exchanges reports with a host's peers and detects silent data centres."""
 
 import asyncio
 import random
@@ -49,36 +49,39 @@
 from hollyknot_state.routes import GatewaySettings, UpstreamEntry
 
 REPORT_INTERVAL_S = 0.1
-"""Between two rounds of reports. Work in flight changes within tens of
+"""Seconds between two rounds of reports. In-flight work changes within tens of
 milliseconds, and a report costs some tens of microseconds."""
 
 COMPLETE_REPORT_EVERY = 6
-"""One of so many short reports tells of all upstreams with work in flight; the
-others only of those where prompts wait, which change the soonest."""
+"""One in this many use reports covers all upstreams with in-flight work. The
+others are partial: they cover only upstreams where prompts wait for prefill,
+whose load changes the fastest."""
 
 SUSPECT_NEWS_FANOUT = 5
-"""Peers to which each host passes on new evidence of a crash, once: all hosts
-but one in a hundred then have it after a few rounds, however many they are."""
+"""Number of peers to which each host forwards new evidence of a crash, once. It
+then reaches 99 % of the hosts in a few rounds, whatever their number."""
 
 PARTITION_DETECTION_S = 1.5
-"""Within which upstreams behind one cut are found to be away, one by one."""
+"""Seconds within which the upstreams behind one network partition are found to
+be unreachable, one after the other."""
 
 _INCARNATION_BITS = 62
-"""Of the random number that tells a restarted host from the one before it."""
+"""Length in bits of the random number that distinguishes a restarted host from
+its earlier incarnation."""
 
 
 @attrs.frozen
 class SharedState:
-    """What hosts tell each other of.
+    """State of one host that its reports are made from and applied to.
 
     Attributes:
-        loads: Work in flight.
-        demand: Prompt tokens that are sent.
-        cached: Which upstream has which parts of prompts.
-        forecasts: How long streams take at upstreams.
-        suspects: Which requests may crash upstreams.
-        size: How many hosts there are.
-        limits: Rate limits that upstreams have named.
+        loads: In-flight work at the upstreams.
+        demand: Prompt tokens that hosts send per second, smoothed.
+        cached: Prompt prefixes that each upstream has cached.
+        forecasts: Expected durations of streams at the upstreams.
+        suspects: Requests that may crash upstreams.
+        host_count: Number of hosts among which bounds are shared.
+        limits: Rate limits that upstreams have named in their answers.
     """
 
     loads: Loads
@@ -91,7 +94,7 @@
 
 
 class Neighbours:
-    """The peers of one host, told and heard several times a second."""
+    """Sends reports to a host's peers and handles what the peers send."""
 
     def __init__(
         self,
@@ -105,17 +108,18 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Builds the exchange; `open` opens its socket.
 
         Args:
-            settings: Of this process.
-            shared: What is told.
-            in_force: Routes and upstreams.
-            reachability: Which upstreams can't be connected to.
-            prober: Looks at upstreams of a silent data centre.
-            news: What was read from the directory.
-            log: Told of peers met and lost.
-            rng: Chooses peers, and which upstream is probed.
+            settings: The settings of this process.
+            shared: State that is exchanged with peers.
+            in_force: Newest route table and known upstreams.
+            reachability: Records which upstreams can't be connected to.
+            prober: Probes upstreams of silent data centres.
+            directory_revisions: Decides when reports carry the directory
+                revisions that were read.
+            log: Logs new and lost peers.
+            rng: Chooses the peers to contact and the upstreams to probe.
             clock: The loop's monotonic clock, in seconds.
         """
         self._settings = settings
@@ -167,20 +171,29 @@
     async def ask(
         self, entries: Sequence[UpstreamEntry], runs: tuple[int, ...]
     ) -> bool:
-        """Asks trackers for loads.
+        """Asks trackers for the loads of upstreams.
+
+        Args:
+            entries: The upstreams.
+            runs: Short names of the prefixes of the request's prompt.
 
         Returns:
-            Whether all answers are known.
+            Whether all loads are known from trackers.
         """
         return await self._inquirer.ask(entries, runs)
 
     async def ask_permit(
         self, entry: UpstreamEntry, *, is_least_urgent: bool
     ) -> bool:
-        """Asks for a permit to send a request to an upstream with a limit.
+        """Asks for a permit to send a request to a rate-limited upstream.
+
+        Args:
+            entry: The upstream.
+            is_least_urgent: Whether the request is among the least urgent of
+                its service.
 
         Returns:
-            Whether it may be sent.
+            Whether the request may be sent.
         """
         return await self._permit_requester.ask(
             entry, is_least_urgent=is_least_urgent
@@ -188,30 +201,31 @@
 
     @property
     def permits(self) -> Permits:
-        """What is known of permits for upstreams with a limit."""
+        """The permits for rate-limited upstreams."""
         return self._permits
 
     @property
     def should_query_trackers(self) -> bool:
-        """Whether a choice had better ask trackers than believe reports.
+        """Whether to ask trackers for loads instead of relying on reports.
 
-        It had where reports come seldom, as long as the budget allows.
+        It is better to ask if reports are rare, as long as the byte budget for
+        queries allows it.
         """
         is_old = self._peers.interval_s >= ASK_FROM_S
         return is_old and self._rate.may_ask(self._clock())
 
     @property
     def count(self) -> int:
-        """Peers that are heard."""
+        """Number of peers that send reports to this host."""
         return self._peers.count
 
     @property
     def hosts(self) -> int:
-        """How many hosts there are, as far as this one can tell."""
+        """Estimated number of hosts, with this one."""
         return self._peers.estimated + 1
 
     async def open(self) -> None:
-        """Opens the socket of reports.
+        """Opens the socket for reports.
 
         Raises:
             OSError: The address can't be bound.
@@ -219,11 +233,11 @@
         await self._socket.open(self._settings.peers)
 
     def close(self) -> None:
-        """Closes the socket of reports."""
+        """Closes the socket for reports."""
         self._socket.close()
 
     async def run(self) -> None:
-        """Tells and counts until it is cancelled."""
+        """Sends and aggregates reports until it is cancelled."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             now_s = self._clock()
@@ -234,32 +248,29 @@
             self._send_reports(now_s)
 
     def _forward_suspect_news(self, now_s: float) -> None:
-        """Passes on new evidence of crashes, before anything else is told.
+        """Forwards new evidence of crashes, ahead of the regular reports.
 
-        Where bytes are short, only that against requests that were in more
-        than one crash: an upstream that crashes takes many with it.
+        If the byte budget is spent, only evidence against requests that were
+        part of more than one crash is forwarded: each crash of an upstream
+        brings many requests under suspicion that were only in flight there.
         """
         suspects = self._shared.suspects
-        directory_revisions = suspects.take_news(now_s)
-        if directory_revisions and not self._rate.affordable(
-            self._report_bytes, now_s
-        ):
-            directory_revisions = tuple(
-                r
-                for r in directory_revisions
-                if suspects.is_repeated(r.fingerprint)
+        records = suspects.take_news(now_s)
+        if records and not self._rate.affordable(self._report_bytes, now_s):
+            records = tuple(
+                r for r in records if suspects.is_repeated(r.fingerprint)
             )
-        if not directory_revisions:
+        if not records:
             return
         addresses = [host.address for host in self._peers.hosts]
         max_targets = min(SUSPECT_NEWS_FANOUT, len(addresses))
         self._send(
-            encode_suspect_news(directory_revisions),
+            encode_suspect_news(records),
             self._rng.sample(addresses, max_targets),
         )
 
     def _send_reports(self, now_s: float) -> None:
-        """Sends as many reports as the budget of bytes allows."""
+        """Sends as many reports as the byte budget allows."""
         if not self._rate.affordable(self._report_bytes, now_s):
             return
         self._sequence += 1
@@ -285,7 +296,7 @@
         self._rate.spend(len(data) * len(targets))
 
     def _aggregate_reports(self, now_s: float) -> None:
-        """Counts what peers have told, and forgets those that are silent."""
+        """Sums up the newest reports of the peers and removes silent peers."""
         for host in self._peers.expire(now_s):
             self._log.line("peer_lost", peer=host)
         fresh = self._peers.fresh(now_s)
@@ -302,7 +313,8 @@
     def _use_report(self, now_s: float, *, is_whole: bool) -> UseReport:
         shared = self._shared
         uses = shared.loads.uses()
-        # Where reports come seldom, whole ones come too seldom for the lanes.
+        # If reports are rare, complete ones alone are too rare to divide the
+        # upstreams between lanes.
         includes_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
         return UseReport(
             self._incarnation,
@@ -339,7 +351,8 @@
         if self._peers.interval_s >= NOTE_FROM_S:
             self._inquirer.schedule_notes()
         else:
-            # Nobody asks; the names of all upstreams would pile up.
+            # Nobody asks trackers. The set of changed upstreams is emptied, or
+            # it would grow to the names of all upstreams.
             self._shared.loads.take_changed()
 
     def _handle_message(self, message: Message, sender: Address) -> None:
@@ -381,10 +394,11 @@
             )
 
     def _check_silent_data_centres(self, now_s: float) -> None:
-        """Probes an upstream of each data centre that has just gone silent.
+        """Probes one upstream of each data centre that has just fallen silent.
 
-        One of them tells whether it is cut off; the others are probed only if
-        it is. A silence may come by chance, and each probe is a connection.
+        One upstream suffices to show whether the data centre is partitioned;
+        the others are probed only if it is. A silence may be due to chance, and
+        each probe opens a connection.
         """
         silent = self._peers.silent_data_centres(now_s)
         for data_centre in silent - self._silent_data_centres:
@@ -393,12 +407,15 @@
         self._silent_data_centres = silent
 
     def may_be_partitioned(self, entry: UpstreamEntry) -> bool:
-        """Whether an upstream that refuses may only be behind a cut.
-
-        Two upstreams that crash within a second in one data centre are taken
-        for a cut too: their requests are spared, which costs one more crash.
-        One that has been away for longer tells nothing: where upstreams take
-        minutes to start, no crash beside it would be held against anybody.
+        """Returns whether a refusing upstream may be behind a partition.
+
+        That is so if its data centre is silent or if another upstream there has
+        just become unreachable. Two upstreams of one data centre that crash in
+        quick succession are therefore taken for a partition too: their requests
+        are not suspected, which costs one more crash. An upstream that has been
+        unreachable for longer doesn't count: upstreams may take minutes to
+        start, and until then no crash in the same data centre would be
+        attributed to a request.
         """
         if entry.data_centre in self._silent_data_centres:
             return True
@@ -410,12 +427,16 @@
     def on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
-        """Probes upstreams of a data centre that may be cut off.
+        """Probes upstreams of a data centre that may be partitioned.
+
+        A refused connection is mostly a crash, so only one other upstream is
+        probed; it refuses too if it is the network that refuses. All others are
+        probed if the data centre is silent or if a connection hung: in a
+        partition, requests would wait for a timeout at each of them in turn.
 
-        A refused connection is a crash mostly, so that one other upstream is
-        asked; it refuses too where the network does. All are probed where the
-        data centre is silent or a connection hung: in a cut, requests would
-        wait at each of them in turn.
+        Args:
+            entry: The upstream that became unreachable.
+            failure: How the connection attempt failed.
         """
         others = self._others_in_data_centre(entry)
         is_silent = entry.data_centre in self._silent_data_centres
@@ -432,7 +453,7 @@
     def _reachable(
         self, entries: Sequence[UpstreamEntry]
     ) -> list[UpstreamEntry]:
-        """Returns those that are not known to be away."""
+        """Returns the upstreams that are not known to be unreachable."""
         away = self._reachability.away(entries)
         return [entry for entry in entries if entry.incarnation not in away]
 
@@ -446,7 +467,7 @@
         ]
 
     def _usable_in(self, data_centre: str) -> list[UpstreamEntry]:
-        """Returns the upstreams of a data centre that may get work."""
+        """Returns the upstreams of a data centre that may receive requests."""
         return [
             entry
             for entry in self._in_force.fleet.all_usable(self._clock())
