--- a/packages/gateway/src/hollyknot_gateway/_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/_reports.py
@@ -1,7 +1,7 @@
-"""Sends and takes the reports that hosts give each other, as datagrams.
+"""Encodes, sends and receives the datagrams that hosts exchange.
 
-Datagrams, since a report that is late is worth nothing: a connection would
-send it all the same, and may itself fall silent without a sign.
+Reports are datagrams because a late report is worthless: a connection would
+still deliver it, and may itself hang without a sign.
 """
 
 import asyncio
@@ -36,30 +36,31 @@
 )
 
 MAX_DATAGRAM_BYTES = 1400
-"""Fits into one packet. From a report that doesn't is left out, in this order,
-what does the least harm where it comes late: cached parts, upstreams that are
-not the busiest, limits, and most of the suspects."""
+"""Largest datagram, so that it fits into one packet. A larger report is reduced
+by leaving out, in this order, what does the least harm if it comes late: cached
+prompt prefixes, the less busy upstreams, rate limits, and most suspects."""
 
 MAX_USES = 48
-"""Upstreams in such a report, of some 14 bytes each."""
+"""Largest number of upstreams in a reduced report, at some 14 bytes each."""
 
 _LENGTH = struct.Struct(">H")
-"""Of the packed uses, before them; thrift's bytes of the rest follow."""
+"""Length of the packed uses. It precedes them; the rest of the message follows
+them in thrift's encoding."""
 
 Report = HostReport | UseReport
-"""What a host tells its peers of itself."""
+"""A report of a host's own state to its peers."""
 
 LoadMessage = LoadNote | LoadQuery | LoadAnswer
-"""What trackers are told and asked."""
+"""A message to or from a tracker."""
 
 PermitMessage = PermitQuery | PermitAnswer
-"""What issuers of permits are asked."""
+"""A message to or from an issuer of permits."""
 
 MAX_SUSPECTS = 16
-"""Suspects in a report that is too large with all of them."""
+"""Largest number of suspects in a reduced report."""
 
 Message = Report | LoadMessage | PermitMessage | SuspectNews
-"""All that hosts send each other in datagrams."""
+"""Any message that hosts send each other in a datagram."""
 
 _TAGS: dict[type[Message], bytes] = {
     HostReport: b"h",
@@ -76,7 +77,7 @@
 
 
 def encode_report(report: Report) -> bytes:
-    """Returns a report as a datagram, with less in it if it is too large."""
+    """Returns a report as a datagram, reduced if it would be too large."""
     data = encode_message(report)
     for reduce_report in _REDUCTIONS:
         if len(data) <= MAX_DATAGRAM_BYTES:
@@ -87,7 +88,7 @@
 
 
 def _busiest(uses: tuple[UpstreamUse, ...]) -> tuple[UpstreamUse, ...]:
-    """Returns the upstreams with the most tokens that wait."""
+    """Returns the uses of the upstreams with the most waiting tokens."""
     busiest = heapq.nlargest(
         MAX_USES, uses, key=lambda use: sum(use.waiting_tokens)
     )
@@ -102,11 +103,11 @@
         report, suspects=report.suspects[:MAX_SUSPECTS]
     ),
 )
-"""Makes a report smaller, step by step."""
+"""Steps that reduce a report, in the order in which they are applied."""
 
 
 def encode_suspect_news(records: Sequence[SuspectRecord]) -> bytes:
-    """Returns as much evidence as one datagram holds, the first of it."""
+    """Returns a datagram with as many of the first records as fit into it."""
     count = len(records)
     data = encode_message(SuspectNews(tuple(records)))
     while len(data) > MAX_DATAGRAM_BYTES:
@@ -119,12 +120,14 @@
     """Returns the message that a datagram holds.
 
     Raises:
-        MalformedMessageError: It holds none.
-        UnknownValueError: It holds one that is not understood here.
+        MalformedMessageError: The datagram holds no valid message.
+        UnknownValueError: The message holds a value that is unknown here.
     """
     kind = _CLASSES.get(data[:1])
     if kind is None or len(data) <= _LENGTH.size:
-        raise MalformedMessageError("not a message")
+        raise MalformedMessageError(
+            f"no message in a datagram of {len(data)} bytes, tag {data[:1]!r}"
+        )
     (length,) = _LENGTH.unpack_from(data, 1)
     rest = 1 + _LENGTH.size + length
     uses = unpack_uses(data[1 + _LENGTH.size : rest])
@@ -135,7 +138,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Returns a message as a datagram: its kind, its uses, and the rest."""
+    """Returns a message as a datagram: its tag, packed uses, and the rest."""
     uses = b""
     if not isinstance(message, _WITHOUT_USES):
         uses = pack_uses(message.uses)
@@ -145,16 +148,16 @@
 
 
 class ReportSocket(asyncio.DatagramProtocol):
-    """The socket of reports."""
+    """Sends and receives the messages of hosts over one UDP socket."""
 
     def __init__(
         self, deliver: Callable[[Message, Address], None], log: Log
     ) -> None:
-        """Not open yet.
+        """Builds a socket that is not open yet.
 
         Args:
-            deliver: Takes each message that arrives, and whence it came.
-            log: Told of what is none.
+            deliver: Called with each received message and its sender's address.
+            log: Logs datagrams that hold no valid message.
         """
         self._deliver = deliver
         self._log = log
@@ -177,18 +180,18 @@
             self._transport.close()
 
     def send(self, data: bytes, addresses: list[Address]) -> None:
-        """Sends a message to some hosts; nobody learns whether it arrives."""
+        """Sends a datagram to some hosts, without notice of its delivery."""
         if self._transport is None:
             return
         for address in addresses:
             self._transport.sendto(data, (address.ip, address.port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keeps the transport of the opened socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Takes a datagram, which anybody may have sent."""
+        """Decodes and delivers a datagram, which any process may have sent."""
         try:
             message = decode_message(data)
         except (MalformedMessageError, UnknownValueError) as error:
@@ -197,5 +200,8 @@
         self._deliver(message, Address(addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed; its silence tells that too."""
+        """Logs a failed send, such as to a closed port.
+
+        Nothing else follows from it: such a peer is noticed by its silence.
+        """
         self._log.line("report_not_sent", reason=repr(exc))
