--- a/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
@@ -1,4 +1,4 @@
-"""Many hosts' neighbours that send each other real datagrams, virtually."""
+"""Simulates many hosts that exchange real datagrams in virtual time."""
 
 import asyncio
 import os
@@ -36,7 +36,7 @@
 
 
 def address(number: int) -> Address:
-    """Returns where a host takes datagrams."""
+    """Returns the address at which a host receives datagrams."""
     return Address(
         f"10.{number // 62500}.{number // 250 % 250}.{number % 250 + 1}", PORT
     )
@@ -44,7 +44,7 @@
 
 @attrs.define
 class _Transport:
-    """Hands datagrams to the hosts of a network."""
+    """Passes the datagrams of one host to the simulated network."""
 
     network: "Network"
     own: Address
@@ -54,12 +54,12 @@
         self.network.send(self.own, Address(*target), data)
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Does nothing, as there is no socket."""
 
 
 @attrs.define
 class Host:
-    """One host: its register of suspects and its neighbours."""
+    """One simulated host and the parts that tests look at."""
 
     suspects: SuspectRegister
     neighbours: Neighbours
@@ -67,20 +67,21 @@
     task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Tells and counts until it is cancelled."""
+        """Sends and aggregates reports until it is cancelled."""
         await self.neighbours.run()
 
 
 class Network:
-    """Hosts that tell each other, by a budget of bytes of each."""
+    """Hosts that exchange reports, each within its own byte budget."""
 
     def __init__(self, count: int, seed: int, *, is_busy: bool) -> None:
-        """Has nobody run.
+        """Builds a network whose hosts are not started yet.
 
         Args:
-            count: How many hosts.
-            seed: Of all chance.
-            is_busy: Whether questions for loads leave reports the least.
+            count: Number of hosts.
+            seed: Seed of all random choices.
+            is_busy: Whether load queries use up their part of each host's byte
+                budget, so that only the least part is left for reports.
         """
         self.rng = random.Random(seed)
         self.loss_fraction = 0.0
@@ -94,7 +95,7 @@
         }
 
     def start(self) -> None:
-        """Starts all hosts at random moments within a round of reports."""
+        """Starts all hosts at random times within a round of reports."""
         for host in self.hosts:
             host.task = asyncio.create_task(self._run(host))
 
@@ -105,7 +106,7 @@
                 host.task.cancel()
 
     def restart(self, number: int) -> Host:
-        """Replaces a host by one that knows nothing."""
+        """Replaces a host by a newly started one without any state."""
         before = self.hosts[number]
         if before.task is not None:
             before.task.cancel()
@@ -116,7 +117,7 @@
         return host
 
     def send(self, sender: Address, target: Address, data: bytes) -> None:
-        """Delivers a datagram a moment later."""
+        """Delivers a datagram after the one-way delay, or loses it."""
         self.sent_bytes += len(data)
         if self.loss_fraction and self.rng.random() < self.loss_fraction:
             return
@@ -139,7 +140,7 @@
             tasks.create_task(self._use_up_query_budget(host))
 
     async def _use_up_query_budget(self, host: Host) -> None:
-        """Spends what questions for loads may, again and again."""
+        """Spends the byte budget for queries again in every round."""
         while True:
             host.neighbours._rate.spend_on_queries(_ABOVE_BUDGET_BYTES)
             await asyncio.sleep(_ROUND_S)
--- a/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer instead of waiting."""
+"""Runs coroutines in an event loop whose clock skips all waiting times."""
 
 import asyncio
 import selectors
@@ -9,7 +9,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Finds what is ready, and counts the time that it would have waited."""
+    """Polls without waiting and adds up the time that it would have waited."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,7 +20,9 @@
     ) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if timeout is None and not ready:
-            raise RuntimeError("waits for something that never happens")
+            raise RuntimeError(
+                "the event loop has neither timers nor ready files to wait for"
+            )
         if not ready:
             self.virtual_now_s += timeout or 0.0
         return ready
@@ -36,6 +38,6 @@
 
 
 def run_virtually(main: Coroutine[Any, Any, T]) -> T:
-    """Runs a coroutine to its end; its sleeps and timeouts take no time."""
+    """Runs a coroutine to its end; its sleeps and timeouts pass at once."""
     with asyncio.Runner(loop_factory=_Loop) as runner:
         return runner.run(main)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
@@ -1,4 +1,4 @@
-"""Tests of how many hosts a host takes to share a bound."""
+"""Tests the number of hosts among which a host takes bounds to be shared."""
 
 import asyncio
 
@@ -9,19 +9,24 @@
 
 HOSTS = 83
 DISCOVERY_S = 16.0
-"""From the start of all hosts, as before the first requests of a deployment."""
+"""Seconds from the start of all hosts to the first requests of a deployment."""
 
 MIN_HEARD_FRACTION = 0.8
-"""The part of all hosts that one must take itself to hear: it issues this part
-of three quarters of a limit, of which six tenths are to be used."""
+"""Least fraction of all hosts that a host must believe to hear from. It issues
+permits for this fraction of three quarters of a rate limit, and six tenths of
+the limit are to be usable."""
 
 
 class TestHostCount:
-    """What hosts of one deployment count."""
+    """Hosts of one deployment count each other."""
 
     @pytest.mark.parametrize("seed", [1, 2])
     def test_counts_most_hosts_soon_after_start(self, seed: int) -> None:
-        """Hosts use a tenth of a bound for a minute after they were started."""
+        """Guards against hosts that use too little of a bound after a start.
+
+        If hosts that have just started estimate far too many hosts, they use
+        only a tenth of the bound for a minute.
+        """
 
         async def main() -> list[float]:
             network = Network(HOSTS, seed, is_busy=False)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
@@ -1,4 +1,4 @@
-"""Tests of asking trackers over real datagrams."""
+"""Tests queries to trackers over real datagrams."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 
 
 class _Host:
-    """One host's socket and inquirer; the other one tracks the engine."""
+    """One host's socket and inquirer."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -36,7 +36,7 @@
         self.inquirer: Inquirer | None = None
 
     async def open(self) -> Tracker:
-        """Opens the socket, and returns how others know this host."""
+        """Opens the socket and returns this host as other hosts know it."""
         await self.socket.open(Address("127.0.0.1", 0))
         transport = self.socket._transport
         assert transport is not None
@@ -44,7 +44,7 @@
         return Tracker(self.number, Address(ip, port), "north")
 
     def set_peers(self, own: Tracker, peers: tuple[Tracker, ...]) -> None:
-        """Learns of the others."""
+        """Builds an inquirer that knows the given peers."""
         trackers = Trackers(own, lambda: peers)
         self.inquirer = Inquirer(
             Inquiries(
@@ -68,12 +68,13 @@
 def _run_with_two_hosts(
     test: Callable[[_Host, _Host], Awaitable[None]],
 ) -> None:
-    """Runs a test with one who asks and one who tracks the engine."""
+    """Runs a test with a querying host and the tracker of the upstream."""
 
     async def main() -> None:
         asker, tracker = _Host(1), _Host(2)
         known = [await asker.open(), await tracker.open()]
-        # Each knows the tracker alone, so that it tracks the engine.
+        # The tracker is the only host in the upstream's data centre, so that
+        # both choose it.
         asker.set_peers(Tracker(1, known[0].address, "south"), (known[1],))
         tracker.set_peers(known[1], ())
         try:
@@ -86,7 +87,7 @@
 
 
 class TestInquirer:
-    """Questions, answers and notes as datagrams."""
+    """Queries, answers and notes are exchanged as datagrams."""
 
     def test_notes_and_queries_reach_tracker(self) -> None:
         async def test(asker: _Host, tracker: _Host) -> None:
@@ -108,10 +109,10 @@
         _run_with_two_hosts(test)
 
     def test_silent_tracker_does_not_block_requests(self) -> None:
-        """Requests hang for as long as a tracker is gone.
+        """Guards against requests that hang while a tracker is unresponsive.
 
-        Sequence: its process is frozen or cut off. Cause: a choice waited for
-        an answer without a bound.
+        If its process is frozen or its network path is cut, the wait for an
+        answer must be bounded.
         """
 
         async def test(asker: _Host, tracker: _Host) -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_loss_classifier.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_loss_classifier.py
@@ -1,4 +1,4 @@
-"""Tests of telling crashes from lost answers."""
+"""Tests that crashes are distinguished from other lost answers."""
 
 import asyncio
 import os
@@ -24,7 +24,7 @@
 
 
 class _LossJudgement:
-    """The parts of one host that judge losses."""
+    """The parts of one host that decide on lost answers."""
 
     def __init__(self, port: int, *, is_partitioned: bool) -> None:
         clock = asyncio.get_running_loop().time
@@ -47,14 +47,14 @@
         )
 
     async def lose_request(self) -> None:
-        """Loses a request and waits for the judgement."""
+        """Loses a request and waits for the verdict."""
         self.suspects.on_dispatch(FINGERPRINT, "i-1")
         self.losses.on_try_end(self.entry, FINGERPRINT, LOST)
         await self.losses.wait_until_judged()
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the request is suspected."""
+        """Whether the request is a suspect."""
         return self.suspects.is_suspect(FINGERPRINT)
 
 
@@ -71,7 +71,7 @@
 
 
 class TestLossClassifier:
-    """A refused connection tells a crash, but not in a cut."""
+    """A refused connection shows a crash, except in a network partition."""
 
     def test_crash_makes_request_suspect(self) -> None:
         async def test() -> None:
@@ -82,10 +82,10 @@
         _run(test)
 
     def test_reset_answer_makes_no_suspect(self) -> None:
-        """An innocent request is refused for an hour.
+        """Guards against refusing a harmless request for an hour.
 
-        Sequence: answers are reset on their way, one request loses two.
-        Cause: each loss was taken for a crash of the upstream.
+        That happens if connection resets on the network path are taken for
+        crashes and one request loses two answers to them.
         """
 
         async def test() -> None:
@@ -102,11 +102,11 @@
         _run(test)
 
     def test_refusing_partition_makes_no_suspect(self) -> None:
-        """All requests of a data centre are refused after a cut.
+        """Guards against refusing many harmless requests after a partition.
 
-        Sequence: the network resets what crosses a cut, new connections too;
-        many requests were in flight. Cause: the refused connections were
-        taken for crashes of all upstreams behind the cut.
+        A partition may reset all connections across it and refuse new ones
+        while many requests are in flight. If the refusals are taken for
+        crashes of all upstreams behind it, these requests become suspects.
         """
 
         async def test() -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Tests of what a host does about data centres that fall silent."""
+"""Tests how a host probes data centres and when it queries trackers."""
 
 import os
 import random
@@ -35,21 +35,21 @@
 
 @attrs.define
 class _RecordingProber:
-    """Notes which upstreams are probed."""
+    """Records which upstreams are probed."""
 
     names: list[str] = attrs.Factory(list)
 
     def check(self, entry: UpstreamEntry) -> None:
-        """Notes one."""
+        """Records the probe of one upstream."""
         self.names.append(entry.name)
 
     def check_all(self, entries: list[UpstreamEntry]) -> None:
-        """Notes some."""
+        """Records the probes of several upstreams."""
         self.names += [entry.name for entry in entries]
 
 
 class _HostParts:
-    """One host's neighbours, with probes that are only noted."""
+    """One host's exchange with its peers; probes are only recorded."""
 
     def __init__(self) -> None:
         settings = GatewaySettings(
@@ -87,7 +87,7 @@
         )
 
     def receive_reports(self, until_s: float, every_s: float = 0.1) -> None:
-        """Hears a host of the far data centre again and again."""
+        """Receives reports of a host in the far data centre until a time."""
         sequence = 0
         while self.now_s < until_s:
             self.now_s += every_s
@@ -99,25 +99,26 @@
             self.check_silence()
 
     def check_silence(self) -> None:
-        """Looks at silences, as is done ten times a second."""
+        """Checks for silent data centres, as hosts do ten times a second."""
         self.neighbours._check_silent_data_centres(self.now_s)
 
     def make_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
-        """Finds that an upstream can't be connected to."""
+        """Reports that a connection attempt to an upstream failed."""
         self.reachability.failed(entry, self.now_s)
         self.neighbours.on_upstream_unreachable(entry, failure)
 
 
 class TestSilentDataCentre:
-    """One upstream tells whether a silent data centre is cut off."""
+    """One upstream shows whether a silent data centre is partitioned."""
 
     def test_silent_data_centre_costs_one_probe(self) -> None:
-        """A calm fleet opens more connections for probes than for requests.
+        """Guards against an idle fleet with more probes than requests.
 
-        Sequence: hosts that hear few reports take a data centre to be silent
-        by chance. Cause: each such alarm probed every upstream there.
+        Hosts that receive few reports consider a data centre silent by chance.
+        If each such alarm probes every upstream there, probes open more
+        connections than requests do.
         """
         parts = _HostParts()
         parts.receive_reports(until_s=3.0)
@@ -148,7 +149,7 @@
 
 
 class TestUnreachableUpstream:
-    """A cut shows at the upstreams beside one that was lost."""
+    """Other upstreams of a data centre show whether it is partitioned."""
 
     def test_hanging_connection_probes_all_others(self) -> None:
         parts = _HostParts()
@@ -156,11 +157,12 @@
         assert sorted(parts.prober.names) == [e.name for e in FAR[1:]]
 
     def test_refused_connection_probes_one_other(self) -> None:
-        """Innocent requests are refused after a cut in a large fleet.
+        """Guards against refusing harmless requests after a partition.
 
-        Sequence: a cut refuses connections; of a host's few requests one was
-        in flight behind it. Cause: the data centre's silence shows only after
-        seconds where its hosts report seldom, and a crash was judged before.
+        In a large fleet, where hosts report rarely, the silence of a data
+        centre shows only after seconds. If the partition refuses connections, a
+        host with just one request in flight there would take its loss for a
+        crash before.
         """
         parts = _HostParts()
         parts.make_unreachable(FAR[0], ConnectFailure.REFUSED)
@@ -172,7 +174,11 @@
         assert parts.neighbours.may_be_partitioned(FAR[0])
 
     def test_long_unreachable_upstream_hides_no_crash(self) -> None:
-        """A request goes on crashing upstreams beside one that starts anew."""
+        """Guards against more crashes by one request while an upstream starts.
+
+        If an upstream that has been unreachable for long counted as the sign of
+        a partition, no crash in its data centre would be blamed on a request.
+        """
         parts = _HostParts()
         parts.make_unreachable(FAR[1], ConnectFailure.REFUSED)
         parts.now_s += 5.0
@@ -181,7 +187,7 @@
 
 
 class TestShouldQueryTrackers:
-    """When a choice asks trackers instead of believing reports."""
+    """Hosts query trackers when reports are rare and the budget allows."""
 
     def test_does_not_query_if_reports_are_frequent(self) -> None:
         parts = _HostParts()
@@ -194,12 +200,12 @@
         assert parts.neighbours.should_query_trackers
 
     def test_does_not_query_beyond_byte_budget(self) -> None:
-        """Streams of a burst fail late instead of being refused in time.
+        """Guards against streams of a burst that fail late, not shed in time.
 
-        Sequence: in a burst hosts spend their budget of bytes; they go on to
-        choose, and to refuse, by the few upstreams that they would have asked
-        for. Cause: what reports tell of just those is seconds old, so that
-        they seemed to have room.
+        In a burst, hosts use up their byte budget for queries. If they go on to
+        place and shed requests by the shortlist that queries are for, they know
+        those few upstreams only from reports that are seconds old, by which
+        there seems to be room.
         """
         parts = _HostParts()
         parts.receive_reports(until_s=30.0, every_s=2.0)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -1,4 +1,4 @@
-"""Tests of asking for permits over datagrams."""
+"""Tests queries for permits over datagrams."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 
 class _Host:
-    """One host, whose datagrams are kept."""
+    """One host, whose sent datagrams are recorded."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[PermitQuery, Address]] = []
@@ -55,19 +55,19 @@
         self.sent += [(message, address) for address in addresses]
 
     def ask(self) -> "asyncio.Task[bool]":
-        """Begins to ask."""
+        """Starts to ask for a permit."""
         asked = self.requester.ask(ENTRY, is_least_urgent=False)
         return asyncio.ensure_future(asked)
 
     def answer(self, **values: bool | int) -> None:
-        """Answers the newest query."""
+        """Delivers an answer to the newest query."""
         query, address = self.sent[-1]
         answer = PermitAnswer(query.number, **values)  # type: ignore[arg-type]
         self.requester.take(answer, address)
 
 
 class TestPermitRequester:
-    """Answers, silence, and callers that leave."""
+    """Permits are decided by answers, silent hosts and leaving callers."""
 
     def test_answer_decides_whether_permit_is_issued(self) -> None:
         async def main() -> None:
@@ -81,7 +81,7 @@
         run_virtually(main())
 
     def test_asks_second_host_if_first_is_silent(self) -> None:
-        """Guards against upstreams without an issuer while it is away."""
+        """Guards against upstreams without permits while an issuer is down."""
 
         async def main() -> None:
             host = _Host()
@@ -105,7 +105,7 @@
         run_virtually(main())
 
     def test_cancelled_request_leaves_no_state(self) -> None:
-        """Guards against questions that pile up without an answer."""
+        """Guards against unanswered queries that accumulate."""
 
         async def main() -> None:
             host = _Host()
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of reading what peers, and strangers, send as reports."""
+"""Tests the encoding and decoding of datagrams from peers and strangers."""
 
 import os
 
@@ -60,7 +60,7 @@
 
 
 def _receive(data: bytes) -> list[Message]:
-    """Returns what a datagram told."""
+    """Returns the messages that a received datagram delivers."""
     received: list[Message] = []
     ReportSocket(
         lambda message, _: received.append(message), _LOG
@@ -69,7 +69,7 @@
 
 
 class TestReportEncoding:
-    """What reports hold, and what they cost."""
+    """Datagrams keep their messages and stay small."""
 
     def test_report_is_decoded_as_it_was_encoded(self) -> None:
         report = attrs.evolve(
@@ -80,7 +80,10 @@
         assert decode_message(encode_report(report)) == report
 
     def test_oversized_report_keeps_suspects(self) -> None:
-        """A request crashes upstreams while reports are too large."""
+        """Guards against crashes by one request while reports are too large.
+
+        Hosts that learn of no suspects go on sending the request.
+        """
         report = attrs.evolve(
             _REPORT,
             held=tuple(HeldRun(n, n) for n in range(100)),
@@ -105,10 +108,11 @@
         assert received_message.suspects == records[:count]
 
     def test_partial_report_is_short(self) -> None:
-        """Hosts decide by loads that are 0.7 s old.
+        """Guards against decisions by outdated loads.
 
-        Sequence: eight hosts tell each other of twelve upstreams within a
-        bound on bytes a second. Cause: each report took 400 bytes.
+        The byte budget bounds how often hosts report. If each report takes 400
+        bytes, eight hosts with twelve upstreams decide by loads that are 0.7 s
+        old.
         """
         use = UpstreamUse(2**31 - 1, (0, 0, 0, 5000), 1, 9, b"\0\0\0\x0a")
         report = UseReport(2**62, 10**6, (use, use), (), (), (), False)
@@ -116,7 +120,7 @@
 
 
 class TestReceivedDatagrams:
-    """Datagrams that anybody may send."""
+    """Datagrams that any process may send do no harm."""
 
     def test_valid_datagram_is_delivered(self) -> None:
         assert len(_receive(_VALID)) == 1
@@ -155,10 +159,10 @@
         uses: tuple[UpstreamUse, ...],
         demands: tuple[LaneDemand, ...],
     ) -> None:
-        """A host hears no peer any more.
+        """Guards against a host that stops exchanging reports.
 
-        Sequence: a datagram holds numbers that no host would send. Cause: an
-        error while counting ended the task that tells and counts.
+        A datagram may hold numbers that no host would send. An error while
+        summing them up would end the task that sends and aggregates reports.
         """
         loads, demand = Loads(), Demand()
         loads.take_reports([attrs.evolve(_REPORT, uses=uses)])
--- a/packages/gateway/src/hollyknot_gateway/tests/test_revision_gossip.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_revision_gossip.py
@@ -1,11 +1,11 @@
-"""Tests of telling peers which changes were read."""
+"""Tests when reports carry the directory revisions that were read."""
 
 from hollyknot_gateway._revision_gossip import ANNOUNCEMENT_S, RevisionGossip
 from hollyknot_state import ReadRevisions
 
 
 class TestRevisionGossip:
-    """News are told in each report, later only in whole ones."""
+    """Every report carries new revisions; later only complete ones do."""
 
     def test_change_is_reported_at_once_and_for_a_while(self) -> None:
         read = [ReadRevisions(5, 7)]
