--- a/packages/gateway/src/hollyknot_gateway/__init__.py
+++ b/packages/gateway/src/hollyknot_gateway/__init__.py
@@ -5,7 +5,10 @@
 
 from hollyknot_gateway._fetch import Document, FetchFailure, fetch
 from hollyknot_gateway._host import Host, Ports
-from hollyknot_gateway._neighbours import REPORT_S, WHOLE_EVERY
+from hollyknot_gateway._neighbours import (
+    COMPLETE_REPORT_EVERY,
+    REPORT_INTERVAL_S,
+)
 from hollyknot_gateway._pool import Pool
 from hollyknot_gateway._ports import (
     Changes,
@@ -22,8 +25,8 @@
 from hollyknot_gateway._run import run
 
 __all__ = [
-    "REPORT_S",
-    "WHOLE_EVERY",
+    "COMPLETE_REPORT_EVERY",
+    "REPORT_INTERVAL_S",
     "Changes",
     "Compacted",
     "Dialect",
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -39,15 +39,15 @@
 from hollyknot_gateway._flow import Flow
 from hollyknot_gateway._flow_parts import FlowParts
 from hollyknot_gateway._log import Log
-from hollyknot_gateway._losses import Losses
+from hollyknot_gateway._loss_classifier import LossClassifier
 from hollyknot_gateway._metrics import Metrics
-from hollyknot_gateway._neighbours import Neighbours, Shared
+from hollyknot_gateway._neighbours import Neighbours, SharedState
 from hollyknot_gateway._operator_servers import OperatorServers
 from hollyknot_gateway._pool import ConnectFailure, Pool
 from hollyknot_gateway._ports import Dialect, Source
 from hollyknot_gateway._prober import Prober
 from hollyknot_gateway._rate_limits import RateLimits
-from hollyknot_gateway._read_news import ReadNews
+from hollyknot_gateway._revision_gossip import RevisionGossip
 from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_gateway._stalls import Stalls
 from hollyknot_gateway._suspension import Suspension
@@ -154,7 +154,7 @@
         self._suspects = SuspectRegister(SuspectOptions())
         self._neighbours = Neighbours(
             settings,
-            Shared(
+            SharedState(
                 self._loads,
                 self._demand,
                 self._cached,
@@ -166,7 +166,7 @@
             self._routing_state,
             self._reachability,
             self._prober,
-            ReadNews(lambda: self._directory.read, self._on_peer_read),
+            RevisionGossip(lambda: self._directory.read, self._on_peer_read),
             self._log,
             rng,
             clock,
@@ -222,10 +222,10 @@
             neighbours=self._neighbours,
             permits=self._neighbours.permits,
             suspects=self._suspects,
-            losses=Losses(
+            losses=LossClassifier(
                 self._suspects,
                 self._prober,
-                self._neighbours.may_be_cut_off,
+                self._neighbours.may_be_partitioned,
                 self._log,
                 self._clock,
             ),
@@ -433,8 +433,8 @@
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
         """Ends silent attempts at an upstream and probes others beside it."""
-        self._stalls.upstream_away(entry.incarnation)
-        self._neighbours.upstream_away(entry, failure)
+        self._stalls.on_upstream_unreachable(entry.incarnation)
+        self._neighbours.on_upstream_unreachable(entry, failure)
 
     def _on_upstream_reachable(self, entry: UpstreamEntry) -> None:
         """Treats an upstream as cold that may have restarted under its name.
@@ -449,7 +449,7 @@
         """Discards all state that is kept for an incarnation that has left."""
         incarnation = ended.incarnation
         if ended.runs_no_more:
-            self._stalls.upstream_away(incarnation)
+            self._stalls.on_upstream_unreachable(incarnation)
         self._reachability.forget(incarnation)
         self._health.forget(incarnation)
         self._cold_starts.forget(incarnation)
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -1,4 +1,4 @@
-"""What a host and its peers tell each other, and what follows from silence."""
+"""Exchanges reports with a host's peers and detects silent data centres."""
 
 import asyncio
 import random
@@ -29,15 +29,15 @@
 from hollyknot_gateway._permit_requester import PermitRequester
 from hollyknot_gateway._pool import ConnectFailure
 from hollyknot_gateway._prober import Prober
-from hollyknot_gateway._read_news import ReadNews
 from hollyknot_gateway._reports import (
     Message,
     PermitMessage,
     Report,
     ReportSocket,
-    encode_news,
     encode_report,
+    encode_suspect_news,
 )
+from hollyknot_gateway._revision_gossip import RevisionGossip
 from hollyknot_gateway._routing_state import RoutingState
 from hollyknot_state import (
     Address,
@@ -48,37 +48,40 @@
 )
 from hollyknot_state.routes import GatewaySettings, UpstreamEntry
 
-REPORT_S = 0.1
-"""Between two rounds of reports. Work in flight changes within tens of
+REPORT_INTERVAL_S = 0.1
+"""Seconds between two rounds of reports. In-flight work changes within tens of
 milliseconds, and a report costs some tens of microseconds."""
 
-WHOLE_EVERY = 6
-"""One of so many short reports tells of all upstreams with work in flight; the
-others only of those where prompts wait, which change the soonest."""
+COMPLETE_REPORT_EVERY = 6
+"""One in this many use reports covers all upstreams with in-flight work. The
+others are partial: they cover only upstreams where prompts wait for prefill,
+whose load changes the fastest."""
 
-NEWS_TARGETS = 5
-"""Peers to which each host passes on new evidence of a crash, once: all hosts
-but one in a hundred then have it after a few rounds, however many they are."""
+SUSPECT_NEWS_FANOUT = 5
+"""Number of peers to which each host forwards new evidence of a crash, once. It
+then reaches 99 % of the hosts in a few rounds, whatever their number."""
 
-CUT_SPREAD_S = 1.5
-"""Within which upstreams behind one cut are found to be away, one by one."""
+PARTITION_DETECTION_S = 1.5
+"""Seconds within which the upstreams behind one network partition are found to
+be unreachable, one after the other."""
 
 _INCARNATION_BITS = 62
-"""Of the random number that tells a restarted host from the one before it."""
+"""Length in bits of the random number that distinguishes a restarted host from
+its earlier incarnation."""
 
 
 @attrs.frozen
-class Shared:
-    """What hosts tell each other of.
+class SharedState:
+    """State of one host that its reports are made from and applied to.
 
     Attributes:
-        loads: Work in flight.
-        demand: Prompt tokens that are sent.
-        cached: Which upstream has which parts of prompts.
-        forecasts: How long streams take at upstreams.
-        suspects: Which requests may crash upstreams.
-        size: How many hosts there are.
-        limits: Rate limits that upstreams have named.
+        loads: In-flight work at the upstreams.
+        demand: Prompt tokens that hosts send per second, smoothed.
+        cached: Prompt prefixes that each upstream has cached.
+        forecasts: Expected durations of streams at the upstreams.
+        suspects: Requests that may crash upstreams.
+        host_count: Number of hosts among which bounds are shared.
+        limits: Rate limits that upstreams have named in their answers.
     """
 
     loads: Loads
@@ -86,36 +89,37 @@
     cached: CachedParts
     forecasts: Forecasts
     suspects: SuspectRegister
-    size: FleetSize
+    host_count: FleetSize
     limits: NamedLimits
 
 
 class Neighbours:
-    """The peers of one host, told and heard several times a second."""
+    """Sends reports to a host's peers and handles what the peers send."""
 
     def __init__(
         self,
         settings: GatewaySettings,
-        shared: Shared,
+        shared: SharedState,
         in_force: RoutingState,
         reachability: Reachability,
         prober: Prober,
-        news: ReadNews,
+        directory_revisions: RevisionGossip,
         log: Log,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Builds the exchange; `open` opens its socket.
 
         Args:
-            settings: Of this process.
-            shared: What is told.
-            in_force: Routes and upstreams.
-            reachability: Which upstreams can't be connected to.
-            prober: Looks at upstreams of a silent data centre.
-            news: What was read from the directory.
-            log: Told of peers met and lost.
-            rng: Chooses peers, and which upstream is probed.
+            settings: The settings of this process.
+            shared: State that is exchanged with peers.
+            in_force: Newest route table and known upstreams.
+            reachability: Records which upstreams can't be connected to.
+            prober: Probes upstreams of silent data centres.
+            directory_revisions: Decides when reports carry the directory
+                revisions that were read.
+            log: Logs new and lost peers.
+            rng: Chooses the peers to contact and the upstreams to probe.
             clock: The loop's monotonic clock, in seconds.
         """
         self._settings = settings
@@ -123,23 +127,23 @@
         self._routing_state = in_force
         self._reachability = reachability
         self._prober = prober
-        self._news = news
+        self._directory_revisions = directory_revisions
         self._log = log
         self._rng = rng
         self._clock = clock
         self._peers = Peers(
             settings.peers, settings.data_centre, settings.seeds, rng
         )
-        self._socket = ReportSocket(self._take, log)
+        self._socket = ReportSocket(self._handle_message, log)
         self._incarnation = rng.getrandbits(_INCARNATION_BITS)
         self._sequence = 0
         self._rate = ReportRate()
-        self._size = 0
+        self._report_bytes = 0
         own = Tracker(self._incarnation, settings.peers, settings.data_centre)
         trackers = Trackers(own, lambda: self._peers.hosts)
         self._permits = Permits(
             trackers,
-            shared.size,
+            shared.host_count,
             shared.limits,
             in_force.fleet.entry_of,
             rng,
@@ -161,26 +165,35 @@
             log,
             clock,
         )
-        shared.loads.on_change = self._note_soon
-        self._silent: frozenset[str] = frozenset()
+        shared.loads.on_change = self._schedule_notes
+        self._silent_data_centres: frozenset[str] = frozenset()
 
     async def ask(
         self, entries: Sequence[UpstreamEntry], runs: tuple[int, ...]
     ) -> bool:
-        """Asks trackers for loads.
+        """Asks trackers for the loads of upstreams.
+
+        Args:
+            entries: The upstreams.
+            runs: Short names of the prefixes of the request's prompt.
 
         Returns:
-            Whether all answers are known.
+            Whether all loads are known from trackers.
         """
         return await self._inquirer.ask(entries, runs)
 
     async def ask_permit(
         self, entry: UpstreamEntry, *, is_least_urgent: bool
     ) -> bool:
-        """Asks for a permit to send a request to an upstream with a limit.
+        """Asks for a permit to send a request to a rate-limited upstream.
+
+        Args:
+            entry: The upstream.
+            is_least_urgent: Whether the request is among the least urgent of
+                its service.
 
         Returns:
-            Whether it may be sent.
+            Whether the request may be sent.
         """
         return await self._permit_requester.ask(
             entry, is_least_urgent=is_least_urgent
@@ -188,30 +201,31 @@
 
     @property
     def permits(self) -> Permits:
-        """What is known of permits for upstreams with a limit."""
+        """The permits for rate-limited upstreams."""
         return self._permits
 
     @property
-    def asks(self) -> bool:
-        """Whether a choice had better ask trackers than believe reports.
+    def should_query_trackers(self) -> bool:
+        """Whether to ask trackers for loads instead of relying on reports.
 
-        It had where reports come seldom, as long as the budget allows.
+        It is better to ask if reports are rare, as long as the byte budget for
+        queries allows it.
         """
         is_old = self._peers.interval_s >= ASK_FROM_S
         return is_old and self._rate.may_ask(self._clock())
 
     @property
     def count(self) -> int:
-        """Peers that are heard."""
+        """Number of peers that send reports to this host."""
         return self._peers.count
 
     @property
     def hosts(self) -> int:
-        """How many hosts there are, as far as this one can tell."""
+        """Estimated number of hosts, with this one."""
         return self._peers.estimated + 1
 
     async def open(self) -> None:
-        """Opens the socket of reports.
+        """Opens the socket for reports.
 
         Raises:
             OSError: The address can't be bound.
@@ -219,58 +233,70 @@
         await self._socket.open(self._settings.peers)
 
     def close(self) -> None:
-        """Closes the socket of reports."""
+        """Closes the socket for reports."""
         self._socket.close()
 
     async def run(self) -> None:
-        """Tells and counts until it is cancelled."""
+        """Sends and aggregates reports until it is cancelled."""
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             now_s = self._clock()
-            self._count(now_s)
-            self._note_soon()
-            self._look_at_silence(now_s)
-            self._pass_on(now_s)
-            self._tell(now_s)
-
-    def _pass_on(self, now_s: float) -> None:
-        """Passes on new evidence of crashes, before anything else is told.
-
-        Where bytes are short, only that against requests that were in more
-        than one crash: an upstream that crashes takes many with it.
+            self._aggregate_reports(now_s)
+            self._schedule_notes()
+            self._check_silent_data_centres(now_s)
+            self._forward_suspect_news(now_s)
+            self._send_reports(now_s)
+
+    def _forward_suspect_news(self, now_s: float) -> None:
+        """Forwards new evidence of crashes, ahead of the regular reports.
+
+        If the byte budget is spent, only evidence against requests that were
+        part of more than one crash is forwarded: each crash of an upstream
+        brings many requests under suspicion that were only in flight there.
         """
         suspects = self._shared.suspects
-        news = suspects.take_news(now_s)
-        if news and not self._rate.affordable(self._size, now_s):
-            news = tuple(r for r in news if suspects.is_repeated(r.fingerprint))
-        if not news:
+        records = suspects.take_news(now_s)
+        if records and not self._rate.affordable(self._report_bytes, now_s):
+            records = tuple(
+                r for r in records if suspects.is_repeated(r.fingerprint)
+            )
+        if not records:
             return
         addresses = [host.address for host in self._peers.hosts]
-        most = min(NEWS_TARGETS, len(addresses))
-        self._send(encode_news(news), self._rng.sample(addresses, most))
+        max_targets = min(SUSPECT_NEWS_FANOUT, len(addresses))
+        self._send(
+            encode_suspect_news(records),
+            self._rng.sample(addresses, max_targets),
+        )
 
-    def _tell(self, now_s: float) -> None:
-        """Sends as many reports as the budget of bytes allows."""
-        if not self._rate.affordable(self._size, now_s):
+    def _send_reports(self, now_s: float) -> None:
+        """Sends as many reports as the byte budget allows."""
+        if not self._rate.affordable(self._report_bytes, now_s):
             return
         self._sequence += 1
-        is_whole = self._sequence % WHOLE_EVERY == 0
-        data = encode_report(self._changes(now_s, is_whole=is_whole))
-        self._size = len(data)
-        most = self._rate.affordable(self._size, now_s)
-        targets = self._peers.targets(now_s, most)
-        detailed = [t for t in targets if self._peers.wants_details(t, now_s)]
-        brief = [target for target in targets if target not in detailed]
-        self._send(data, brief)
-        if detailed:
-            self._send(encode_report(self._own_report(now_s)), detailed)
+        is_whole = self._sequence % COMPLETE_REPORT_EVERY == 0
+        data = encode_report(self._use_report(now_s, is_whole=is_whole))
+        self._report_bytes = len(data)
+        max_targets = self._rate.affordable(self._report_bytes, now_s)
+        targets = self._peers.targets(now_s, max_targets)
+        full_report_targets = [
+            t for t in targets if self._peers.wants_details(t, now_s)
+        ]
+        use_report_targets = [
+            target for target in targets if target not in full_report_targets
+        ]
+        self._send(data, use_report_targets)
+        if full_report_targets:
+            self._send(
+                encode_report(self._full_report(now_s)), full_report_targets
+            )
 
     def _send(self, data: bytes, targets: list[Address]) -> None:
         self._socket.send(data, targets)
         self._rate.spend(len(data) * len(targets))
 
-    def _count(self, now_s: float) -> None:
-        """Counts what peers have told, and forgets those that are silent."""
+    def _aggregate_reports(self, now_s: float) -> None:
+        """Sums up the newest reports of the peers and removes silent peers."""
         for host in self._peers.expire(now_s):
             self._log.line("peer_lost", peer=host)
         fresh = self._peers.fresh(now_s)
@@ -280,30 +306,31 @@
             (d for report in fresh for d in report.demands),
             min(1.0, (len(fresh) + 1) / self.hosts),
         )
-        shared.size.set(
+        shared.host_count.set(
             self.hosts, self.count + 1, now_s, self._peers.by_centre
         )
 
-    def _changes(self, now_s: float, *, is_whole: bool) -> UseReport:
+    def _use_report(self, now_s: float, *, is_whole: bool) -> UseReport:
         shared = self._shared
         uses = shared.loads.uses()
-        # Where reports come seldom, whole ones come too seldom for the lanes.
-        tells_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
+        # If reports are rare, complete ones alone are too rare to divide the
+        # upstreams between lanes.
+        includes_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
         return UseReport(
             self._incarnation,
             self._sequence,
             uses if is_whole else tuple(use for use in uses if use.waiting),
-            shared.demand.told(now_s) if tells_demand else (),
+            shared.demand.told(now_s) if includes_demand else (),
             shared.suspects.records(now_s),
             shared.cached.told(now_s),
             is_whole,
-            self._news.told(now_s, is_whole=is_whole),
+            self._directory_revisions.told(now_s, is_whole=is_whole),
             self._permits.told(now_s, is_all=is_whole),
         )
 
-    def _own_report(self, now_s: float) -> HostReport:
+    def _full_report(self, now_s: float) -> HostReport:
         index = self._routing_state.index
-        changes = self._changes(now_s, is_whole=True)
+        use_report = self._use_report(now_s, is_whole=True)
         return HostReport(
             host=self._settings.host,
             incarnation=self._incarnation,
@@ -311,42 +338,43 @@
             address=self._settings.peers,
             data_centre=self._settings.data_centre,
             table_version=index.table.version if index is not None else 0,
-            uses=changes.uses,
-            demands=changes.demands,
-            suspects=changes.suspects,
+            uses=use_report.uses,
+            demands=use_report.demands,
+            suspects=use_report.suspects,
             contacts=self._peers.contacts(),
-            held=changes.held,
-            revisions=self._news.read,
-            limits=changes.limits,
+            held=use_report.held,
+            revisions=self._directory_revisions.read,
+            limits=use_report.limits,
         )
 
-    def _note_soon(self) -> None:
+    def _schedule_notes(self) -> None:
         if self._peers.interval_s >= NOTE_FROM_S:
-            self._inquirer.tell_soon()
+            self._inquirer.schedule_notes()
         else:
-            # Nobody asks; the names of all upstreams would pile up.
+            # Nobody asks trackers. The set of changed upstreams is emptied, or
+            # it would grow to the names of all upstreams.
             self._shared.loads.pop_changed()
 
-    def _take(self, message: Message, sender: Address) -> None:
+    def _handle_message(self, message: Message, sender: Address) -> None:
         if isinstance(message, HostReport | UseReport):
-            self._take_report(message)
+            self._handle_report(message)
         elif isinstance(message, PermitMessage):
             self._permit_requester.take(message, sender)
         elif isinstance(message, SuspectNews):
-            self._take_suspects(message.suspects, self._clock())
+            self._handle_suspects(message.suspects, self._clock())
         else:
             self._inquirer.take(message, sender)
 
-    def _take_report(self, report: Report) -> None:
+    def _handle_report(self, report: Report) -> None:
         now = self._clock()
-        self._take_suspects(report.suspects, now)
+        self._handle_suspects(report.suspects, now)
         self._shared.cached.take(report.held, now)
         for limit in self._permits.take(report.limits, now):
             self._log.line(
                 "limit_told", upstream=limit.upstream, rate=limit.rate
             )
         if report.revisions is not None:
-            self._news.take(report.revisions)
+            self._directory_revisions.take(report.revisions)
         if isinstance(report, UseReport):
             self._peers.take_uses(report, now)
         elif self._peers.take(report, now):
@@ -354,7 +382,7 @@
                 "peer_met", peer=report.host, data_centre=report.data_centre
             )
 
-    def _take_suspects(
+    def _handle_suspects(
         self, records: tuple[SuspectRecord, ...], now_s: float
     ) -> None:
         for record in self._shared.suspects.on_records(records, now_s):
@@ -365,47 +393,57 @@
                 age_ms=record.age_ms,
             )
 
-    def _look_at_silence(self, now_s: float) -> None:
-        """Probes an upstream of each data centre that has just gone silent.
+    def _check_silent_data_centres(self, now_s: float) -> None:
+        """Probes one upstream of each data centre that has just fallen silent.
 
-        One of them tells whether it is cut off; the others are probed only if
-        it is. A silence may come by chance, and each probe is a connection.
+        One upstream suffices to show whether the data centre is partitioned;
+        the others are probed only if it is. A silence may be due to chance, and
+        each probe opens a connection.
         """
         silent = self._peers.silent_data_centres(now_s)
-        for data_centre in silent - self._silent:
+        for data_centre in silent - self._silent_data_centres:
             self._log.line("data_centre_silent", silent=data_centre)
-            self._probe_one(self._in(data_centre))
-        self._silent = silent
-
-    def may_be_cut_off(self, entry: UpstreamEntry) -> bool:
-        """Whether an upstream that refuses may only be behind a cut.
-
-        Two upstreams that crash within a second in one data centre are taken
-        for a cut too: their requests are spared, which costs one more crash.
-        One that has been away for longer tells nothing: where upstreams take
-        minutes to start, no crash beside it would be held against anybody.
+            self._probe_one(self._usable_in(data_centre))
+        self._silent_data_centres = silent
+
+    def may_be_partitioned(self, entry: UpstreamEntry) -> bool:
+        """Returns whether a refusing upstream may be behind a partition.
+
+        That is so if its data centre is silent or if another upstream there has
+        just become unreachable. Two upstreams of one data centre that crash in
+        quick succession are therefore taken for a partition too: their requests
+        are not suspected, which costs one more crash. An upstream that has been
+        unreachable for longer doesn't count: upstreams may take minutes to
+        start, and until then no crash in the same data centre would be
+        attributed to a request.
         """
-        if entry.data_centre in self._silent:
+        if entry.data_centre in self._silent_data_centres:
             return True
-        since_s = self._clock() - CUT_SPREAD_S
-        return self._reachability.has_lost(self._beside(entry), since_s)
+        since_s = self._clock() - PARTITION_DETECTION_S
+        return self._reachability.has_lost(
+            self._others_in_data_centre(entry), since_s
+        )
 
-    def upstream_away(
+    def on_upstream_unreachable(
         self, entry: UpstreamEntry, failure: ConnectFailure
     ) -> None:
-        """Probes upstreams of a data centre that may be cut off.
+        """Probes upstreams of a data centre that may be partitioned.
+
+        A refused connection is mostly a crash, so only one other upstream is
+        probed; it refuses too if it is the network that refuses. All others are
+        probed if the data centre is silent or if a connection hung: in a
+        partition, requests would wait for a timeout at each of them in turn.
 
-        A refused connection is a crash mostly, so that one other upstream is
-        asked; it refuses too where the network does. All are probed where the
-        data centre is silent or a connection hung: in a cut, requests would
-        wait at each of them in turn.
+        Args:
+            entry: The upstream that became unreachable.
+            failure: How the connection attempt failed.
         """
-        beside = self._beside(entry)
-        is_silent = entry.data_centre in self._silent
+        others = self._others_in_data_centre(entry)
+        is_silent = entry.data_centre in self._silent_data_centres
         if failure is ConnectFailure.REFUSED and not is_silent:
-            self._probe_one(beside)
+            self._probe_one(others)
             return
-        self._prober.check_all(self._reachable(beside))
+        self._prober.check_all(self._reachable(others))
 
     def _probe_one(self, entries: Sequence[UpstreamEntry]) -> None:
         reachable = self._reachable(entries)
@@ -415,19 +453,21 @@
     def _reachable(
         self, entries: Sequence[UpstreamEntry]
     ) -> list[UpstreamEntry]:
-        """Returns those that are not known to be away."""
+        """Returns the upstreams that are not known to be unreachable."""
         away = self._reachability.away(entries)
         return [entry for entry in entries if entry.incarnation not in away]
 
-    def _beside(self, entry: UpstreamEntry) -> list[UpstreamEntry]:
+    def _others_in_data_centre(
+        self, entry: UpstreamEntry
+    ) -> list[UpstreamEntry]:
         return [
             other
-            for other in self._in(entry.data_centre)
+            for other in self._usable_in(entry.data_centre)
             if other.incarnation != entry.incarnation
         ]
 
-    def _in(self, data_centre: str) -> list[UpstreamEntry]:
-        """Returns the upstreams of a data centre that may get work."""
+    def _usable_in(self, data_centre: str) -> list[UpstreamEntry]:
+        """Returns the upstreams of a data centre that may receive requests."""
         return [
             entry
             for entry in self._routing_state.fleet.all_usable(self._clock())
--- a/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer instead of waiting."""
+"""Runs coroutines in an event loop whose clock skips all waiting times."""
 
 import asyncio
 import selectors
@@ -9,20 +9,22 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Finds what is ready, and counts the time that it would have waited."""
+    """Polls without waiting and adds up the time that it would have waited."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.passed_s = 0.0
+        self.virtual_now_s = 0.0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if timeout is None and not ready:
-            raise RuntimeError("waits for something that never happens")
+            raise RuntimeError(
+                "the event loop has neither timers nor ready files to wait for"
+            )
         if not ready:
-            self.passed_s += timeout or 0.0
+            self.virtual_now_s += timeout or 0.0
         return ready
 
 
@@ -32,10 +34,10 @@
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        return self._virtual.passed_s
+        return self._virtual.virtual_now_s
 
 
 def run_virtually(main: Coroutine[Any, Any, T]) -> T:
-    """Runs a coroutine to its end; its sleeps and timeouts take no time."""
+    """Runs a coroutine to its end; its sleeps and timeouts pass at once."""
     with asyncio.Runner(loop_factory=_Loop) as runner:
         return runner.run(main)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
@@ -1,4 +1,4 @@
-"""Tests of how many hosts a host takes to share a bound."""
+"""Tests the number of hosts among which a host takes bounds to be shared."""
 
 import asyncio
 
@@ -8,27 +8,32 @@
 from hollyknot_gateway.tests._virtual_time import run_virtually
 
 HOSTS = 83
-LEARN_S = 16.0
-"""From the start of all hosts, as before the first requests of a deployment."""
+DISCOVERY_S = 16.0
+"""Seconds from the start of all hosts to the first requests of a deployment."""
 
-LEAST_HEARD = 0.8
-"""The part of all hosts that one must take itself to hear: it issues this part
-of three quarters of a limit, of which six tenths are to be used."""
+MIN_HEARD_FRACTION = 0.8
+"""Least fraction of all hosts that a host must believe to hear from. It issues
+permits for this fraction of three quarters of a rate limit, and six tenths of
+the limit are to be usable."""
 
 
 class TestHostCount:
-    """What hosts of one deployment count."""
+    """Hosts of one deployment count each other."""
 
     @pytest.mark.parametrize("seed", [1, 2])
-    def test_is_not_too_large_after_a_start(self, seed: int) -> None:
-        """Hosts use a tenth of a bound for a minute after they were started."""
+    def test_counts_most_hosts_soon_after_start(self, seed: int) -> None:
+        """Guards against hosts that use too little of a bound after a start.
+
+        If hosts that have just started estimate far too many hosts, they use
+        only a tenth of the bound for a minute.
+        """
 
         async def main() -> list[float]:
             network = Network(HOSTS, seed, is_busy=False)
             network.start()
-            await asyncio.sleep(LEARN_S)
+            await asyncio.sleep(DISCOVERY_S)
             network.stop()
-            return [host.size.heard_part for host in network.hosts]
+            return [host.host_count.heard_part for host in network.hosts]
 
         parts = run_virtually(main())
-        assert sum(parts) / len(parts) >= LEAST_HEARD, sorted(parts)
+        assert sum(parts) / len(parts) >= MIN_HEARD_FRACTION, sorted(parts)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -1,4 +1,4 @@
-"""Tests of asking for permits over datagrams."""
+"""Tests queries for permits over datagrams."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 
 class _Host:
-    """One host, whose datagrams are kept."""
+    """One host, whose sent datagrams are recorded."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[PermitQuery, Address]] = []
@@ -55,21 +55,21 @@
         self.sent += [(message, address) for address in addresses]
 
     def ask(self) -> "asyncio.Task[bool]":
-        """Begins to ask."""
+        """Starts to ask for a permit."""
         asked = self.requester.ask(ENTRY, is_least_urgent=False)
         return asyncio.ensure_future(asked)
 
     def answer(self, **values: bool | int) -> None:
-        """Answers the newest query."""
+        """Delivers an answer to the newest query."""
         query, address = self.sent[-1]
         answer = PermitAnswer(query.number, **values)  # type: ignore[arg-type]
         self.requester.take(answer, address)
 
 
 class TestPermitRequester:
-    """Answers, silence, and callers that leave."""
+    """Permits are decided by answers, silent hosts and leaving callers."""
 
-    def test_an_answer_decides(self) -> None:
+    def test_answer_decides_whether_permit_is_issued(self) -> None:
         async def main() -> None:
             for is_issued in (True, False):
                 host = _Host()
@@ -80,8 +80,8 @@
 
         run_virtually(main())
 
-    def test_a_second_host_is_asked_where_the_first_is_silent(self) -> None:
-        """Guards against upstreams without an issuer while it is away."""
+    def test_asks_second_host_if_first_is_silent(self) -> None:
+        """Guards against upstreams without permits while an issuer is down."""
 
         async def main() -> None:
             host = _Host()
@@ -96,7 +96,7 @@
 
         run_virtually(main())
 
-    def test_silence_is_no_permit(self) -> None:
+    def test_silence_of_all_hosts_issues_no_permit(self) -> None:
         async def main() -> None:
             host = _Host()
             assert not await host.ask()
@@ -104,8 +104,8 @@
 
         run_virtually(main())
 
-    def test_nothing_is_kept_of_a_caller_that_leaves(self) -> None:
-        """Guards against questions that pile up without an answer."""
+    def test_cancelled_request_leaves_no_state(self) -> None:
+        """Guards against unanswered queries that accumulate."""
 
         async def main() -> None:
             host = _Host()
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of reading what peers, and strangers, send as reports."""
+"""Tests the encoding and decoding of datagrams from peers and strangers."""
 
 import os
 
@@ -9,13 +9,13 @@
 from hollyknot_coordination.forwarding import Demand, Loads
 from hollyknot_gateway._log import Log
 from hollyknot_gateway._reports import (
-    MAX_BYTES,
+    MAX_DATAGRAM_BYTES,
     MAX_SUSPECTS,
     Message,
     ReportSocket,
     decode_message,
-    encode_news,
     encode_report,
+    encode_suspect_news,
 )
 from hollyknot_state import (
     Address,
@@ -56,22 +56,22 @@
     uses=(UpstreamUse(5, (3, 4), 1, 2, b"\x01\x02"),),
     demands=(LaneDemand("engines", 4, 5),),
 )
-_GOOD = encode_report(_REPORT)
+_VALID = encode_report(_REPORT)
 
 
-def _taken(data: bytes) -> list[Message]:
-    """Returns what a datagram told."""
-    taken: list[Message] = []
+def _receive(data: bytes) -> list[Message]:
+    """Returns the messages that a received datagram delivers."""
+    received: list[Message] = []
     ReportSocket(
-        lambda message, _: taken.append(message), _LOG
+        lambda message, _: received.append(message), _LOG
     ).datagram_received(data, _SENDER)
-    return taken
+    return received
 
 
-class TestReportBytes:
-    """What reports hold, and what they cost."""
+class TestReportEncoding:
+    """Datagrams keep their messages and stay small."""
 
-    def test_a_report_is_read_as_it_was_written(self) -> None:
+    def test_report_is_decoded_as_it_was_encoded(self) -> None:
         report = attrs.evolve(
             _REPORT,
             uses=(UpstreamUse(5, (32, 48), 1, 2, b"\x01\x02"),),
@@ -79,8 +79,11 @@
         )
         assert decode_message(encode_report(report)) == report
 
-    def test_one_that_is_too_large_still_tells_of_suspects(self) -> None:
-        """A request crashes upstreams while reports are too large."""
+    def test_oversized_report_keeps_suspects(self) -> None:
+        """Guards against crashes by one request while reports are too large.
+
+        Hosts that learn of no suspects go on sending the request.
+        """
         report = attrs.evolve(
             _REPORT,
             held=tuple(HeldRun(n, n) for n in range(100)),
@@ -88,77 +91,78 @@
                 SuspectRecord(n, "i-5d1c20ff01", 20, 900) for n in range(60)
             ),
         )
-        (told,) = _taken(encode_report(report))
-        assert isinstance(told, HostReport)
-        assert told.suspects == report.suspects[:MAX_SUSPECTS]
+        (received_message,) = _receive(encode_report(report))
+        assert isinstance(received_message, HostReport)
+        assert received_message.suspects == report.suspects[:MAX_SUSPECTS]
 
-    def test_news_that_are_too_large_tell_the_first(self) -> None:
+    def test_oversized_suspect_news_keeps_first_records(self) -> None:
         records = tuple(
             SuspectRecord(n, "i-5d1c20ff01", 20, 900) for n in range(128)
         )
-        data = encode_news(records)
-        assert len(data) <= MAX_BYTES
-        (told,) = _taken(data)
-        assert isinstance(told, SuspectNews)
-        count = len(told.suspects)
+        data = encode_suspect_news(records)
+        assert len(data) <= MAX_DATAGRAM_BYTES
+        (received_message,) = _receive(data)
+        assert isinstance(received_message, SuspectNews)
+        count = len(received_message.suspects)
         assert count >= 20
-        assert told.suspects == records[:count]
+        assert received_message.suspects == records[:count]
 
-    def test_one_that_tells_what_waits_is_short(self) -> None:
-        """Hosts decide by loads that are 0.7 s old.
+    def test_partial_report_is_short(self) -> None:
+        """Guards against decisions by outdated loads.
 
-        Sequence: eight hosts tell each other of twelve upstreams within a
-        bound on bytes a second. Cause: each report took 400 bytes.
+        The byte budget bounds how often hosts report. If each report takes 400
+        bytes, eight hosts with twelve upstreams decide by loads that are 0.7 s
+        old.
         """
         use = UpstreamUse(2**31 - 1, (0, 0, 0, 5000), 1, 9, b"\0\0\0\x0a")
         report = UseReport(2**62, 10**6, (use, use), (), (), (), False)
         assert len(encode_report(report)) <= 60
 
 
-class TestReadReports:
-    """Datagrams that anybody may send."""
+class TestReceivedDatagrams:
+    """Datagrams that any process may send do no harm."""
 
-    def test_a_good_one_is_taken(self) -> None:
-        assert len(_taken(_GOOD)) == 1
+    def test_valid_datagram_is_delivered(self) -> None:
+        assert len(_receive(_VALID)) == 1
 
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data: bytes) -> None:
-        _taken(data)
+    def test_arbitrary_bytes_raise_nothing(self, data: bytes) -> None:
+        _receive(data)
 
     @given(st.sampled_from([b"h", b"u"]), st.binary(max_size=200))
-    def test_any_bytes_that_begin_as_a_report(
+    def test_arbitrary_bytes_after_report_tag_raise_nothing(
         self, tag: bytes, data: bytes
     ) -> None:
-        _taken(tag + data)
+        _receive(tag + data)
 
     @given(
         st.lists(
             st.tuples(
-                st.integers(0, len(_GOOD) - 1),
+                st.integers(0, len(_VALID) - 1),
                 st.integers(min_value=0, max_value=255),
             ),
             max_size=4,
         ),
-        st.integers(0, len(_GOOD)),
+        st.integers(0, len(_VALID)),
     )
-    def test_a_good_one_that_was_changed_on_its_way(
+    def test_corrupted_report_raises_nothing(
         self, changes: list[tuple[int, int]], length: int
     ) -> None:
-        data = bytearray(_GOOD)
+        data = bytearray(_VALID)
         for place, value in changes:
             data[place] = value
-        _taken(bytes(data[:length]))
+        _receive(bytes(data[:length]))
 
     @given(_USES, _DEMANDS)
-    def test_any_numbers_are_counted_without_an_error(
+    def test_arbitrary_numbers_are_counted_without_error(
         self,
         uses: tuple[UpstreamUse, ...],
         demands: tuple[LaneDemand, ...],
     ) -> None:
-        """A host hears no peer any more.
+        """Guards against a host that stops exchanging reports.
 
-        Sequence: a datagram holds numbers that no host would send. Cause: an
-        error while counting ended the task that tells and counts.
+        A datagram may hold numbers that no host would send. An error while
+        summing them up would end the task that sends and aggregates reports.
         """
         loads, demand = Loads(), Demand()
         loads.replace_reports([attrs.evolve(_REPORT, uses=uses)])
