--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -21,7 +21,7 @@
 from hollyknot_coordination.forwarding import (
     COME_BACK_S,
     Choice,
-    FleetSize,
+    HostCount,
     NamedLimits,
     Permits,
     RouteIndex,
@@ -142,7 +142,7 @@
         own = Tracker(0, Address("10.0.1.1", 1), "one")
         return Permits(
             Trackers(own, tuple),
-            FleetSize(-math.inf, is_alone=True),
+            HostCount(-math.inf, is_alone=True),
             self._named,
             self._by_incarnation.get,
             self._rng,
--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -111,7 +111,7 @@
         self.host.loads.take_reports(fresh)
         self.host.demand.take(
             (d for r in fresh for d in r.demands),
-            min(1.0, (len(fresh) + 1) / (self.peers.estimated + 1)),
+            min(1.0, (len(fresh) + 1) / (self.peers.estimated_count + 1)),
         )
 
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -6,10 +6,9 @@
 )
 from hollyknot_coordination.forwarding._cold_starts import ColdStarts
 from hollyknot_coordination.forwarding._events import EventCutter
-from hollyknot_coordination.forwarding._fleet import Ended, Fleet
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
 from hollyknot_coordination.forwarding._forecasts import Forecasts
 from hollyknot_coordination.forwarding._health import Health
+from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_coordination.forwarding._inquiries import (
     ANSWER_S,
     ASK_FROM_S,
@@ -63,6 +62,10 @@
     TrackedLoads,
 )
 from hollyknot_coordination.forwarding._trackers import Tracker, Trackers
+from hollyknot_coordination.forwarding._upstream_registry import (
+    Ended,
+    UpstreamRegistry,
+)
 
 __all__ = [
     "ANSWER_S",
@@ -84,8 +87,8 @@
     "Demand",
     "Ended",
     "EventCutter",
-    "Fleet",
-    "FleetSize",
+    "UpstreamRegistry",
+    "HostCount",
     "Forecasts",
     "GiveUp",
     "Health",
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -14,14 +14,14 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
+from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_state.routes import ColdStart, UpstreamEntry
 
-RATE_PART = 0.5
+RATE_FRACTION = 0.5
 """Of the rate that a cold upstream bears, what the hosts send together: permits
 fall at random, and hosts count each other late."""
 
-PERMIT_S = 0.5
+PERMIT_LIFETIME_S = 0.5
 """How long a permit holds: most hosts have a request to send within it, and in
 any second hardly more than one and a half seconds' permits can be used."""
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         rng: random.Random,
-        size: FleetSize,
+        size: HostCount,
         cold_start: Callable[[str], ColdStart | None],
     ) -> None:
         """Takes all upstreams for warm.
@@ -67,7 +67,7 @@
         self._cold: dict[str, _Cold] = {}
 
     @property
-    def size(self) -> FleetSize:
+    def size(self) -> HostCount:
         """Among how many hosts the upstreams are shared."""
         return self._size
 
@@ -95,7 +95,7 @@
         return frozenset(
             entry.incarnation
             for entry in entries
-            if not self._is_open(entry.incarnation, now_s)
+            if not self._may_send(entry.incarnation, now_s)
         )
 
     def permitted(
@@ -112,18 +112,18 @@
             entry
             for entry in entries
             if self.is_cold(entry.incarnation, now_s)
-            and self._is_open(entry.incarnation, now_s)
+            and self._may_send(entry.incarnation, now_s)
         ]
 
     def is_cold(self, incarnation: str, now_s: float) -> bool:
         """Whether an upstream is cold, or may be."""
-        return self._at(incarnation, now_s) is not None
+        return self._find_cold(incarnation, now_s) is not None
 
     def take(self, incarnation: str, now_s: float) -> bool:
         """Returns whether a request may be sent, and uses a permit for it."""
-        if not self._is_open(incarnation, now_s):
+        if not self._may_send(incarnation, now_s):
             return False
-        cold = self._at(incarnation, now_s)
+        cold = self._find_cold(incarnation, now_s)
         if cold is not None:
             cold.permit_s = now_s + self._interval_s(cold)
         return True
@@ -136,7 +136,7 @@
         else:
             self._cold[entry.incarnation] = _Cold(entry.service, until_s)
 
-    def _at(self, incarnation: str, now_s: float) -> _Cold | None:
+    def _find_cold(self, incarnation: str, now_s: float) -> _Cold | None:
         cold = self._cold.get(incarnation)
         if cold is None:
             return None
@@ -145,8 +145,8 @@
             return None
         return cold if self._cold_start(cold.service) is not None else None
 
-    def _is_open(self, incarnation: str, now_s: float) -> bool:
-        cold = self._at(incarnation, now_s)
+    def _may_send(self, incarnation: str, now_s: float) -> bool:
+        cold = self._find_cold(incarnation, now_s)
         if cold is None:
             return True
         if not self._size.is_known(now_s):
@@ -158,15 +158,15 @@
         cold_start = self._cold_start(cold.service)
         if cold_start is None:
             return 0.0
-        return self._size.hosts / (cold_start.rate * RATE_PART)
+        return self._size.hosts / (cold_start.rate * RATE_FRACTION)
 
     def _permit_s(self, cold: _Cold, now_s: float) -> float:
         """Returns when the permit begins that has not lapsed."""
         interval_s = self._interval_s(cold)
         if cold.permit_s is None:
             cold.permit_s = now_s + self._rng.uniform(0, interval_s)
-        lapsed_s = now_s - cold.permit_s - PERMIT_S
+        lapsed_s = now_s - cold.permit_s - PERMIT_LIFETIME_S
         # Where permits follow each other sooner than they lapse, one is left.
-        if lapsed_s > 0 and interval_s > PERMIT_S:
+        if lapsed_s > 0 and interval_s > PERMIT_LIFETIME_S:
             cold.permit_s += math.ceil(lapsed_s / interval_s) * interval_s
         return cold.permit_s
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
@@ -18,25 +18,25 @@
 FIRST_RETRY_S = 1.0
 """Between the first two tries of an address; doubled after each."""
 
-DOUBLINGS = 4
+MAX_DOUBLINGS = 4
 """How often it is doubled, to 16 s: within that, and what a report takes, the
 two sides of a cut that has ended find each other again."""
 
-SHARE = 0.5
+TRY_SHARE = 0.5
 """Of all reports, the part that tries may take where few peers are known: a
 host that has just started has to be heard of soon."""
 
-SHARE_OF_MANY = 0.125
+TRY_SHARE_MANY_PEERS = 0.125
 """The same where so many peers are known that the others hear of this host by
 them. Not none: after a cut no peer of the other side is known."""
 
 MANY_PEERS = 32
 """How many peers are many: each of them tells four addresses in a report."""
 
-_MOST_SAVED = 4.0
+_MAX_SAVED_TRIES = 4.0
 """Tries that may be saved up while none is due."""
 
-_REMEMBERED = 256
+_MAX_CONTACTS = 256
 """Addresses that are kept, of some hundred bytes each; those that did not
 answer most often are dropped first."""
 
@@ -46,18 +46,18 @@
     """One address, and the tries that it has not answered."""
 
     is_seed: bool
-    tried_s: float = -math.inf
+    last_try_s: float = -math.inf
     tries: int = 0
 
     def is_due(self, now_s: float) -> bool:
         """Whether it is to be tried again."""
-        doublings = min(max(0, self.tries - 1), DOUBLINGS)
+        doublings = min(max(0, self.tries - 1), MAX_DOUBLINGS)
         wait_s = FIRST_RETRY_S * (1 << doublings)
-        return now_s - self.tried_s >= wait_s
+        return now_s - self.last_try_s >= wait_s
 
     def note_try(self, now_s: float) -> None:
         """Notes a try."""
-        self.tried_s = now_s
+        self.last_try_s = now_s
         self.tries += 1
 
 
@@ -80,7 +80,7 @@
         self._contacts = {
             seed: _Contact(is_seed=True) for seed in seeds if seed != own
         }
-        self._saved = 0.0
+        self._saved_tries = 0.0
 
     def add(self, address: Address) -> None:
         """Notes an address that was heard of."""
@@ -97,7 +97,11 @@
             self.add(address)
 
     def due(
-        self, known: Container[Address], peers: int, now_s: float, most: int
+        self,
+        known: Container[Address],
+        peers: int,
+        now_s: float,
+        max_reports: int,
     ) -> list[Address]:
         """Returns which addresses to try now, and notes the tries.
 
@@ -107,7 +111,7 @@
             now_s: The time.
             most: Reports that may be sent now, those to peers included.
         """
-        allowed = self._allowed(peers, most)
+        allowed = self._allowed_tries(peers, max_reports)
         due = [
             (contact.tries, self._rng.random(), address)
             for address, contact in self._contacts.items()
@@ -117,20 +121,23 @@
         for address in chosen:
             self._contacts[address].note_try(now_s)
         if peers:
-            self._saved -= len(chosen)
+            self._saved_tries -= len(chosen)
         return chosen
 
-    def _allowed(self, peers: int, most: int) -> int:
+    def _allowed_tries(self, peers: int, max_reports: int) -> int:
         """Returns how many tries are paid for."""
         if not peers:
-            return most
-        share = SHARE_OF_MANY if peers > MANY_PEERS else SHARE
-        self._saved = min(self._saved + most * share, _MOST_SAVED + most)
-        return min(most, int(self._saved))
+            return max_reports
+        share = TRY_SHARE_MANY_PEERS if peers > MANY_PEERS else TRY_SHARE
+        self._saved_tries = min(
+            self._saved_tries + max_reports * share,
+            _MAX_SAVED_TRIES + max_reports,
+        )
+        return min(max_reports, int(self._saved_tries))
 
     def _drop_one(self) -> None:
         """Drops the address that is least likely to answer, if it must be."""
-        if len(self._contacts) <= _REMEMBERED:
+        if len(self._contacts) <= _MAX_CONTACTS:
             return
         dropped = max(
             (a for a, contact in self._contacts.items() if not contact.is_seed),
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
@@ -16,18 +16,18 @@
 WINDOW_S = 5.0
 """How long an outcome counts."""
 
-LEAST_FAILURES = 3
+MIN_FAILURES = 3
 """Fewer in a window may be chance."""
 
-LEAST_SHARE = 0.25
+MIN_EXCESS_FAILURE_SHARE = 0.25
 """Of an upstream's requests that failed, beyond the share that fail at the
 others: some calls fail on their own account, wherever they run."""
 
 FIRST_EJECTION_S = 1.5
-LONGEST_EJECTION_S = 8.0
+MAX_EJECTION_S = 8.0
 """How long an upstream gets no work, doubled each time in a row."""
 
-MOST_EJECTED = 0.5
+MAX_EJECTED_FRACTION = 0.5
 """Of a service's upstreams; more than that fail for a reason that ejecting
 them does not cure, and the rest could not carry the load."""
 
@@ -37,7 +37,7 @@
     outcomes: deque[tuple[float, bool]] = attrs.Factory(deque)
     failures: int = 0
     ejected_until: float = float("-inf")
-    pause_s: float = FIRST_EJECTION_S
+    ejection_s: float = FIRST_EJECTION_S
 
     def add(self, now_s: float, *, is_good: bool) -> None:
         self.outcomes.append((now_s, is_good))
@@ -83,19 +83,21 @@
         record = self._records.setdefault(entry.incarnation, _Record())
         record.add(now_s, is_good=is_good)
         if is_good:
-            if now_s > record.ejected_until + LONGEST_EJECTION_S:
-                record.pause_s = FIRST_EJECTION_S
+            if now_s > record.ejected_until + MAX_EJECTION_S:
+                record.ejection_s = FIRST_EJECTION_S
             return False
-        if record.failures < LEAST_FAILURES or now_s < record.ejected_until:
+        if record.failures < MIN_FAILURES or now_s < record.ejected_until:
             return False
         share = record.failures / len(record.outcomes)
-        if share < LEAST_SHARE + self._share_of_others(entry, entries, now_s):
+        if share < MIN_EXCESS_FAILURE_SHARE + self._failure_share_of_others(
+            entry, entries, now_s
+        ):
             return False
         ejected = sum(self._is_ejected(e.incarnation, now_s) for e in entries)
-        if ejected + 1 > len(entries) * MOST_EJECTED:
+        if ejected + 1 > len(entries) * MAX_EJECTED_FRACTION:
             return False
-        record.ejected_until = now_s + record.pause_s
-        record.pause_s = min(record.pause_s * 2, LONGEST_EJECTION_S)
+        record.ejected_until = now_s + record.ejection_s
+        record.ejection_s = min(record.ejection_s * 2, MAX_EJECTION_S)
         record.clear()
         return True
 
@@ -117,7 +119,7 @@
         record = self._records.get(incarnation)
         return record is not None and now_s < record.ejected_until
 
-    def _share_of_others(
+    def _failure_share_of_others(
         self,
         entry: UpstreamEntry,
         entries: Sequence[UpstreamEntry],
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_fleet_size.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
@@ -8,14 +8,14 @@
 import math
 from collections.abc import Sequence
 
-LEARN_S = 4.0
+DISCOVERY_S = 4.0
 """How long a host takes to hear of the others after its start."""
 
-REMEMBER_S = 60.0
+PEAK_RETENTION_S = 60.0
 """How long the largest number of hosts that were heard counts."""
 
 
-class FleetSize:
+class HostCount:
     """What one host knows of the number of hosts."""
 
     def __init__(
@@ -31,7 +31,7 @@
         """
         self.is_alone = is_alone
         self._data_centres = data_centres
-        self._learns_from_s = started_s
+        self._discovery_start_s = started_s
         self._hosts = 1
         self._largest = 1
         self._largest_s = -math.inf
@@ -52,7 +52,7 @@
         hosts: int,
         heard: int,
         now_s: float,
-        by_centre: Sequence[int] = (),
+        by_data_centre: Sequence[int] = (),
     ) -> None:
         """Takes the number of hosts.
 
@@ -66,21 +66,21 @@
             by_centre: Those heard, by data centre; empty if that isn't known.
         """
         self._heard = heard
-        absent = max(0, self._data_centres - len(by_centre))
+        absent = max(0, self._data_centres - len(by_data_centre))
         # Not the estimate, whose errors would be remembered one by one.
         known = heard
-        if by_centre and not self.is_alone:
-            hosts += absent * round(hosts * max(by_centre) / heard)
-            known += absent * max(by_centre)
+        if by_data_centre and not self.is_alone:
+            hosts += absent * round(hosts * max(by_data_centre) / heard)
+            known += absent * max(by_data_centre)
         self._hosts = hosts
-        is_forgotten = now_s - self._largest_s > REMEMBER_S
+        is_forgotten = now_s - self._largest_s > PEAK_RETENTION_S
         if known >= self._largest or is_forgotten:
             self._largest = known
             self._largest_s = now_s
             if heard == 1 and not self.is_alone:
-                self._learns_from_s = now_s
+                self._discovery_start_s = now_s
 
-    def is_known(self, now_s: float, learn_s: float = LEARN_S) -> bool:
+    def is_known(self, now_s: float, discovery_s: float = DISCOVERY_S) -> bool:
         """Whether enough is known for this host to have a share.
 
         Args:
@@ -88,5 +88,5 @@
             learn_s: How long a host has none after its start, or after it
                 last heard nobody and remembered nobody.
         """
-        has_learnt = now_s >= self._learns_from_s + learn_s
-        return has_learnt and (self.hosts > 1 or self.is_alone)
+        is_discovered = now_s >= self._discovery_start_s + discovery_s
+        return is_discovered and (self.hosts > 1 or self.is_alone)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
+from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_coordination.forwarding._trackers import Tracker, rank
 from hollyknot_state import IssuerClaim
 
@@ -49,7 +49,7 @@
 class IssuerClaims:
     """The claims that one host has heard of, by the upstream's short name."""
 
-    def __init__(self, own: Tracker, size: FleetSize) -> None:
+    def __init__(self, own: Tracker, size: HostCount) -> None:
         """Has heard of none.
 
         Args:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
@@ -7,7 +7,7 @@
 import math
 from collections import deque
 
-_FULL_ROUNDS = 3
+_REPORTS_FOR_FULL_COVERAGE = 3
 """Reports a peer in the time counted from which all peers are taken to have
 been heard."""
 
@@ -25,7 +25,7 @@
         distinct: How many peers were heard in a time.
         reports: How many reports they sent in it.
     """
-    if reports >= distinct * _FULL_ROUNDS:
+    if reports >= distinct * _REPORTS_FOR_FULL_COVERAGE:
         return distinct
     low, high = float(distinct), float(max(distinct, reports) ** 2 + 1)
     while high - low > _PRECISION:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
@@ -18,7 +18,7 @@
     ReportTimes,
     estimate_peers,
 )
-from hollyknot_coordination.forwarding._silences import Silences
+from hollyknot_coordination.forwarding._silence_detector import SilenceDetector
 from hollyknot_coordination.forwarding._smoothing import smoothed
 from hollyknot_coordination.forwarding._trackers import Tracker
 from hollyknot_state import Address, HostReport, UseReport
@@ -30,21 +30,21 @@
 """The same where reports come seldom, in usual times between two of a peer:
 the last one is lost now and then."""
 
-FORGET_S = 5.0
+MIN_PEER_TIMEOUT_S = 5.0
 """Silence after which a peer is taken to be gone, at the least."""
 
-FORGET_REPORTS = 8
+PEER_TIMEOUT_REPORTS = 8
 """The same, in usual times between two reports of a peer."""
 
-LONGEST_FORGET_S = 60.0
+MAX_PEER_TIMEOUT_S = 60.0
 """The longest such silence. In a large fleet a host hears only some of the
 others in this time, and estimates from that how many there are."""
 
-DETAILS_S = 4.0
+FULL_REPORT_INTERVAL_S = 4.0
 """Between two reports to one peer that also tell who the sender is, other
 hosts' names and addresses, which seldom change."""
 
-CONTACTS_TOLD = 4
+CONTACTS_PER_REPORT = 4
 """Addresses in one report: eight hosts know each other within a second."""
 
 
@@ -83,14 +83,14 @@
         self._data_centre = data_centre
         self._rng = rng
         self._contacts = Contacts(own, seeds, rng)
-        self._silences = Silences(data_centre)
+        self._silence_detector = SilenceDetector(data_centre)
         self._peers: dict[str, Peer] = {}
         # Peers by the incarnation that their short reports name.
         self._hosts: dict[int, str] = {}
-        self._hosts_known: tuple[Tracker, ...] | None = ()
+        self._hosts_cache: tuple[Tracker, ...] | None = ()
         # When each peer was last sent a report, and one that tells all.
-        self._told: dict[Address, float] = {}
-        self._detailed: dict[Address, float] = {}
+        self._last_report_s: dict[Address, float] = {}
+        self._last_full_report_s: dict[Address, float] = {}
         self._times = ReportTimes()
         # The usual time between two reports of one peer.
         self._interval_s = 0.0
@@ -103,12 +103,12 @@
     @property
     def hosts(self) -> tuple[Tracker, ...]:
         """The peers, as hosts that may track; the same until they change."""
-        if self._hosts_known is None:
-            self._hosts_known = tuple(
+        if self._hosts_cache is None:
+            self._hosts_cache = tuple(
                 Tracker(r.incarnation, r.address, r.data_centre)
                 for r in (peer.report for peer in self._peers.values())
             )
-        return self._hosts_known
+        return self._hosts_cache
 
     @property
     def count(self) -> int:
@@ -116,14 +116,14 @@
         return len(self._peers)
 
     @property
-    def by_centre(self) -> tuple[int, ...]:
+    def by_data_centre(self) -> tuple[int, ...]:
         """Hosts that are heard, by data centre; this one among them."""
         counts = Counter(p.report.data_centre for p in self._peers.values())
         counts[self._data_centre] += 1
         return tuple(counts.values())
 
     @property
-    def estimated(self) -> int:
+    def estimated_count(self) -> int:
         """How many peers there are, also of those that were not heard."""
         return estimate_peers(len(self._peers), len(self._times))
 
@@ -140,7 +140,7 @@
             return False
         if known is None or known.report.incarnation != report.incarnation:
             # It knows nobody yet.
-            self._detailed.pop(report.address, None)
+            self._last_full_report_s.pop(report.address, None)
         if known is None:
             self._contacts.reset(report.address)
         self._note(report, now_s)
@@ -174,11 +174,11 @@
             self._interval_s = smoothed(self._interval_s, passed_s)
             self._hosts.pop(known.report.incarnation, None)
         if known is None or known.report.incarnation != report.incarnation:
-            self._hosts_known = None
+            self._hosts_cache = None
         self._hosts[report.incarnation] = report.host
         self._peers[report.host] = Peer(report, now_s)
         self._times.note(now_s)
-        self._silences.note(report.data_centre, now_s)
+        self._silence_detector.note(report.data_centre, now_s)
 
     def fresh(self, now_s: float) -> list[HostReport]:
         """Returns reports whose loads still count."""
@@ -196,9 +196,9 @@
             now_s: The time.
         """
         known = Counter(p.report.data_centre for p in self._peers.values())
-        return self._silences.silent(known, now_s)
+        return self._silence_detector.silent(known, now_s)
 
-    def targets(self, now_s: float, most: int) -> list[Address]:
+    def targets(self, now_s: float, max_reports: int) -> list[Address]:
         """Returns to whom to send a report now.
 
         Args:
@@ -206,36 +206,38 @@
             most: How many may be sent.
         """
         known = [peer.report.address for peer in self._peers.values()]
-        tried = self._contacts.due(set(known), len(known), now_s, most)
-        told = self._chosen(known, most - len(tried))
-        self._told.update(dict.fromkeys(told, now_s))
+        tried = self._contacts.due(set(known), len(known), now_s, max_reports)
+        told = self._choose(known, max_reports - len(tried))
+        self._last_report_s.update(dict.fromkeys(told, now_s))
         return tried + told
 
-    def _chosen(self, known: list[Address], most: int) -> list[Address]:
+    def _choose(self, known: list[Address], max_reports: int) -> list[Address]:
         """Returns which peers to tell, at most so many.
 
         Few are told in turn, so that each is told evenly. Of many some are
         chosen at random, which the estimate of their number relies on.
         """
         if len(known) > MANY_PEERS:
-            return self._rng.sample(known, min(most, len(known)))
+            return self._rng.sample(known, min(max_reports, len(known)))
         self._rng.shuffle(known)
-        known.sort(key=lambda address: self._told.get(address, 0.0))
-        return known[:most]
+        known.sort(key=lambda address: self._last_report_s.get(address, 0.0))
+        return known[:max_reports]
 
-    def wants_details(self, target: Address, now_s: float) -> bool:
+    def needs_full_report(self, target: Address, now_s: float) -> bool:
         """Returns whether a report must tell a target all, and notes it."""
-        last_s = self._detailed.get(target, -math.inf)
-        if now_s - last_s < DETAILS_S:
+        last_s = self._last_full_report_s.get(target, -math.inf)
+        if now_s - last_s < FULL_REPORT_INTERVAL_S:
             return False
-        if target in self._told:
-            self._detailed[target] = now_s
+        if target in self._last_report_s:
+            self._last_full_report_s[target] = now_s
         return True
 
     def contacts(self) -> tuple[Address, ...]:
         """Returns some addresses to tell."""
         known = [peer.report.address for peer in self._peers.values()]
-        return tuple(self._rng.sample(known, min(CONTACTS_TOLD, len(known))))
+        return tuple(
+            self._rng.sample(known, min(CONTACTS_PER_REPORT, len(known)))
+        )
 
     def expire(self, now_s: float) -> list[str]:
         """Forgets silent peers and old addresses.
@@ -243,20 +245,22 @@
         Returns:
             The names of the peers that were forgotten.
         """
-        wanted_s = max(FORGET_S, FORGET_REPORTS * self._interval_s)
-        forget_s = min(wanted_s, LONGEST_FORGET_S)
-        self._times.expire(now_s - forget_s)
+        wanted_s = max(
+            MIN_PEER_TIMEOUT_S, PEER_TIMEOUT_REPORTS * self._interval_s
+        )
+        timeout_s = min(wanted_s, MAX_PEER_TIMEOUT_S)
+        self._times.expire(now_s - timeout_s)
         gone = [
             host
             for host, peer in self._peers.items()
-            if now_s - peer.heard_s > forget_s
+            if now_s - peer.heard_s > timeout_s
         ]
         for host in gone:
-            self._hosts_known = None
+            self._hosts_cache = None
             report = self._peers.pop(host).report
             self._hosts.pop(report.incarnation, None)
-            self._told.pop(report.address, None)
-            self._detailed.pop(report.address, None)
+            self._last_report_s.pop(report.address, None)
+            self._last_full_report_s.pop(report.address, None)
             self._contacts.reset(report.address)
         return gone
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
+from hollyknot_coordination.forwarding._host_count import HostCount
 
 OVERRUN = 1.5
 SLACK = 5
@@ -76,7 +76,7 @@
 class PermitIssuer:
     """The permits that one host issues, by upstream."""
 
-    def __init__(self, size: FleetSize) -> None:
+    def __init__(self, size: HostCount) -> None:
         """Has issued none.
 
         Args:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
+from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_coordination.forwarding._issuer_claims import IssuerClaims
 from hollyknot_coordination.forwarding._named_limits import NamedLimits
 from hollyknot_coordination.forwarding._permit_issuer import PermitIssuer
@@ -100,7 +100,7 @@
     def __init__(
         self,
         trackers: Trackers,
-        size: FleetSize,
+        size: HostCount,
         named: NamedLimits,
         entry_of: Callable[[str], UpstreamEntry | None],
         rng: random.Random,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
@@ -19,37 +19,37 @@
 """The part of it for queries, answers and notes, some 300 bytes a request; a
 quarter still tells each of 82 peers something every few seconds."""
 
-_SAVED_S = 0.5
+_REPORT_BURST_S = 0.5
 """What a host may send at once after a pause, in seconds of the budget: a
 report to each of some peers, and not a burst after a suspension."""
 
 
-_SAVED_FOR_QUERIES_S = 10.0
+_QUERY_BURST_S = 10.0
 """The same for queries and what belongs to them: a burst of requests, which
 lasts some seconds, is when a choice by old loads does the most harm, and the
 budget is kept in the long run."""
 
 
 @attrs.define
-class _Bucket:
+class _TokenBucket:
     """Bytes that may be sent; filled at a steady rate up to a bound."""
 
     rate: float
-    saved_s: float
+    burst_s: float
     level: float = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.level = self.most
+        self.level = self.capacity
 
     @property
-    def most(self) -> float:
-        return self.rate * self.saved_s
+    def capacity(self) -> float:
+        return self.rate * self.burst_s
 
     def fill(self, size: float) -> float:
         """Takes bytes in, and returns those for which there is no room."""
-        over = max(0.0, self.level + size - self.most)
-        self.level += size - over
-        return over
+        overflow = max(0.0, self.level + size - self.capacity)
+        self.level += size - overflow
+        return overflow
 
 
 class ReportRate:
@@ -61,13 +61,15 @@
         Args:
             bytes_a_second: What may be sent in the long run.
         """
-        self._queries = _Bucket(
-            bytes_a_second * QUERY_SHARE, _SAVED_FOR_QUERIES_S
+        self._queries = _TokenBucket(
+            bytes_a_second * QUERY_SHARE, _QUERY_BURST_S
+        )
+        self._reports = _TokenBucket(
+            bytes_a_second * (1 - QUERY_SHARE), _REPORT_BURST_S
         )
-        self._reports = _Bucket(bytes_a_second * (1 - QUERY_SHARE), _SAVED_S)
         # Reports may use all that is not asked.
-        self._most = bytes_a_second * _SAVED_S
-        self._reports.level = self._most
+        self._report_capacity = bytes_a_second * _REPORT_BURST_S
+        self._reports.level = self._report_capacity
         self._filled_s = 0.0
 
     def affordable(self, size: int, now_s: float) -> int:
@@ -77,12 +79,12 @@
             size: Bytes of one of them.
             now_s: The time.
         """
-        self._fill(now_s, max(self._most, size))
+        self._fill(now_s, max(self._report_capacity, size))
         return max(0, int(self._reports.level // max(size, 1)))
 
     def may_ask(self, now_s: float) -> bool:
         """Whether a query may be sent now."""
-        self._fill(now_s, self._most)
+        self._fill(now_s, self._report_capacity)
         return self._queries.level > 0
 
     def spend(self, size: int) -> None:
@@ -96,11 +98,11 @@
         decide by them; the host then asks less itself.
         """
         bucket = self._queries
-        bucket.level = max(bucket.level - size, -self._most)
+        bucket.level = max(bucket.level - size, -self._report_capacity)
 
-    def _fill(self, now_s: float, most_reports: float) -> None:
+    def _fill(self, now_s: float, report_capacity: float) -> None:
         passed_s = max(0.0, now_s - self._filled_s)
         self._filled_s = now_s
-        over = self._queries.fill(passed_s * self._queries.rate)
-        wanted = passed_s * self._reports.rate + over
-        self._reports.level = min(self._reports.level + wanted, most_reports)
+        overflow = self._queries.fill(passed_s * self._queries.rate)
+        wanted = passed_s * self._reports.rate + overflow
+        self._reports.level = min(self._reports.level + wanted, report_capacity)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
@@ -16,24 +16,24 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import LEARN_S, FleetSize
+from hollyknot_coordination.forwarding._host_count import DISCOVERY_S, HostCount
 from hollyknot_state.routes import Bounds
 
-_SLACK_PART = 0.65
+_SLACK_FRACTION = 0.65
 """Of the slack, what hosts spend; the rest covers hosts not heard of yet."""
 
-_FIRST_SLACK_PART = 1.0 - _SLACK_PART
+_FIRST_SLACK_FRACTION = 1.0 - _SLACK_FRACTION
 """The same in the first window of a host that is alone: the process before it
 may have spent the other part."""
 
-_SHARE_PART = 0.8
+_SHARE_FRACTION = 0.8
 """Of the share, what hosts spend: requests and retries fall into windows that
 slide, and a retry may fall into a window that its request has left."""
 
 
 @attrs.define
-class _Spent:
-    rounds_up: float
+class _Window:
+    rounding: float
     first_tries: deque[float] = attrs.Factory(deque)
     retries: deque[float] = attrs.Factory(deque)
 
@@ -63,7 +63,7 @@
     """Counts first tries and retries of each service in a sliding window."""
 
     def __init__(
-        self, bounds: Bounds, size: FleetSize, rng: random.Random
+        self, bounds: Bounds, size: HostCount, rng: random.Random
     ) -> None:
         """Starts with no retry spent.
 
@@ -75,7 +75,7 @@
         self._bounds = bounds
         self._size = size
         self._rng = rng
-        self._spent: dict[str, _Spent] = {}
+        self._windows: dict[str, _Window] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
         """Puts other shares in force from now on."""
@@ -83,43 +83,43 @@
 
     def on_first_try(self, service: str, now_s: float) -> None:
         """Notes a request that was sent to a service."""
-        self._service(service, now_s).first_tries.append(now_s)
+        self._window(service, now_s).first_tries.append(now_s)
 
-    def left(self, service: str, now_s: float) -> float:
+    def remaining(self, service: str, now_s: float) -> float:
         """Returns how many retries may be sent now."""
         account = self.account(service, now_s)
-        rounds_up = self._service(service, now_s).rounds_up
-        return account.allowed + rounds_up - account.spent
+        rounding = self._window(service, now_s).rounding
+        return account.allowed + rounding - account.spent
 
     def account(self, service: str, now_s: float) -> RetryAccount:
         """Returns what is allowed and spent in the window that ends now."""
-        spent = self._service(service, now_s)
+        spent = self._window(service, now_s)
         bounds = self._bounds
-        hosts, slack_part = self._slack(now_s)
-        allowed = bounds.retry_share * _SHARE_PART * len(spent.first_tries)
+        hosts, slack_fraction = self._slack(now_s)
+        allowed = bounds.retry_share * _SHARE_FRACTION * len(spent.first_tries)
         if hosts:
-            allowed += bounds.retry_slack * slack_part / hosts
+            allowed += bounds.retry_slack * slack_fraction / hosts
         return RetryAccount(len(spent.retries), allowed, hosts)
 
     def spend(self, service: str, now_s: float) -> None:
         """Notes a retry."""
-        self._service(service, now_s).retries.append(now_s)
+        self._window(service, now_s).retries.append(now_s)
 
     def _slack(self, now_s: float) -> tuple[int, float]:
         """Returns among how many hosts the slack is divided, and its part.
 
         A host that was restarted may have spent its part in this window.
         """
-        learn_s = max(LEARN_S, self._bounds.retry_window_s)
-        if self._size.is_known(now_s, learn_s):
-            return self._size.hosts, _SLACK_PART
+        discovery_s = max(DISCOVERY_S, self._bounds.retry_window_s)
+        if self._size.is_known(now_s, discovery_s):
+            return self._size.hosts, _SLACK_FRACTION
         if self._size.is_alone:
-            return 1, _FIRST_SLACK_PART
+            return 1, _FIRST_SLACK_FRACTION
         return 0, 0.0
 
-    def _service(self, service: str, now_s: float) -> _Spent:
-        spent = self._spent.get(service)
+    def _window(self, service: str, now_s: float) -> _Window:
+        spent = self._windows.get(service)
         if spent is None:
-            spent = self._spent[service] = _Spent(self._rng.random())
+            spent = self._windows[service] = _Window(self._rng.random())
         spent.forget(now_s - self._bounds.retry_window_s)
         return spent
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
@@ -34,21 +34,21 @@
         """Indexes a table."""
         self._table = table
         self._by_host: dict[str, dict[str, Route]] = {}
-        self._longest = 0
+        self._longest_prefix = 0
         self._has_owner_priorities = any(
             owner.priority is not None for owner in table.owners_by_key.values()
         )
         # Where routes have more ranks, those of customers are left out: beyond
         # the least urgency, requests of different routes would be ranked alike.
-        self._has_room_for_owners = all(
+        self._has_room_for_owner_ranks = all(
             0 <= route.priority < len(TIERS) for route in table.routes
         )
         self._tolerances: dict[str, Tolerance] = {}
-        self._sheds_from: dict[str, int] = {}
+        self._shed_from_by_service: dict[str, int] = {}
         for route in table.routes:
             prefixes = self._by_host.setdefault(route.host.lower(), {})
             prefixes[route.prefix] = route
-            self._longest = max(self._longest, len(route.prefix))
+            self._longest_prefix = max(self._longest_prefix, len(route.prefix))
 
     @property
     def table(self) -> RouteTable:
@@ -67,7 +67,7 @@
             return NoRoute.UNKNOWN
         rest = path.partition("?")[0]
         # A path of thousands of slashes would else be cut thousands of times.
-        end = rest.rfind("/", 0, self._longest)
+        end = rest.rfind("/", 0, self._longest_prefix)
         while end >= 0:
             route = prefixes.get(rest[: end + 1])
             if route is not None:
@@ -97,7 +97,7 @@
         The numbers must not follow from which priorities are in use: that
         changes with each key, and running requests keep their number.
         """
-        if not self._has_owner_priorities or not self._has_room_for_owners:
+        if not self._has_owner_priorities or not self._has_room_for_owner_ranks:
             return min(max(route.priority, 0), LEAST_URGENT)
         own = route.priority
         if isinstance(owner, KeyOwner) and owner.priority is not None:
@@ -110,10 +110,10 @@
         Those are the ones of its least urgent routes, if it has more urgent
         ones: else no urgency is as great as what is returned.
         """
-        known = self._sheds_from.get(service)
+        known = self._shed_from_by_service.get(service)
         if known is None:
             known = self._find_sheds_from(service)
-            self._sheds_from[service] = known
+            self._shed_from_by_service[service] = known
         return known
 
     def _find_sheds_from(self, service: str) -> int:
@@ -126,7 +126,7 @@
         least = max(priorities, default=0)
         if least == min(priorities, default=0):
             return LEAST_URGENT + 1
-        if self._has_owner_priorities and self._has_room_for_owners:
+        if self._has_owner_priorities and self._has_room_for_owner_ranks:
             least *= len(TIERS)
         return min(least, LEAST_URGENT)
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_silences.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_silence_detector.py
@@ -13,24 +13,24 @@
 
 from hollyknot_coordination.forwarding._smoothing import smoothed
 
-SILENT_S = 0.4
+MIN_SILENCE_S = 0.4
 """Silence of a data centre after which it is looked at, at the least."""
 
-SILENT_REPORTS = 4.0
+MIN_SILENT_INTERVALS = 4.0
 """The same, in usual times between two reports of it, at the least: reports of
 few hosts come evenly, and some in a hundred datagrams are lost."""
 
-CHANCE = 1e-6
+FALSE_ALARM_PROBABILITY = 1e-6
 """How often, for each report, chance alone may bring such a silence. At ten
 reports a second that is once a day; the usual distance is itself only
 estimated, which makes it some times an hour."""
 
-_LEARNT_S = 1.0
+_MAX_SAMPLE_S = 1.0
 """The most that one silence counts for in the usual time between two reports
 of a data centre: a cut that lasted seconds was not usual."""
 
 
-def unlikely_gap(hosts: int, chance: float) -> float:
+def unlikely_gap(hosts: int, probability: float) -> float:
     """Returns a gap between reports, in mean ones, that chance hardly exceeds.
 
     Hosts that each report at an even pace, but at moments of their own, are
@@ -43,7 +43,7 @@
     """
     if hosts <= 1:
         return 1.0
-    return hosts * -math.expm1(math.log(chance) / (hosts - 1))
+    return hosts * -math.expm1(math.log(probability) / (hosts - 1))
 
 
 @attrs.define
@@ -55,18 +55,20 @@
 
     def note(self, now_s: float) -> None:
         """Notes a report."""
-        passed_s = min(now_s - self.heard_s, _LEARNT_S)
+        passed_s = min(now_s - self.heard_s, _MAX_SAMPLE_S)
         self.interval_s = smoothed(self.interval_s, passed_s)
         self.heard_s = now_s
 
     def is_silent(self, hosts: int, now_s: float) -> bool:
         """Whether it has been silent for unusually long."""
-        reports = max(SILENT_REPORTS, unlikely_gap(hosts, CHANCE))
-        bound_s = max(SILENT_S, reports * self.interval_s)
+        reports = max(
+            MIN_SILENT_INTERVALS, unlikely_gap(hosts, FALSE_ALARM_PROBABILITY)
+        )
+        bound_s = max(MIN_SILENCE_S, reports * self.interval_s)
         return now_s - self.heard_s > bound_s
 
 
-class Silences:
+class SilenceDetector:
     """When each data centre was heard."""
 
     def __init__(self, own: str) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -19,12 +19,12 @@
 from hollyknot_state import Address
 from hollyknot_state.routes import UpstreamEntry
 
-LAPSED_PART = 0.5
+LAPSED_FRACTION = 0.5
 """Of all upstreams, the part whose entries go at one moment only because the
 directory has been away: a host whose open watch fell silent has not seen that
 it was. Upstreams that leave do so a few at a time."""
 
-LEAST_LAPSED = 4
+MIN_LAPSED = 4
 """Fewer entries than this may go at one moment on their own account."""
 
 
@@ -34,10 +34,10 @@
 
 
 @attrs.define
-class _Known:
+class _UpstreamState:
     entry: UpstreamEntry
     lapses_at: float = float("inf")
-    is_gone: bool = False
+    is_replaced: bool = False
 
 
 @attrs.frozen
@@ -51,10 +51,10 @@
     """
 
     incarnation: str
-    runs_no_more: bool
+    is_superseded: bool
 
 
-class Fleet:
+class UpstreamRegistry:
     """All upstreams that a host knows."""
 
     def __init__(self, lapse_s: float) -> None:
@@ -64,7 +64,7 @@
             lapse_s: How long a lapsed entry's upstream keeps its work.
         """
         self._lapse_s = lapse_s
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _UpstreamState] = {}
         self._names: dict[str, str] = {}
         self._services: frozenset[str] | None = None
         self._evacuated: frozenset[str] = frozenset()
@@ -108,8 +108,8 @@
             return is_change
         self._by_service = None
         if before is not None:
-            self._end(before.entry.incarnation, runs_no_more=True)
-        self._known[entry.incarnation] = _Known(entry)
+            self._end(before.entry.incarnation, is_superseded=True)
+        self._known[entry.incarnation] = _UpstreamState(entry)
         self._names[entry.name] = entry.incarnation
         return True
 
@@ -135,7 +135,7 @@
         if may_have_lapsed and not known.entry.is_draining:
             known.lapses_at = min(known.lapses_at, now_s + self._lapse_s)
         else:
-            self._end(incarnation, runs_no_more=False)
+            self._end(incarnation, is_superseded=False)
             self._note_removed(incarnation, now_s)
         return incarnation
 
@@ -152,7 +152,7 @@
             removed: Names of the upstreams whose entries have gone.
         """
         known = len(self._names.keys() & set(removed))
-        return known >= max(LEAST_LAPSED, len(self._names) * LAPSED_PART)
+        return known >= max(MIN_LAPSED, len(self._names) * LAPSED_FRACTION)
 
     def _from_older_copy(
         self, entry: UpstreamEntry, now_s: float
@@ -214,18 +214,18 @@
         known = self._known.get(incarnation)
         return known.entry if known is not None else None
 
-    def mark_gone(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Notes that another incarnation answered at an upstream's address."""
         known = self._known.get(incarnation)
         if known is not None:
-            known.is_gone = True
+            known.is_replaced = True
             self._by_service = None
 
     def is_usable(self, incarnation: str, now_s: float) -> bool:
         """Whether an upstream may get work at this moment."""
         self._refresh(now_s)
         known = self._known.get(incarnation)
-        return known is not None and self._may_work(known)
+        return known is not None and self._accepts_work(known)
 
     def usable(self, service: str, now_s: float) -> list[UpstreamEntry]:
         """Returns a service's upstreams that may get work, in a fixed order.
@@ -254,14 +254,14 @@
         by_service: dict[str, list[UpstreamEntry]] = {}
         for incarnation in sorted(self._known):
             known = self._known[incarnation]
-            if self._may_work(known):
+            if self._accepts_work(known):
                 entry = known.entry
                 by_service.setdefault(entry.service, []).append(entry)
         return by_service
 
-    def _may_work(self, known: _Known) -> bool:
+    def _accepts_work(self, known: _UpstreamState) -> bool:
         entry = known.entry
-        if known.is_gone or entry.is_draining:
+        if known.is_replaced or entry.is_draining:
             return False
         is_evacuated = entry.data_centre in self._evacuated
         return not is_evacuated and self._exists(entry.service)
@@ -272,7 +272,7 @@
     def _end_lapsed(self, now_s: float) -> None:
         for incarnation, known in list(self._known.items()):
             if now_s >= known.lapses_at:
-                self._end(incarnation, runs_no_more=False)
+                self._end(incarnation, is_superseded=False)
                 self._note_removed(incarnation, now_s)
 
     def _end_displaced(self) -> None:
@@ -289,13 +289,13 @@
                 continue
             if other.born_ms > entry.born_ms:
                 holders[entry.address], other = other, entry
-            self._end(other.incarnation, runs_no_more=True)
+            self._end(other.incarnation, is_superseded=True)
 
-    def _of_name(self, name: str) -> _Known | None:
+    def _of_name(self, name: str) -> _UpstreamState | None:
         incarnation = self._names.get(name)
         return None if incarnation is None else self._known[incarnation]
 
-    def _end(self, incarnation: str, *, runs_no_more: bool) -> None:
+    def _end(self, incarnation: str, *, is_superseded: bool) -> None:
         known = self._known.pop(incarnation)
         del self._names[known.entry.name]
-        self._ended.append(Ended(incarnation, runs_no_more))
+        self._ended.append(Ended(incarnation, is_superseded))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -9,7 +9,7 @@
 
 from hollyknot_coordination.forwarding import (
     PERMIT_ANSWER_S,
-    FleetSize,
+    HostCount,
     NamedLimits,
     PermitRequest,
     Permits,
@@ -59,7 +59,7 @@
     frozen_until_s: float = 0.0
     known: tuple[Tracker, ...] = ()
     told_s: float = 0.0
-    size: FleetSize = attrs.field(init=False)
+    size: HostCount = attrs.field(init=False)
     named: NamedLimits = attrs.Factory(NamedLimits)
     permits: Permits = attrs.field(init=False)
 
@@ -166,7 +166,7 @@
     def _make(self, number: int, started_s: float) -> Host:
         address = Address("10.0.0.1", number + 1)
         host = Host(number, address, next(self._incarnations))
-        host.size = FleetSize(started_s, is_alone=False)
+        host.size = HostCount(started_s, is_alone=False)
         trackers = Trackers(host.tracker, lambda: host.known)
         host.permits = Permits(
             trackers,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -6,12 +6,15 @@
 import attrs
 import pytest
 
-from hollyknot_coordination.forwarding import ColdStarts, FleetSize
+from hollyknot_coordination.forwarding import ColdStarts, HostCount
 from hollyknot_coordination.forwarding._cold_starts import (
-    PERMIT_S,
-    RATE_PART,
+    PERMIT_LIFETIME_S,
+    RATE_FRACTION,
+)
+from hollyknot_coordination.forwarding._host_count import (
+    DISCOVERY_S,
+    PEAK_RETENTION_S,
 )
-from hollyknot_coordination.forwarding._fleet_size import LEARN_S, REMEMBER_S
 from hollyknot_coordination.forwarding.tests._builders import upstream
 from hollyknot_state.routes import ColdStart, UpstreamEntry
 
@@ -30,7 +33,7 @@
 def _host(
     seed: int, started_s: float = -60.0, *, is_alone: bool = False
 ) -> ColdStarts:
-    size = FleetSize(started_s, is_alone=is_alone)
+    size = HostCount(started_s, is_alone=is_alone)
     return ColdStarts(random.Random(seed), size, lambda _: COLD_START)
 
 
@@ -78,7 +81,7 @@
             host.note(_cold(LONG_S), 0.0)
         busiest, total = _busiest_second(hosts, LONG_S)
         assert busiest <= MOST_IN_A_SECOND
-        assert total >= LONG_S * COLD_START.rate * RATE_PART / 2
+        assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 2
 
     def test_permits_are_not_saved_up(self) -> None:
         """A burst after a calm minute crashes an upstream that is still cold.
@@ -109,16 +112,16 @@
         host = _host(1, is_alone=True)
         host.note(_cold(10.0), 0.0)
         _, total = _busiest_second([host], 10.0)
-        assert total >= 10.0 * COLD_START.rate * RATE_PART - 2
+        assert total >= 10.0 * COLD_START.rate * RATE_FRACTION - 2
 
     def test_it_learns_first_how_many_share(self) -> None:
         host = _host(1, started_s=0.0)
         host.note(_cold(LONG_S), 0.0)
         host.size.set(2, 2, 0.1)
         assert not any(
-            host.take("a", step * 0.1) for step in range(int(LEARN_S * 10))
+            host.take("a", step * 0.1) for step in range(int(DISCOVERY_S * 10))
         )
-        host.size.set(83, 83, LEARN_S)
+        host.size.set(83, 83, DISCOVERY_S)
         _, total = _busiest_second([host], LONG_S)
         assert total <= 2
 
@@ -131,7 +134,7 @@
         hosts = [_host(n) for n in range(80)]
         for host in hosts:
             host.size.set(80, 80, 0.0)
-            host.size.set(4, 4, REMEMBER_S / 2)
+            host.size.set(4, 4, PEAK_RETENTION_S / 2)
             host.note(_cold(LONG_S), 0.0)
         busiest, _ = _busiest_second(hosts, LONG_S)
         assert busiest <= MOST_IN_A_SECOND
@@ -139,10 +142,10 @@
     def test_a_lost_fleet_is_forgotten_in_time(self) -> None:
         host = _host(1)
         host.size.set(80, 80, 0.0)
-        host.size.set(4, 4, REMEMBER_S + 1)
+        host.size.set(4, 4, PEAK_RETENTION_S + 1)
         host.note(_cold(LONG_S), 0.0)
         _, total = _busiest_second([host], LONG_S)
-        assert total >= LONG_S * COLD_START.rate * RATE_PART / 4 / 2
+        assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 4 / 2
 
     def test_what_says_nothing_yet_is_spared_too(self) -> None:
         host = _host(1)
@@ -160,7 +163,7 @@
         assert host.is_cold("a", 4.9)
 
     def test_services_that_are_never_cold_are_not_held_back(self) -> None:
-        size = FleetSize(0.0, is_alone=False)
+        size = HostCount(0.0, is_alone=False)
         host = ColdStarts(random.Random(1), size, lambda _: None)
         host.note(_cold(LONG_S), 0.0)
         host.suspect(upstream("a"), 0.0)
@@ -176,7 +179,7 @@
         an entry whose service was not known yet was taken for a warm one.
         """
         services: dict[str, ColdStart] = {}
-        size = FleetSize(0.0, is_alone=False)
+        size = HostCount(0.0, is_alone=False)
         host = ColdStarts(random.Random(1), size, services.get)
         host.note(_cold(3.0), 0.0)
         services["engines"] = COLD_START
@@ -193,8 +196,8 @@
         host.size.set(8, 8, 0.0)
         entries = [upstream("a"), upstream("b")]
         host.note(_cold(LONG_S), 0.0)
-        interval_s = 8 / (COLD_START.rate * RATE_PART)
-        steps = int((interval_s + PERMIT_S) / _STEP_S)
+        interval_s = 8 / (COLD_START.rate * RATE_FRACTION)
+        steps = int((interval_s + PERMIT_LIFETIME_S) / _STEP_S)
         offered = [host.permitted(entries, n * _STEP_S) for n in range(steps)]
         assert [entries[0]] in offered
         assert [] in offered
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -156,16 +156,16 @@
         peers = _peers("a")
         peers.take(report("b", sequence=9), 0.0)
         (target,) = peers.targets(0.0, 9)
-        assert peers.wants_details(target, 0.0)
-        assert not peers.wants_details(target, 0.5)
+        assert peers.needs_full_report(target, 0.0)
+        assert not peers.needs_full_report(target, 0.5)
         peers.take(report("b", sequence=1, incarnation=2), 1.0)
-        assert peers.wants_details(target, 1.1)
+        assert peers.needs_full_report(target, 1.1)
 
     def test_an_address_that_was_only_heard_of_is_told_all(self) -> None:
         peers = _peers("a", "seed")
         (target,) = peers.targets(0.0, 9)
-        assert peers.wants_details(target, 0.0)
-        assert peers.wants_details(target, 1.0)
+        assert peers.needs_full_report(target, 0.0)
+        assert peers.needs_full_report(target, 1.0)
 
     def test_tells_only_some_of_many(self) -> None:
         peers = _peers("a")
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hollyknot_coordination.forwarding import FleetSize
+from hollyknot_coordination.forwarding import HostCount
 from hollyknot_coordination.forwarding._permit_issuer import (
     LONGEST_WAIT_S,
     RATE_PART,
@@ -14,7 +14,7 @@
 
 
 def _issuer(hosts: int = 8, heard: int = 8) -> PermitIssuer:
-    size = FleetSize(0.0, is_alone=False)
+    size = HostCount(0.0, is_alone=False)
     size.set(hosts, heard, 0.0)
     return PermitIssuer(size)
 
@@ -64,11 +64,11 @@
         assert _issued(_issuer(), 0.0, 0.9) == 0
 
     def test_one_that_hears_nobody_issues_none(self) -> None:
-        issuer = PermitIssuer(FleetSize(0.0, is_alone=False))
+        issuer = PermitIssuer(HostCount(0.0, is_alone=False))
         assert _issued(issuer, 10.0, 10.0) == 0
 
     def test_one_without_peers_issues_all(self) -> None:
-        issuer = PermitIssuer(FleetSize(0.0, is_alone=True))
+        issuer = PermitIssuer(HostCount(0.0, is_alone=True))
         assert _issued(issuer, 10.0, 10.0) > 0
 
     def test_one_permit_is_kept_for_urgent_requests(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -13,9 +13,9 @@
         reachability = Reachability()
         assert reachability.failed(A, 0.0)
         assert not reachability.failed(A, 0.1)
-        assert reachability.away([A, B]) == {"a"}
+        assert reachability.unreachable([A, B]) == {"a"}
         assert reachability.succeeded("a", 0.2)
-        assert reachability.away([A, B]) == frozenset()
+        assert reachability.unreachable([A, B]) == frozenset()
 
     def test_tries_again_with_growing_pauses(self) -> None:
         reachability = Reachability()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -8,32 +8,32 @@
 import attrs
 import pytest
 
-from hollyknot_coordination.forwarding import FleetSize, RetryBudget
-from hollyknot_coordination.forwarding._fleet_size import REMEMBER_S
+from hollyknot_coordination.forwarding import HostCount, RetryBudget
+from hollyknot_coordination.forwarding._host_count import PEAK_RETENTION_S
 from hollyknot_state.routes import Bounds
 
 BOUNDS = Bounds(retry_share=0.2, retry_window_s=10.0, retry_slack=206.0)
 SERVICE = "s"
-CENTRES = 3
+DATA_CENTRES = 3
 STEP_S = 0.5
 
-LEAST_USED = 0.6
+MIN_USED_FRACTION = 0.6
 """Of what is allowed, where all hosts hear all: callers keep their second try.
 """
 
 
 def _alone(bounds: Bounds) -> RetryBudget:
-    size = FleetSize(-math.inf, is_alone=True)
+    size = HostCount(-math.inf, is_alone=True)
     return RetryBudget(bounds, size, random.Random(1))
 
 
 def _spend_all(started_s: float) -> int:
     """Returns the retries of a lone host whose only request failed."""
-    size = FleetSize(started_s, is_alone=True)
+    size = HostCount(started_s, is_alone=True)
     budget = RetryBudget(BOUNDS, size, random.Random(1))
     budget.on_first_try(SERVICE, 0.0)
     spent = 0
-    while budget.left(SERVICE, 0.0) >= 1.0:
+    while budget.remaining(SERVICE, 0.0) >= 1.0:
         budget.spend(SERVICE, 0.0)
         spent += 1
     return spent
@@ -43,9 +43,9 @@
 class _Host:
     """One host of a fleet."""
 
-    size: FleetSize
+    size: HostCount
     budget: RetryBudget
-    stands_until_s: float = 0.0
+    paused_until_s: float = 0.0
 
 
 @attrs.define
@@ -60,7 +60,7 @@
 
     def start(self, now_s: float) -> _Host:
         """Returns a host that has just started."""
-        size = FleetSize(now_s, is_alone=False, data_centres=CENTRES)
+        size = HostCount(now_s, is_alone=False, data_centres=DATA_CENTRES)
         return _Host(size, RetryBudget(BOUNDS, size, self.rng))
 
     def step(self, now_s: float, a_second: float) -> tuple[float, float]:
@@ -74,10 +74,10 @@
         count = int(wanted) + (self.rng.random() < wanted % 1)
         sent = 0
         for host in self.rng.choices(self.hosts, k=count):
-            if now_s < host.stands_until_s:
+            if now_s < host.paused_until_s:
                 continue
             host.budget.on_first_try(SERVICE, now_s)
-            if host.budget.left(SERVICE, now_s) >= 1.0:
+            if host.budget.remaining(SERVICE, now_s) >= 1.0:
                 host.budget.spend(SERVICE, now_s)
                 sent += 1
         self.requests.append((now_s, count))
@@ -103,7 +103,9 @@
 
 def _all_hear_all(fleet: _Fleet, now_s: float) -> None:
     for host in fleet.hosts:
-        host.size.set(fleet.count, fleet.count, now_s, _centres(fleet.count))
+        host.size.set(
+            fleet.count, fleet.count, now_s, _by_data_centre(fleet.count)
+        )
 
 
 def _none_hears_another(fleet: _Fleet, now_s: float) -> None:
@@ -111,43 +113,43 @@
         host.size.set(1, 1, now_s, (1,))
 
 
-def _centres_apart(fleet: _Fleet, now_s: float) -> None:
-    near = fleet.count // CENTRES
+def _data_centres_cut_apart(fleet: _Fleet, now_s: float) -> None:
+    near = fleet.count // DATA_CENTRES
     for host in fleet.hosts:
         host.size.set(near, near, now_s, (near,))
 
 
-def _started_anew(fleet: _Fleet, now_s: float) -> None:
+def _restarted_again_and_again(fleet: _Fleet, now_s: float) -> None:
     """All hosts are killed every seven seconds, and hear ever more."""
     since_s = now_s % 7.0
     if since_s == 0.0:
         fleet.hosts = [fleet.start(now_s) for _ in fleet.hosts]
     for host in fleet.hosts:
         heard = 1 + round((fleet.count - 1) * fleet.rng.random() * since_s / 7)
-        host.size.set(heard, heard, now_s, _centres(heard))
+        host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
-def _stood_still(fleet: _Fleet, now_s: float) -> None:
+def _paused_and_resumed(fleet: _Fleet, now_s: float) -> None:
     """Most hosts stand still for a while, and then have forgotten all peers."""
     if now_s % 20.0 == 0.0:
         for host in fleet.rng.sample(fleet.hosts, round(fleet.count * 0.8)):
-            host.stands_until_s = now_s + 5.0
+            host.paused_until_s = now_s + 5.0
     for host in fleet.hosts:
-        if now_s >= host.stands_until_s:
-            is_back = now_s < host.stands_until_s + 2.0
+        if now_s >= host.paused_until_s:
+            is_back = now_s < host.paused_until_s + 2.0
             heard = 1 if is_back and now_s > 0.0 else fleet.count
-            host.size.set(heard, heard, now_s, _centres(heard))
+            host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
 def _alone_for_long(fleet: _Fleet, now_s: float) -> None:
     """All hosts hear nobody until everything is forgotten, then a few."""
-    is_apart = now_s < REMEMBER_S + 5.0
+    is_apart = now_s < PEAK_RETENTION_S + 5.0
     heard = 1 if is_apart else min(3, fleet.count)
     for host in fleet.hosts:
-        host.size.set(heard, heard, now_s, _centres(heard))
+        host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
-def _centres(count: int) -> tuple[int, ...]:
+def _by_data_centre(count: int) -> tuple[int, ...]:
     parts = (count // 3, (count + 1) // 3, (count + 2) // 3)
     return tuple(filter(None, parts))
 
@@ -185,9 +187,9 @@
         [
             _all_hear_all,
             _none_hears_another,
-            _centres_apart,
-            _started_anew,
-            _stood_still,
+            _data_centres_cut_apart,
+            _restarted_again_and_again,
+            _paused_and_resumed,
         ],
     )
     def test_is_never_more_than_allowed(self, count: int, state: State) -> None:
@@ -200,7 +202,7 @@
     def test_is_never_more_after_a_long_cut(self, count: int) -> None:
         """Hosts that come back from a long cut count from one again."""
         busiest, _ = _busiest(
-            count, _alone_for_long, RATES[1], REMEMBER_S + 10.0
+            count, _alone_for_long, RATES[1], PEAK_RETENTION_S + 10.0
         )
         assert busiest <= 1.0
 
@@ -211,7 +213,7 @@
         """Callers lose their second try for want of whole retries a host."""
         for of_a_host in RATES_OF_A_HOST:
             _, used = _busiest(count, _all_hear_all, count * of_a_host, 30.0)
-            assert used >= LEAST_USED, of_a_host
+            assert used >= MIN_USED_FRACTION, of_a_host
 
 
 class TestRetryBudget:
@@ -229,7 +231,7 @@
         for _ in range(10):
             budget.on_first_try(SERVICE, 0.0)
         spent = 0
-        while budget.left(SERVICE, 0.0) >= 1.0:
+        while budget.remaining(SERVICE, 0.0) >= 1.0:
             budget.spend(SERVICE, 0.0)
             spent += 1
         assert spent == budget.account(SERVICE, 0.0).spent == 4
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silences.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from hollyknot_coordination.forwarding._silences import (
-    CHANCE,
-    SILENT_S,
-    Silences,
+from hollyknot_coordination.forwarding._silence_detector import (
+    FALSE_ALARM_PROBABILITY,
+    MIN_SILENCE_S,
+    SilenceDetector,
     unlikely_gap,
 )
 
@@ -21,21 +21,21 @@
 _STEP_S = 0.1
 
 
-def _alarms(hosts: int, reports_a_second: float, hours: float) -> int:
+def _false_alarms(hosts: int, reports_a_second: float, hours: float) -> int:
     """Returns how often a calm data centre is taken to be silent.
 
     Each report is from one of the hosts by chance, as peers of many choose
     whom to tell.
     """
     rng = random.Random(hosts)
-    silences = Silences("here")
+    detector = SilenceDetector("here")
     known = {"there": hosts}
     now_s = 0.0
     alarms = 0
     while now_s < hours * 3600:
-        silences.note("there", now_s)
+        detector.note("there", now_s)
         now_s += rng.expovariate(reports_a_second)
-        alarms += "there" in silences.silent(known, now_s)
+        alarms += "there" in detector.silent(known, now_s)
     return alarms
 
 
@@ -56,19 +56,19 @@
         reports that come at random one in fifty is longer.
         """
         hours = 2.0
-        alarms = _alarms(hosts, reports_a_second, hours)
+        alarms = _false_alarms(hosts, reports_a_second, hours)
         assert alarms / hours < FALSE_ALARMS_AN_HOUR
 
     @pytest.mark.parametrize(("hosts", "reports_a_second"), [(28, 14), (39, 8)])
     def test_a_cut_is_found(self, hosts: int, reports_a_second: int) -> None:
         rng = random.Random(1)
-        silences = Silences("here")
+        detector = SilenceDetector("here")
         cut_s = 60.0
         now_s = 0.0
         while now_s < cut_s:
-            silences.note("there", now_s)
+            detector.note("there", now_s)
             now_s += rng.expovariate(reports_a_second)
-        assert silences.silent({"there": hosts}, cut_s + FOUND_S)
+        assert detector.silent({"there": hosts}, cut_s + FOUND_S)
 
 
 class TestFewHosts:
@@ -76,17 +76,20 @@
 
     @pytest.mark.parametrize("hosts", [1, 2, 3])
     def test_a_cut_is_found_as_soon_as_reports_allow(self, hosts: int) -> None:
-        silences = Silences("here")
+        detector = SilenceDetector("here")
         for step in range(100):
-            silences.note("there", step * _STEP_S / hosts)
+            detector.note("there", step * _STEP_S / hosts)
         last_s = 99 * _STEP_S / hosts
         known = {"there": hosts}
-        assert not silences.silent(known, last_s + SILENT_S - 0.01)
-        assert silences.silent(known, last_s + SILENT_S + 0.01)
+        assert not detector.silent(known, last_s + MIN_SILENCE_S - 0.01)
+        assert detector.silent(known, last_s + MIN_SILENCE_S + 0.01)
 
     def test_one_host_has_no_gap_beyond_its_own_pace(self) -> None:
-        assert unlikely_gap(1, CHANCE) == 1.0
+        assert unlikely_gap(1, FALSE_ALARM_PROBABILITY) == 1.0
 
     def test_more_hosts_have_longer_gaps(self) -> None:
-        gaps = [unlikely_gap(hosts, CHANCE) for hosts in (1, 3, 10, 30, 300)]
+        gaps = [
+            unlikely_gap(hosts, FALSE_ALARM_PROBABILITY)
+            for hosts in (1, 3, 10, 30, 300)
+        ]
         assert gaps == sorted(gaps)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -1,20 +1,20 @@
 """Tests of which upstreams may get work."""
 
-from hollyknot_coordination.forwarding import Ended, Fleet
+from hollyknot_coordination.forwarding import Ended, UpstreamRegistry
 from hollyknot_coordination.forwarding.tests._builders import upstream
 
 LAPSE_S = 1.7
 
 
-def _names(fleet: Fleet, now_s: float = 0.0) -> list[str]:
+def _names(fleet: UpstreamRegistry, now_s: float = 0.0) -> list[str]:
     return [e.incarnation for e in fleet.usable("engines", now_s)]
 
 
-class TestFleet:
+class TestUpstreamRegistry:
     """Entries that come, drain, lapse and go."""
 
     def test_order_is_the_same_whatever_order_entries_came_in(self) -> None:
-        one, other = Fleet(LAPSE_S), Fleet(LAPSE_S)
+        one, other = UpstreamRegistry(LAPSE_S), UpstreamRegistry(LAPSE_S)
         for name in ("b", "a", "c"):
             one.put(upstream(name))
         for name in ("c", "b", "a"):
@@ -22,19 +22,19 @@
         assert _names(one) == _names(other) == ["a", "b", "c"]
 
     def test_a_draining_upstream_gets_no_work(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         assert fleet.put(upstream("a", is_draining=True))
         assert _names(fleet) == []
         assert not fleet.is_usable("a", 0.0)
 
     def test_renewing_an_entry_changes_nothing(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         assert fleet.put(upstream("a"))
         assert not fleet.put(upstream("a"))
 
     def test_a_removed_upstream_gets_no_work_at_once(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         assert fleet.remove("a", 0.0, may_have_lapsed=False)
         assert _names(fleet) == []
@@ -47,7 +47,7 @@
         and it reads that all entries are gone. Cause: it had noticed no
         failure, so that it took lapses for upstreams that have left.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         for name in "abcdefgh":
             fleet.put(upstream(name))
         assert fleet.are_lapses("abcd")
@@ -58,7 +58,7 @@
         assert _names(fleet, LAPSE_S) == ["a"]
 
     def test_a_few_upstreams_of_a_small_fleet_leave(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         for name in "abc":
             fleet.put(upstream(name))
         fleet.replace([], 0.0, may_have_lapsed=False)
@@ -73,7 +73,7 @@
         return all are gone, and come back within two seconds. Cause: an entry
         that is gone was taken for an upstream that is gone.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         fleet.put(upstream("b"))
         fleet.replace([], 10.0, may_have_lapsed=True)
@@ -83,7 +83,7 @@
         assert _names(fleet, 99.0) == ["a"]
 
     def test_a_draining_entry_that_is_gone_did_not_lapse(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", is_draining=True))
         fleet.remove("a", 0.0, may_have_lapsed=True)
         assert "a" not in fleet
@@ -95,15 +95,15 @@
         another service, its own entry has not lapsed yet. Cause: two entries
         with one address were both believed.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", port=7))
         fleet.put(upstream("b", service="plain", port=7))
         assert _names(fleet) == []
 
     def test_another_incarnation_at_the_address_ends_it_for_good(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
-        fleet.mark_gone("a")
+        fleet.mark_replaced("a")
         fleet.put(upstream("a"))
         assert _names(fleet) == []
 
@@ -114,7 +114,7 @@
         does not exist. Cause: the newer of two entries with one address held,
         whoever wrote it.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.set_services(["engines", "plain"])
         fleet.put(upstream("a", port=7))
         fleet.put(upstream("b", service="none", port=7))
@@ -123,7 +123,7 @@
         assert not fleet.is_usable("b", 0.0)
 
     def test_a_service_that_begins_to_exist_has_its_upstreams(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.set_services(["plain"])
         fleet.put(upstream("a"))
         assert _names(fleet) == []
@@ -131,7 +131,7 @@
         assert _names(fleet) == ["a"]
 
 
-class TestLives:
+class TestIncarnations:
     """Upstreams that start again under the name that they had."""
 
     def test_a_new_life_is_another_incarnation(self) -> None:
@@ -140,15 +140,15 @@
         Sequence: an engine crashes and starts again under its name. Cause:
         the name alone told incarnations apart.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         assert fleet.put(upstream("a", born_ms=9))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("a@5", runs_no_more=True)]
+        assert fleet.take_ended() == [Ended("a@5", is_superseded=True)]
         assert "a@5" not in fleet
 
     def test_an_older_life_never_replaces_a_newer_one(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9))
         assert not fleet.put(upstream("a", born_ms=5))
         assert not fleet.put(upstream("a", is_draining=True))
@@ -161,38 +161,38 @@
         Sequence: it leaves, or another one answers at its address; it starts
         again under its name. Cause: the marks were kept by name.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         fleet.put(upstream("b", born_ms=5, is_draining=True))
-        fleet.mark_gone("a@5")
+        fleet.mark_replaced("a@5")
         assert _names(fleet) == []
         fleet.put(upstream("a", born_ms=9))
         fleet.put(upstream("b", born_ms=9))
         assert _names(fleet) == ["a@9", "b@9"]
 
     def test_a_lapse_of_the_life_before_does_not_end_the_new_one(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         fleet.remove("a", 10.0, may_have_lapsed=True)
         fleet.put(upstream("a", born_ms=9))
         assert _names(fleet, 10.0 + 2 * LAPSE_S) == ["a@9"]
 
     def test_the_later_life_holds_an_address(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9, port=7))
         fleet.put(upstream("b", born_ms=5, port=7))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("b@5", runs_no_more=True)]
+        assert fleet.take_ended() == [Ended("b@5", is_superseded=True)]
 
     def test_what_lapses_or_leaves_has_ended_too(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         fleet.put(upstream("b"))
         fleet.remove("a", 0.0, may_have_lapsed=False)
         fleet.remove("b", 0.0, may_have_lapsed=True)
         assert _names(fleet, LAPSE_S) == []
         assert fleet.take_ended() == [
-            Ended("a", runs_no_more=False),
-            Ended("b", runs_no_more=False),
+            Ended("a", is_superseded=False),
+            Ended("b", is_superseded=False),
         ]
         assert fleet.take_ended() == []
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -180,8 +180,10 @@
             return None
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        away = parts.reachability.away(usable)
-        entries = job.asked or [e for e in usable if e.incarnation not in away]
+        unreachable = parts.reachability.unreachable(usable)
+        entries = job.asked or [
+            e for e in usable if e.incarnation not in unreachable
+        ]
         # Free slots of one with a limit are no help to the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
         found = parts.shedding.decide(unlimited or entries, job.sheds_from, now)
@@ -215,7 +217,7 @@
             sent=job.sent,
             may_have_run=job.may_have_run,
             left_s=job.deadline_s - now,
-            budget_left=parts.budget.left(job.service.name, now),
+            budget_left=parts.budget.remaining(job.service.name, now),
             candidates=sum(e.incarnation not in kept_from for e in usable),
         )
 
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -16,16 +16,16 @@
     ColdStarts,
     Demand,
     Ended,
-    Fleet,
-    FleetSize,
     Forecasts,
     Health,
+    HostCount,
     Loads,
     NamedLimits,
     Placement,
     Reachability,
     RetryBudget,
     Shedding,
+    UpstreamRegistry,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway import _metrics as metrics
@@ -116,7 +116,7 @@
         self._rng = rng
         self._log = Log(settings.host, settings.data_centre, STANDARD_OUTPUT)
         self._pool = Pool(clock)
-        self._in_force = InForce(Fleet(LAPSE_S))
+        self._in_force = InForce(UpstreamRegistry(LAPSE_S))
         self._metrics = Metrics()
         self._loads = Loads()
         self._demand = Demand()
@@ -124,7 +124,7 @@
         self._forecasts = Forecasts()
         self._reachability = Reachability()
         self._health = Health()
-        self._size = FleetSize(
+        self._size = HostCount(
             clock(),
             is_alone=not set(settings.seeds) - {settings.peers},
             data_centres=settings.data_centres,
@@ -439,7 +439,7 @@
     def _upstream_ended(self, ended: Ended) -> None:
         """Forgets what was learnt of an incarnation that has left."""
         incarnation = ended.incarnation
-        if ended.runs_no_more:
+        if ended.is_superseded:
             self._stalls.upstream_away(incarnation)
         self._reachability.forget(incarnation)
         self._health.forget(incarnation)
--- a/packages/gateway/src/hollyknot_gateway/_in_force.py
+++ b/packages/gateway/src/hollyknot_gateway/_in_force.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding import Fleet, RouteIndex
+from hollyknot_coordination.forwarding import RouteIndex, UpstreamRegistry
 from hollyknot_state.routes import ColdStart, RouteTable
 
 
@@ -17,7 +17,7 @@
         evacuated: Data centres that get no new work.
     """
 
-    fleet: Fleet
+    fleet: UpstreamRegistry
     index: RouteIndex | None = None
     has_fleet: bool = False
     evacuated: frozenset[str] = frozenset()
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -11,8 +11,8 @@
     NOTE_FROM_S,
     CachedParts,
     Demand,
-    FleetSize,
     Forecasts,
+    HostCount,
     Inquiries,
     Loads,
     NamedLimits,
@@ -86,7 +86,7 @@
     cached: CachedParts
     forecasts: Forecasts
     suspects: SuspectRegister
-    size: FleetSize
+    size: HostCount
     limits: NamedLimits
 
 
@@ -208,7 +208,7 @@
     @property
     def hosts(self) -> int:
         """How many hosts there are, as far as this one can tell."""
-        return self._peers.estimated + 1
+        return self._peers.estimated_count + 1
 
     async def open(self) -> None:
         """Opens the socket of reports.
@@ -259,7 +259,9 @@
         self._size = len(data)
         most = self._rate.affordable(self._size, now_s)
         targets = self._peers.targets(now_s, most)
-        detailed = [t for t in targets if self._peers.wants_details(t, now_s)]
+        detailed = [
+            t for t in targets if self._peers.needs_full_report(t, now_s)
+        ]
         brief = [target for target in targets if target not in detailed]
         self._send(data, brief)
         if detailed:
@@ -281,7 +283,7 @@
             min(1.0, (len(fresh) + 1) / self.hosts),
         )
         shared.size.set(
-            self.hosts, self.count + 1, now_s, self._peers.by_centre
+            self.hosts, self.count + 1, now_s, self._peers.by_data_centre
         )
 
     def _changes(self, now_s: float, *, is_whole: bool) -> UseReport:
@@ -388,7 +390,9 @@
         if entry.data_centre in self._silent:
             return True
         since_s = self._clock() - CUT_SPREAD_S
-        return self._reachability.has_lost(self._beside(entry), since_s)
+        return self._reachability.has_become_unreachable(
+            self._beside(entry), since_s
+        )
 
     def upstream_away(
         self, entry: UpstreamEntry, failure: ConnectFailure
@@ -416,8 +420,10 @@
         self, entries: Sequence[UpstreamEntry]
     ) -> list[UpstreamEntry]:
         """Returns those that are not known to be away."""
-        away = self._reachability.away(entries)
-        return [entry for entry in entries if entry.incarnation not in away]
+        unreachable = self._reachability.unreachable(entries)
+        return [
+            entry for entry in entries if entry.incarnation not in unreachable
+        ]
 
     def _beside(self, entry: UpstreamEntry) -> list[UpstreamEntry]:
         return [
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -56,7 +56,7 @@
             return
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        excluded = parts.reachability.away(usable) | job.tried
+        excluded = parts.reachability.unreachable(usable) | job.tried
         excluded |= parts.health.ejected(usable, now)
         if isinstance(gate, Isolate):
             excluded |= gate.exclude
@@ -136,16 +136,16 @@
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        away = parts.reachability.away(usable)
+        unreachable = parts.reachability.unreachable(usable)
         if isinstance(gate, Isolate):
-            away |= gate.exclude
+            unreachable |= gate.exclude
         ejected = parts.health.ejected(usable, now)
         closed = self.closed(job, usable, now)
         limited = parts.permits.limited(usable)
         found: Choice | NoPlace = NoPlace.NONE_KNOWN
         # One that fails often, or could not be reached lately, is better than
         # none at all.
-        for kept_away in (away | ejected, away, frozenset[str]()):
+        for kept_away in (unreachable | ejected, unreachable, frozenset[str]()):
             found = parts.placement.choose(
                 job.service,
                 usable,
@@ -262,7 +262,7 @@
         others = any(e.incarnation not in tried for e in usable)
         if job.sent >= job.route.max_attempts or not others:
             return 0.0
-        return parts.budget.left(job.service.name, now)
+        return parts.budget.remaining(job.service.name, now)
 
     def _give_back(
         self, entry: UpstreamEntry, connection: UpstreamConnection
@@ -404,7 +404,7 @@
         else:
             job.ran_before = True
         if result.is_other_upstream:
-            self._parts.in_force.fleet.mark_gone(entry.incarnation)
+            self._parts.in_force.fleet.mark_replaced(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
         if verdict.is_complete and result.intervals and job.sent == 1:
             # Of a stream that was resumed only the rest was counted.
--- a/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
@@ -10,12 +10,12 @@
 from hollyknot_coordination.forwarding import (
     CachedParts,
     Demand,
-    Fleet,
-    FleetSize,
     Forecasts,
+    HostCount,
     Loads,
     NamedLimits,
     Reachability,
+    UpstreamRegistry,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway._in_force import InForce
@@ -63,7 +63,7 @@
 
     suspects: SuspectRegister
     neighbours: Neighbours
-    size: FleetSize
+    size: HostCount
     task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -157,7 +157,7 @@
             seeds=tuple(map(address, seeds)),
         )
         suspects = SuspectRegister(SuspectOptions())
-        size = FleetSize(
+        size = HostCount(
             self._clock(), is_alone=not seeds, data_centres=len(ZONES)
         )
         neighbours = Neighbours(
@@ -171,7 +171,7 @@
                 size,
                 NamedLimits(),
             ),
-            InForce(Fleet(1.0)),
+            InForce(UpstreamRegistry(1.0)),
             Reachability(),
             cast(Prober, None),
             ReadNews(ReadRevisions, lambda _: None),
--- a/packages/gateway/src/hollyknot_gateway/tests/test_losses.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_losses.py
@@ -4,7 +4,7 @@
 import os
 from collections.abc import Awaitable, Callable
 
-from hollyknot_coordination.forwarding import Reachability, _silences
+from hollyknot_coordination.forwarding import Reachability, _silence_detector
 from hollyknot_coordination.suspects import (
     Clear,
     SuspectOptions,
@@ -117,4 +117,4 @@
         _run(test)
 
     def test_the_wait_for_a_cut_is_longer_than_its_signs_take(self) -> None:
-        assert _losses.JUDGE_S >= 2 * _silences.SILENT_S
+        assert _losses.JUDGE_S >= 2 * _silence_detector.MIN_SILENCE_S
--- a/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
@@ -9,12 +9,12 @@
 from hollyknot_coordination.forwarding import (
     CachedParts,
     Demand,
-    Fleet,
-    FleetSize,
     Forecasts,
+    HostCount,
     Loads,
     NamedLimits,
     Reachability,
+    UpstreamRegistry,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway._in_force import InForce
@@ -60,7 +60,7 @@
             peers=Address("127.0.0.1", 3),
             directory=Address("127.0.0.1", 4),
         )
-        fleet = Fleet(1.0)
+        fleet = UpstreamRegistry(1.0)
         for entry in (*FAR, NEAR):
             fleet.put(entry)
         self.now_s = 0.0
@@ -74,7 +74,7 @@
                 CachedParts(),
                 Forecasts(),
                 SuspectRegister(SuspectOptions()),
-                FleetSize(0.0, is_alone=True),
+                HostCount(0.0, is_alone=True),
                 NamedLimits(),
             ),
             InForce(fleet),
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -6,7 +6,7 @@
 
 from hollyknot_coordination.forwarding import (
     PERMIT_ANSWER_S,
-    FleetSize,
+    HostCount,
     NamedLimits,
     Permits,
     ReportRate,
@@ -36,7 +36,7 @@
         named.hear("a", 1.2, 0.0, clock())
         self.permits = Permits(
             Trackers(OWN, lambda: (FIRST, SECOND)),
-            FleetSize(-60.0, is_alone=False),
+            HostCount(-60.0, is_alone=False),
             named,
             lambda _: ENTRY,
             random.Random(1),
