--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a host that forwards calls by routes, apart from any I/O."""
+"""Decides how a host forwards calls by routes, without doing any I/O."""
 
 from hollyknot_coordination.forwarding._cached_parts import (
     CachedParts,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -1,11 +1,12 @@
-"""How many requests an upstream gets that has just started, over all hosts.
-
-A cold upstream crashes at a rate of requests that a warm one bears, and just
-then it looks idle to all hosts at once. They share no state, and a word between
-them takes longer than the crowd. So each host has a share by itself: permits
-for one request each, at a pace that divides the upstream's rate by the number
-of hosts, at moments of its own. A permit that is not used soon lapses. Were
-permits saved up, those of all hosts would be used at one moment.
+"""Limits the rate at which all hosts together send to a cold upstream.
+
+A cold upstream is one that has started recently. It crashes at a request rate
+that a warm one can handle, and it looks idle to all hosts at the same time.
+Hosts share no state, and a message between them would arrive after their
+requests. Each host therefore issues itself permits for one request each, at the
+upstream's rate divided by the number of hosts, with a random phase. An unused
+permit lapses soon: if hosts accumulated permits, all of them could use theirs
+at the same moment.
 """
 
 import math
@@ -18,12 +19,12 @@
 from hollyknot_state.routes import ColdStart, UpstreamEntry
 
 RATE_FRACTION = 0.5
-"""Of the rate that a cold upstream bears, what the hosts send together: permits
-fall at random, and hosts count each other late."""
+"""Fraction of a cold upstream's rate that all hosts together use. The rest is
+a margin, since permits fall at random and hosts learn late of each other."""
 
 PERMIT_LIFETIME_S = 0.5
-"""How long a permit holds: most hosts have a request to send within it, and in
-any second hardly more than one and a half seconds' permits can be used."""
+"""Lifetime of a permit, in seconds. Most hosts have a request to send within
+it, and in any second hardly more than the permits of 1.5 s can be used."""
 
 
 @attrs.define
@@ -31,11 +32,11 @@
     """An upstream that is cold, or may be.
 
     Attributes:
-        service: Its service, which may not be known yet: a host that has just
-            started may read upstreams before routes.
-        until_s: When it is warm.
-        permit_s: When this host's present permit began, or its next one
-            begins; None before the first look at it.
+        service: Service of the upstream. The host may not know the service
+            yet, since it may read upstreams before routes at its start.
+        until_s: Time at which the upstream counts as warm.
+        permit_s: Time from which this host's current or next permit is valid;
+            None until it is first needed.
     """
 
     service: str
@@ -44,7 +45,7 @@
 
 
 class ColdStarts:
-    """The cold upstreams that one host knows of, and its share in each."""
+    """Cold upstreams that one host knows of, and its permits for them."""
 
     def __init__(
         self,
@@ -52,14 +53,15 @@
         size: HostCount,
         cold_start: Callable[[str], ColdStart | None],
     ) -> None:
-        """Takes all upstreams for warm.
+        """Creates an instance that takes all upstreams to be warm.
 
         Args:
-            rng: Spreads the permits of hosts.
-            size: Among how many hosts the upstreams are shared. A host that
-                doesn't know it sends nothing to cold ones.
-            cold_start: What the upstreams of a service bear while cold; None
-                for one whose upstreams are never cold.
+            rng: Source of the random phase of this host's permits.
+            size: Number of hosts that share the upstreams. While it is
+                unknown, the host sends nothing to cold upstreams.
+            cold_start: Returns the rate that a service's upstreams can handle
+                while cold, and for how long; None for a service whose
+                upstreams are never cold.
         """
         self._rng = rng
         self._size = size
@@ -68,28 +70,28 @@
 
     @property
     def size(self) -> HostCount:
-        """Among how many hosts the upstreams are shared."""
+        """Number of hosts that share the upstreams."""
         return self._size
 
     def note(self, entry: UpstreamEntry, now_s: float) -> None:
-        """Takes what an upstream says of itself in an entry that is new."""
+        """Records the cold time that an upstream states in a new entry."""
         if entry.cold_s > 0:
             self._begin(entry, now_s, entry.cold_s)
 
     def suspect(self, entry: UpstreamEntry, now_s: float) -> None:
-        """Takes an upstream for cold that may be so without saying it yet."""
+        """Treats an upstream as cold whose entry may not say so yet."""
         cold_start = self._cold_start(entry.service)
         if cold_start is not None:
             self._begin(entry, now_s, cold_start.lasts_s)
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the state of an upstream that has left for good."""
         self._cold.pop(incarnation, None)
 
     def closed(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
-        """Returns the incarnations that may get nothing at this moment."""
+        """Returns the incarnations that must not get a request now."""
         if not self._cold:
             return frozenset()
         return frozenset(
@@ -101,10 +103,11 @@
     def permitted(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> list[UpstreamEntry]:
-        """Returns the cold ones that may get one request now.
+        """Returns the cold upstreams for which this host has a permit now.
 
-        They are to be offered beside others: left to chance, most permits
-        would lapse, and an upstream that warms would be shunned.
+        The caller adds them to the candidates of a request. If they had to be
+        among candidates chosen at random, most permits would lapse unused and
+        the upstream would get no requests while it warms up.
         """
         if not self._cold:
             return []
@@ -120,7 +123,7 @@
         return self._find_cold(incarnation, now_s) is not None
 
     def take(self, incarnation: str, now_s: float) -> bool:
-        """Returns whether a request may be sent, and uses a permit for it."""
+        """Returns whether a request may be sent now, using up a permit."""
         if not self._may_send(incarnation, now_s):
             return False
         cold = self._find_cold(incarnation, now_s)
@@ -154,19 +157,19 @@
         return now_s >= self._permit_s(cold, now_s)
 
     def _interval_s(self, cold: _Cold) -> float:
-        """Returns the time between two permits of this host."""
+        """Returns the interval between two permits of this host, in seconds."""
         cold_start = self._cold_start(cold.service)
         if cold_start is None:
             return 0.0
         return self._size.hosts / (cold_start.rate * RATE_FRACTION)
 
     def _permit_s(self, cold: _Cold, now_s: float) -> float:
-        """Returns when the permit begins that has not lapsed."""
+        """Returns from when the first permit that has not lapsed is valid."""
         interval_s = self._interval_s(cold)
         if cold.permit_s is None:
             cold.permit_s = now_s + self._rng.uniform(0, interval_s)
         lapsed_s = now_s - cold.permit_s - PERMIT_LIFETIME_S
-        # Where permits follow each other sooner than they lapse, one is left.
+        # With an interval shorter than the lifetime, one permit always remains.
         if lapsed_s > 0 and interval_s > PERMIT_LIFETIME_S:
             cold.permit_s += math.ceil(lapsed_s / interval_s) * interval_s
         return cold.permit_s
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
@@ -1,10 +1,11 @@
-"""Addresses of hosts that were heard of, or fell silent, and how to try them.
-
-A fleet in which hosts are replaced all day keeps hearing of addresses that will
-never answer. Each try costs a report that a live peer would have had, so that
-tries have a share of all reports, and an address that does not answer is tried
-ever less often. None is given up while there is room: two parts of a fleet that
-were cut off from each other for an hour know nothing else of each other.
+"""Chooses which addresses to contact whose hosts are not heard at present.
+
+Where hosts are replaced all the time, gossip keeps naming addresses that will
+never answer. Each try costs a report that a live peer would have got, so tries
+are limited to a share of all reports, and an address that does not answer is
+retried with exponential backoff. Addresses are kept as long as there is room:
+after an hour's network partition they are all that the two sides know of each
+other.
 """
 
 import math
@@ -16,64 +17,73 @@
 from hollyknot_state import Address
 
 FIRST_RETRY_S = 1.0
-"""Between the first two tries of an address; doubled after each."""
+"""Seconds between the first two tries of an address; doubled after each."""
 
 MAX_DOUBLINGS = 4
-"""How often it is doubled, to 16 s: within that, and what a report takes, the
-two sides of a cut that has ended find each other again."""
+"""Number of times that the interval is doubled, up to 16 s. The two sides of a
+partition find each other within that time, and that of a report, after it
+ends."""
 
 TRY_SHARE = 0.5
-"""Of all reports, the part that tries may take where few peers are known: a
-host that has just started has to be heard of soon."""
+"""Fraction of all reports that tries may use while few peers are known. It is
+high, since other hosts have to learn soon of a host that has just started."""
 
 TRY_SHARE_MANY_PEERS = 0.125
-"""The same where so many peers are known that the others hear of this host by
-them. Not none: after a cut no peer of the other side is known."""
+"""Fraction of all reports that tries may use when many peers are known, which
+pass this host's address on. It is not zero, since after a partition no peer of
+the other side is known."""
 
 MANY_PEERS = 32
-"""How many peers are many: each of them tells four addresses in a report."""
+"""Number of peers above which they count as many. Each report of theirs passes
+on four addresses."""
 
 _MAX_SAVED_TRIES = 4.0
-"""Tries that may be saved up while none is due."""
+"""Tries that may be accumulated while none is due."""
 
 _MAX_CONTACTS = 256
-"""Addresses that are kept, of some hundred bytes each; those that did not
-answer most often are dropped first."""
+"""Addresses that are kept, at about a hundred bytes each. The ones with the
+most unanswered tries are dropped first."""
 
 
 @attrs.define
 class _Contact:
-    """One address, and the tries that it has not answered."""
+    """An address, and its tries that were not answered.
+
+    Attributes:
+        is_seed: Whether the settings name the address, so that it is kept.
+        last_try_s: Time of the last try.
+        tries: Number of tries since the host was last heard.
+    """
 
     is_seed: bool
     last_try_s: float = -math.inf
     tries: int = 0
 
     def is_due(self, now_s: float) -> bool:
-        """Whether it is to be tried again."""
+        """Whether the backoff since the last try has passed."""
         doublings = min(max(0, self.tries - 1), MAX_DOUBLINGS)
         wait_s = FIRST_RETRY_S * (1 << doublings)
         return now_s - self.last_try_s >= wait_s
 
     def note_try(self, now_s: float) -> None:
-        """Notes a try."""
+        """Counts a try."""
         self.last_try_s = now_s
         self.tries += 1
 
 
 class Contacts:
-    """The addresses that one host may try."""
+    """The addresses that one host may contact."""
 
     def __init__(
         self, own: Address, seeds: tuple[Address, ...], rng: random.Random
     ) -> None:
-        """Knows the seeds only.
+        """Creates contacts that consist of the seeds.
 
         Args:
             own: This host's address, which is never tried.
-            seeds: Where to begin; never dropped.
-            rng: Chooses among those that are due, so that hosts which heard
-                of the same ones do not all try the same.
+            seeds: Addresses to start with, which are never dropped.
+            rng: Chooses among the addresses that are due, so that hosts with
+                the same addresses do not all try the same one.
         """
         self._own = own
         self._rng = rng
@@ -83,13 +93,13 @@
         self._saved_tries = 0.0
 
     def add(self, address: Address) -> None:
-        """Notes an address that was heard of."""
+        """Adds an address that a peer has named."""
         if address != self._own and address not in self._contacts:
             self._contacts[address] = _Contact(is_seed=False)
             self._drop_one()
 
     def reset(self, address: Address) -> None:
-        """Notes that an address has answered, or fell silent just now."""
+        """Resets the backoff of a host that answered or just fell silent."""
         contact = self._contacts.get(address)
         if contact is not None:
             contact.tries = 0
@@ -103,13 +113,13 @@
         now_s: float,
         max_reports: int,
     ) -> list[Address]:
-        """Returns which addresses to try now, and notes the tries.
+        """Returns the addresses to try now, and counts the tries.
 
         Args:
-            known: Addresses that need no try: their hosts are heard.
-            peers: How many peers are heard.
-            now_s: The time.
-            most: Reports that may be sent now, those to peers included.
+            known: Addresses whose hosts are heard, and which need no try.
+            peers: Number of peers that are heard.
+            now_s: Current time, in seconds.
+            max_reports: Reports that may be sent now, including those to peers.
         """
         allowed = self._allowed_tries(peers, max_reports)
         due = [
@@ -125,7 +135,7 @@
         return chosen
 
     def _allowed_tries(self, peers: int, max_reports: int) -> int:
-        """Returns how many tries are paid for."""
+        """Returns how many tries the share of the reports allows now."""
         if not peers:
             return max_reports
         share = TRY_SHARE_MANY_PEERS if peers > MANY_PEERS else TRY_SHARE
@@ -136,7 +146,7 @@
         return min(max_reports, int(self._saved_tries))
 
     def _drop_one(self) -> None:
-        """Drops the address that is least likely to answer, if it must be."""
+        """Drops the address least likely to answer, if there are too many."""
         if len(self._contacts) <= _MAX_CONTACTS:
             return
         dropped = max(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
@@ -1,9 +1,9 @@
-"""Keeps work from upstreams that fail much of it and call themselves good.
+"""Ejects upstreams that fail many requests though they report to be healthy.
 
-The evidence is what becomes of real requests: a health check of an upstream
-that fails every second request may pass each time, and costs a place. An
-upstream that fails far more often than the others of its service gets none for
-a while, then some again.
+The evidence is the outcome of real requests: a health check may pass each time
+at an upstream that fails every second request, and it takes up a slot. An
+upstream that fails far more often than the others of its service gets no
+requests for a while, and is then tried again.
 """
 
 from collections import deque
@@ -14,26 +14,36 @@
 from hollyknot_state.routes import UpstreamEntry
 
 WINDOW_S = 5.0
-"""How long an outcome counts."""
+"""Seconds for which an outcome counts."""
 
 MIN_FAILURES = 3
-"""Fewer in a window may be chance."""
+"""Failures within the window that are needed; fewer may be chance."""
 
 MIN_EXCESS_FAILURE_SHARE = 0.25
-"""Of an upstream's requests that failed, beyond the share that fail at the
-others: some calls fail on their own account, wherever they run."""
+"""Amount by which the share of an upstream's requests that failed has to exceed
+the share at the others. Some calls fail wherever they run."""
 
 FIRST_EJECTION_S = 1.5
 MAX_EJECTION_S = 8.0
-"""How long an upstream gets no work, doubled each time in a row."""
+"""Seconds for which an upstream gets no requests: the first ejection and the
+longest one. The time doubles with each ejection in a row."""
 
 MAX_EJECTED_FRACTION = 0.5
-"""Of a service's upstreams; more than that fail for a reason that ejecting
-them does not cure, and the rest could not carry the load."""
+"""Fraction of a service's upstreams that may be ejected at once. If more fail,
+ejection does not remove the cause, and the rest could not handle the load."""
 
 
 @attrs.define
 class _Record:
+    """Recent outcomes at one upstream.
+
+    Attributes:
+        outcomes: Time of each outcome in the window, and whether it was good.
+        failures: Number of these outcomes that were not good.
+        ejected_until: Time, in seconds, until which it gets no requests.
+        ejection_s: Duration of its next ejection, in seconds.
+    """
+
     outcomes: deque[tuple[float, bool]] = attrs.Factory(deque)
     failures: int = 0
     ejected_until: float = float("-inf")
@@ -55,10 +65,10 @@
 
 
 class Health:
-    """Outcomes of requests by upstream, as one host has seen them."""
+    """Outcomes of one host's requests at each upstream."""
 
     def __init__(self) -> None:
-        """All are taken to be healthy."""
+        """Creates an instance that takes all upstreams to be healthy."""
         self._records: dict[str, _Record] = {}
 
     def note(
@@ -69,16 +79,16 @@
         *,
         is_good: bool,
     ) -> bool:
-        """Notes an outcome.
+        """Records the outcome of a request.
 
         Args:
-            entry: The upstream.
+            entry: Upstream that the request was sent to.
             entries: All upstreams of its service.
-            now_s: The time.
-            is_good: Whether the request got what it came for.
+            now_s: Current time, in seconds.
+            is_good: Whether the request succeeded.
 
         Returns:
-            Whether the upstream is ejected by it.
+            Whether the outcome causes the upstream to be ejected.
         """
         record = self._records.setdefault(entry.incarnation, _Record())
         record.add(now_s, is_good=is_good)
@@ -104,7 +114,7 @@
     def ejected(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
-        """Returns the incarnations that get no work at the moment."""
+        """Returns the incarnations that are ejected at present."""
         return frozenset(
             entry.incarnation
             for entry in entries
@@ -112,7 +122,7 @@
         )
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the outcomes of an upstream that has left for good."""
         self._records.pop(incarnation, None)
 
     def _is_ejected(self, incarnation: str, now_s: float) -> bool:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
@@ -1,33 +1,34 @@
-"""Among how many hosts a bound of an upstream is shared.
+"""Tracks the number of hosts among which a limit of an upstream is divided.
 
-An upstream bears a rate from all hosts together, and hosts share no state. Each
-goes by how many there are, also those that it doesn't hear: behind a cut they
-may reach the same upstreams.
+An upstream's limit holds for all hosts together, and hosts share no state, so
+each uses the limit divided by the number of hosts. Hosts that it does not hear
+count too: on the other side of a network partition they may still reach the
+same upstreams.
 """
 
 import math
 from collections.abc import Sequence
 
 DISCOVERY_S = 4.0
-"""How long a host takes to hear of the others after its start."""
+"""Seconds that a host takes to hear of the others after its start."""
 
 PEAK_RETENTION_S = 60.0
-"""How long the largest number of hosts that were heard counts."""
+"""Seconds for which the largest number of hosts that was heard counts."""
 
 
 class HostCount:
-    """What one host knows of the number of hosts."""
+    """The number of hosts, as far as one host can tell."""
 
     def __init__(
         self, started_s: float, *, is_alone: bool, data_centres: int = 1
     ) -> None:
-        """Knows of this host only.
+        """Creates a count of this host alone.
 
         Args:
-            started_s: When this host started.
-            is_alone: Whether there may be no other host. One that was given
-                peers and has heard none knows nothing of the number.
-            data_centres: How many there are, as the settings say.
+            started_s: Time at which this host started, in seconds.
+            is_alone: Whether there may be no other host. A host that was given
+                peers and has heard none does not know the number.
+            data_centres: Number of data centres in the settings.
         """
         self.is_alone = is_alone
         self._data_centres = data_centres
@@ -39,12 +40,12 @@
 
     @property
     def hosts(self) -> int:
-        """How many hosts there are, or were heard lately."""
+        """Number of hosts at present or heard recently, whichever is larger."""
         return max(self._hosts, self._largest)
 
     @property
     def heard_part(self) -> float:
-        """The part of the hosts that are heard, this one among them."""
+        """Fraction of the hosts that are heard, including this one."""
         return min(1.0, self._heard / self.hosts)
 
     def set(
@@ -54,20 +55,22 @@
         now_s: float,
         by_data_centre: Sequence[int] = (),
     ) -> None:
-        """Takes the number of hosts.
+        """Updates the number of hosts.
 
-        A data centre of which nobody is heard may be behind a cut: it is
-        taken to have as many hosts as the largest of the others.
+        A data centre of which no host is heard may be cut off: it is taken to
+        have as many hosts as the largest of the others.
 
         Args:
-            hosts: As estimated, this one among them.
-            heard: Of these, the ones that are heard, and this one.
-            now_s: The time.
-            by_centre: Those heard, by data centre; empty if that isn't known.
+            hosts: Estimated number of hosts, including this one.
+            heard: Number of hosts that are heard, including this one.
+            now_s: Current time, in seconds.
+            by_data_centre: Number of heard hosts of each data centre; empty if
+                it isn't known.
         """
         self._heard = heard
         absent = max(0, self._data_centres - len(by_data_centre))
-        # Not the estimate, whose errors would be remembered one by one.
+        # The peak is taken of the hosts heard: it would keep the largest error
+        # of the estimate.
         known = heard
         if by_data_centre and not self.is_alone:
             hosts += absent * round(hosts * max(by_data_centre) / heard)
@@ -81,12 +84,12 @@
                 self._discovery_start_s = now_s
 
     def is_known(self, now_s: float, discovery_s: float = DISCOVERY_S) -> bool:
-        """Whether enough is known for this host to have a share.
+        """Whether the number is certain enough to divide a limit by it.
 
         Args:
-            now_s: The time.
-            learn_s: How long a host has none after its start, or after it
-                last heard nobody and remembered nobody.
+            now_s: Current time, in seconds.
+            discovery_s: Seconds for which the number is unknown after this
+                host started, or last heard no peer and remembered none.
         """
         is_discovered = now_s >= self._discovery_start_s + discovery_s
         return is_discovered and (self.hosts > 1 or self.is_alone)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
@@ -1,29 +1,30 @@
-"""How many peers there are, also where a host hears only some of them.
+"""Estimates the number of peers when a host hears only some of them.
 
-In a large fleet each host hears a random part of the others in a time. How
-often it hears the same ones again tells how many there are.
+Where there are many hosts, each hears a random subset of the others within a
+period. How often it hears the same ones again shows how many there are.
 """
 
 import math
 from collections import deque
 
 _REPORTS_FOR_FULL_COVERAGE = 3
-"""Reports a peer in the time counted from which all peers are taken to have
-been heard."""
+"""Average number of reports from each heard peer, within the period, from which
+all peers are taken to have been heard."""
 
 _PRECISION = 0.5
-"""Where the estimate ends, in peers; it is rounded."""
+"""Width of the interval, in peers, at which the bisection stops; the result is
+rounded."""
 
 
 def estimate_peers(distinct: int, reports: int) -> int:
-    """Returns how many peers there are, if each report is from any of them.
+    """Returns the number of peers if each report is from a random one of them.
 
     The expected number of distinct senders of m reports out of n peers is
     n * (1 - exp(-m / n)); n is found by bisection.
 
     Args:
-        distinct: How many peers were heard in a time.
-        reports: How many reports they sent in it.
+        distinct: Number of peers that were heard within a period.
+        reports: Number of reports that were heard within it.
     """
     if reports >= distinct * _REPORTS_FOR_FULL_COVERAGE:
         return distinct
@@ -38,20 +39,20 @@
 
 
 class ReportTimes:
-    """When reports came in, of any peer."""
+    """Times at which reports of any peer were received."""
 
     def __init__(self) -> None:
-        """None came yet."""
+        """Creates an empty list of times."""
         self._times: deque[float] = deque()
 
     def __len__(self) -> int:
         return len(self._times)
 
     def note(self, now_s: float) -> None:
-        """Notes a report."""
+        """Records that a report was received."""
         self._times.append(now_s)
 
     def expire(self, since_s: float) -> None:
-        """Forgets those before a time."""
+        """Drops the times before a given one."""
         while self._times and self._times[0] < since_s:
             self._times.popleft()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -1,15 +1,17 @@
-"""The upstreams that may get work, by incarnation.
-
-Entries come and go by the directory. An entry that goes while the directory
-has been away may only have lapsed: its upstream could not renew it. Such an
-upstream keeps its work for a short while, since most of them come back; one
-would otherwise refuse everything just when the directory has recovered. If most
-entries go at one moment, the directory has been away even if nobody noticed.
-
-An upstream may start again under the name that it had. Of two runs with one
-name the one that began later lives: an entry of the run before, written late or
-read late, never takes its place. Of two entries with one address the newer
-holds, if its service exists; anybody may write an entry.
+"""Keeps track of the upstreams in the directory, by incarnation.
+
+Upstreams register themselves by entries in the directory, which lapse unless
+they are renewed. An entry that is removed while the directory was unavailable
+may only have lapsed because its upstream could not renew it. Such an upstream
+still gets requests for a short time, since most of them register again;
+otherwise the host would refuse all requests just when the directory has
+recovered. If most entries are removed at once, the directory was unavailable
+even if this host did not notice it.
+
+An upstream may restart under the same name. Of two incarnations with one name
+the one that started later is kept: an entry of the earlier one that is written
+or read late never replaces it. Of two entries with one address the newer is
+kept, but only if its service exists, since anybody may write an entry.
 """
 
 from collections.abc import Collection, Iterable
@@ -20,21 +22,31 @@
 from hollyknot_state.routes import UpstreamEntry
 
 LAPSED_FRACTION = 0.5
-"""Of all upstreams, the part whose entries go at one moment only because the
-directory has been away: a host whose open watch fell silent has not seen that
-it was. Upstreams that leave do so a few at a time."""
+"""Fraction of all entries that, removed at once, must have lapsed while the
+directory was unavailable. A host whose open watch fell silent does not notice
+that it was. Upstreams that leave on purpose do so a few at a time."""
 
 MIN_LAPSED = 4
-"""Fewer entries than this may go at one moment on their own account."""
+"""Entries that have to be removed at once to count as lapsed; fewer may be of
+upstreams that left at the same time."""
 
 
 REMEMBER_REMOVED_S = 60.0
-"""How long it is known that an upstream's entry was removed. A directory that
-comes back from an older copy may have the entry again until it lapses."""
+"""Seconds for which a removed entry is remembered. A directory that is restored
+from an older copy may hold the entry again until it lapses."""
 
 
 @attrs.define
 class _UpstreamState:
+    """An upstream that is registered.
+
+    Attributes:
+        entry: Its newest entry.
+        lapses_at: Time, in seconds, from which the upstream gets no more
+            requests unless its entry is written again.
+        is_replaced: Whether another incarnation answered at its address.
+    """
+
     entry: UpstreamEntry
     lapses_at: float = float("inf")
     is_replaced: bool = False
@@ -42,12 +54,12 @@
 
 @attrs.frozen
 class Ended:
-    """An incarnation that is no longer known.
+    """An incarnation that is no longer registered.
 
     Attributes:
-        incarnation: Which.
-        runs_no_more: Whether another one has taken its name or address, so
-            that nothing that it had begun can be answered.
+        incarnation: Identifier of the incarnation.
+        is_superseded: Whether another incarnation has taken its name or
+            address, so that its in-flight requests can't be answered any more.
     """
 
     incarnation: str
@@ -55,13 +67,14 @@
 
 
 class UpstreamRegistry:
-    """All upstreams that a host knows."""
+    """All upstreams that a host has read from the directory."""
 
     def __init__(self, lapse_s: float) -> None:
-        """Knows none.
+        """Creates an empty registry.
 
         Args:
-            lapse_s: How long a lapsed entry's upstream keeps its work.
+            lapse_s: Seconds for which an upstream still gets requests after
+                its entry has lapsed.
         """
         self._lapse_s = lapse_s
         self._known: dict[str, _UpstreamState] = {}
@@ -80,20 +93,20 @@
         return len(self._known)
 
     def set_services(self, services: Iterable[str]) -> None:
-        """Tells which services exist; entries of others name no upstream."""
+        """Sets which services exist; entries of others are not used."""
         self._services = frozenset(services)
         self._by_service = None
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Tells which data centres are to get no new work."""
+        """Sets which data centres get no new requests."""
         self._evacuated = data_centres
         self._by_service = None
 
     def put(self, entry: UpstreamEntry) -> bool:
-        """Takes in an entry.
+        """Adds or updates an entry.
 
         Returns:
-            Whether it changes what is believed.
+            Whether the entry is new or differs from the one that was known.
         """
         before = self._of_name(entry.name)
         if before is not None and before.entry.born_ms > entry.born_ms:
@@ -116,13 +129,13 @@
     def remove(
         self, name: str, now_s: float, *, may_have_lapsed: bool
     ) -> str | None:
-        """Takes an entry out.
+        """Removes an entry.
 
         Args:
-            name: Of the upstream.
-            now_s: The time.
-            may_have_lapsed: Whether the directory has been away, so that the
-                entry may have gone only for that.
+            name: Name of the upstream.
+            now_s: Current time, in seconds.
+            may_have_lapsed: Whether the directory was unavailable, so that the
+                entry may have been removed only because it lapsed.
 
         Returns:
             The incarnation whose entry it was; None if none is known.
@@ -146,10 +159,10 @@
         self._removed[incarnation] = now_s
 
     def are_lapses(self, removed: Collection[str]) -> bool:
-        """Whether so many entries go at once that they must have lapsed.
+        """Whether so many entries are removed at once that they have lapsed.
 
         Args:
-            removed: Names of the upstreams whose entries have gone.
+            removed: Names of the upstreams whose entries were removed.
         """
         known = len(self._names.keys() & set(removed))
         return known >= max(MIN_LAPSED, len(self._names) * LAPSED_FRACTION)
@@ -157,10 +170,13 @@
     def _from_older_copy(
         self, entry: UpstreamEntry, now_s: float
     ) -> UpstreamEntry | None:
-        """Returns what a list says that may be older than what is known.
+        """Returns what to take from an entry that may be out of date.
+
+        A draining upstream stays draining, and an entry that was removed
+        recently is ignored.
 
-        An upstream that is known to leave does not come back, and one whose
-        entry was removed lately is not there again.
+        Returns:
+            The entry to use; None if it is to be ignored.
         """
         removed_s = self._removed.get(entry.incarnation)
         if removed_s is not None and now_s - removed_s < REMEMBER_REMOVED_S:
@@ -178,16 +194,17 @@
         may_have_lapsed: bool,
         may_be_older: bool = False,
     ) -> list[UpstreamEntry]:
-        """Takes in a whole list: what it lacks is removed.
+        """Replaces all entries by those of a list.
 
         Args:
-            entries: The list.
-            now_s: The time.
-            may_have_lapsed: As of `remove`.
+            entries: All entries in the directory.
+            now_s: Current time, in seconds.
+            may_have_lapsed: Whether the directory was unavailable, so that
+                missing entries may only have lapsed.
             may_be_older: Whether the list may be older than what is known.
 
         Returns:
-            The entries that change what is believed.
+            The entries that are new or differ from those that were known.
         """
         if may_be_older:
             older = (self._from_older_copy(e, now_s) for e in entries)
@@ -200,7 +217,7 @@
         return [entry for entry in listed.values() if self.put(entry)]
 
     def take_ended(self) -> list[Ended]:
-        """Returns what has ended since this was last asked."""
+        """Returns the incarnations that ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -210,32 +227,32 @@
         return known.entry.service if known is not None else ""
 
     def entry_of(self, incarnation: str) -> UpstreamEntry | None:
-        """Returns an upstream that is known."""
+        """Returns the entry of an incarnation; None if it is not known."""
         known = self._known.get(incarnation)
         return known.entry if known is not None else None
 
     def mark_replaced(self, incarnation: str) -> None:
-        """Notes that another incarnation answered at an upstream's address."""
+        """Records that another incarnation answered at an address."""
         known = self._known.get(incarnation)
         if known is not None:
             known.is_replaced = True
             self._by_service = None
 
     def is_usable(self, incarnation: str, now_s: float) -> bool:
-        """Whether an upstream may get work at this moment."""
+        """Whether an upstream may get requests now."""
         self._refresh(now_s)
         known = self._known.get(incarnation)
         return known is not None and self._accepts_work(known)
 
     def usable(self, service: str, now_s: float) -> list[UpstreamEntry]:
-        """Returns a service's upstreams that may get work, in a fixed order.
+        """Returns a service's upstreams that may get requests.
 
-        The order is the same at all hosts that know the same entries.
+        Their order is the same at all hosts that know the same entries.
         """
         return self._refresh(now_s).get(service, [])
 
     def all_usable(self, now_s: float) -> list[UpstreamEntry]:
-        """Returns the upstreams of all services that may get work."""
+        """Returns the upstreams of all services that may get requests."""
         found = self._refresh(now_s).values()
         return [entry for entries in found for entry in entries]
 
@@ -276,9 +293,9 @@
                 self._note_removed(incarnation, now_s)
 
     def _end_displaced(self) -> None:
-        """Ends incarnations whose address was given to another one."""
+        """Ends incarnations whose address now belongs to another one."""
         holders: dict[Address, UpstreamEntry] = {}
-        # In the order in which they were first heard of.
+        # In the order in which they were first registered.
         for known in list(self._known.values()):
             entry = known.entry
             if not self._exists(entry.service):
