--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
@@ -1,9 +1,9 @@
-"""Which other hosts there are, learnt from what they tell.
+"""Tracks the other hosts by their gossip.
 
-A host starts with the addresses of a few seeds, some of which may be gone. It
-tells them of itself; each report carries some addresses that its sender has
-heard of, so that all hosts know each other after a few rounds. Nobody keeps a
-list, and nobody has to agree: what a report says counts until it is old.
+A host starts with the addresses of a few seeds, some of which may no longer
+answer, and sends them reports. Each report carries some addresses of peers of
+its sender, so that all hosts know each other after a few rounds. There is no
+list of members to agree on: a report counts until it is too old.
 """
 
 import math
@@ -24,28 +24,32 @@
 from hollyknot_state import Address, HostReport, UseReport
 
 FRESH_S = 1.0
-"""Age from which a peer's load is no longer counted: its work has changed."""
+"""Age in seconds from which a peer's load no longer counts, since its in-flight
+requests have changed."""
 
 FRESH_REPORTS = 3
-"""The same where reports come seldom, in usual times between two of a peer:
-the last one is lost now and then."""
+"""The same age where reports are rare, in usual intervals between two reports
+of a peer. One interval is not enough, since reports get lost."""
 
 MIN_PEER_TIMEOUT_S = 5.0
-"""Silence after which a peer is taken to be gone, at the least."""
+"""Shortest silence, in seconds, after which a peer is forgotten."""
 
 PEER_TIMEOUT_REPORTS = 8
-"""The same, in usual times between two reports of a peer."""
+"""Silence after which a peer is forgotten, in usual intervals between two
+reports of a peer."""
 
 MAX_PEER_TIMEOUT_S = 60.0
-"""The longest such silence. In a large fleet a host hears only some of the
-others in this time, and estimates from that how many there are."""
+"""Longest silence, in seconds, after which a peer is forgotten. Where there are
+many hosts, a host hears only some of the others within it, and estimates from
+these how many there are."""
 
 FULL_REPORT_INTERVAL_S = 4.0
-"""Between two reports to one peer that also tell who the sender is, other
-hosts' names and addresses, which seldom change."""
+"""Seconds between two full reports to one peer. Only these contain the sender's
+name and address and the addresses of other hosts, which seldom change."""
 
 CONTACTS_PER_REPORT = 4
-"""Addresses in one report: eight hosts know each other within a second."""
+"""Addresses in one report. With four, eight hosts know each other within a
+second."""
 
 
 @attrs.frozen
@@ -53,8 +57,8 @@
     """A peer's newest report.
 
     Attributes:
-        report: What it told.
-        heard_s: When.
+        report: Last full report, updated by the use reports after it.
+        heard_s: Time of the last report of either kind, in seconds.
     """
 
     report: HostReport
@@ -62,7 +66,7 @@
 
 
 class Peers:
-    """The peers of one host."""
+    """The peers that one host hears, and those to which it sends reports."""
 
     def __init__(
         self,
@@ -71,13 +75,13 @@
         seeds: tuple[Address, ...],
         rng: random.Random,
     ) -> None:
-        """Knows the seeds only.
+        """Creates an instance without peers.
 
         Args:
-            own: Where this host takes reports; never contacted.
-            data_centre: Where it is; it can't be cut off from there.
-            seeds: Where to begin.
-            rng: Chooses which addresses to tell and to try.
+            own: Address where this host receives reports; never contacted.
+            data_centre: This host's data centre, which never counts as silent.
+            seeds: Addresses to contact first.
+            rng: Chooses the targets of reports and the addresses in them.
         """
         self._own = own
         self._data_centre = data_centre
@@ -85,24 +89,23 @@
         self._contacts = Contacts(own, seeds, rng)
         self._silence_detector = SilenceDetector(data_centre)
         self._peers: dict[str, Peer] = {}
-        # Peers by the incarnation that their short reports name.
+        # Names of peers by incarnation, which identifies them in use reports.
         self._hosts: dict[int, str] = {}
         self._hosts_cache: tuple[Tracker, ...] | None = ()
-        # When each peer was last sent a report, and one that tells all.
+        # Times of the last report and of the last full one to each peer.
         self._last_report_s: dict[Address, float] = {}
         self._last_full_report_s: dict[Address, float] = {}
         self._times = ReportTimes()
-        # The usual time between two reports of one peer.
         self._interval_s = 0.0
 
     @property
     def interval_s(self) -> float:
-        """The usual time between two reports of one peer; 0 for none."""
+        """Usual seconds between two reports of one peer; 0 if unknown."""
         return self._interval_s
 
     @property
     def hosts(self) -> tuple[Tracker, ...]:
-        """The peers, as hosts that may track; the same until they change."""
+        """The peers as possible load trackers; cached until they change."""
         if self._hosts_cache is None:
             self._hosts_cache = tuple(
                 Tracker(r.incarnation, r.address, r.data_centre)
@@ -112,23 +115,23 @@
 
     @property
     def count(self) -> int:
-        """Peers that have told of themselves lately."""
+        """Number of peers that were heard recently."""
         return len(self._peers)
 
     @property
     def by_data_centre(self) -> tuple[int, ...]:
-        """Hosts that are heard, by data centre; this one among them."""
+        """Number of heard hosts in each data centre, including this one."""
         counts = Counter(p.report.data_centre for p in self._peers.values())
         counts[self._data_centre] += 1
         return tuple(counts.values())
 
     @property
     def estimated_count(self) -> int:
-        """How many peers there are, also of those that were not heard."""
+        """Estimated number of peers, including those that were not heard."""
         return estimate_peers(len(self._peers), len(self._times))
 
     def take(self, report: HostReport, now_s: float) -> bool:
-        """Takes in a report.
+        """Processes a full report.
 
         Returns:
             Whether it is from a peer that was not known.
@@ -139,7 +142,7 @@
         if known is not None and _is_older(report, known.report):
             return False
         if known is None or known.report.incarnation != report.incarnation:
-            # It knows nobody yet.
+            # A host that has just started needs a full report.
             self._last_full_report_s.pop(report.address, None)
         if known is None:
             self._contacts.reset(report.address)
@@ -149,23 +152,23 @@
         return known is None
 
     def take_uses(self, report: UseReport, now_s: float) -> None:
-        """Takes in what has changed; that of a stranger tells nothing."""
+        """Processes a use report; one of an unknown peer is ignored."""
         host = self._hosts.get(report.incarnation, "")
         known = self._peers.get(host)
         if known is None or report.sequence <= known.report.sequence:
             return
-        told = attrs.evolve(
+        updated = attrs.evolve(
             known.report,
             sequence=report.sequence,
             uses=report.uses,
             suspects=report.suspects,
         )
         if report.demands:
-            told = attrs.evolve(told, demands=report.demands)
+            updated = attrs.evolve(updated, demands=report.demands)
         if not report.is_whole:
             uses = merged_uses(known.report.uses, report.uses)
-            told = attrs.evolve(told, uses=uses)
-        self._note(told, now_s)
+            updated = attrs.evolve(updated, uses=uses)
+        self._note(updated, now_s)
 
     def _note(self, report: HostReport, now_s: float) -> None:
         known = self._peers.get(report.host)
@@ -181,7 +184,7 @@
         self._silence_detector.note(report.data_centre, now_s)
 
     def fresh(self, now_s: float) -> list[HostReport]:
-        """Returns reports whose loads still count."""
+        """Returns the reports of peers whose loads still count."""
         fresh_s = max(FRESH_S, FRESH_REPORTS * self._interval_s)
         return [
             peer.report
@@ -190,32 +193,32 @@
         ]
 
     def silent_data_centres(self, now_s: float) -> frozenset[str]:
-        """Returns other data centres whose peers have all just fallen silent.
+        """Returns other data centres whose peers have all fallen silent.
 
         Args:
-            now_s: The time.
+            now_s: Current time, in seconds.
         """
         known = Counter(p.report.data_centre for p in self._peers.values())
         return self._silence_detector.silent(known, now_s)
 
     def targets(self, now_s: float, max_reports: int) -> list[Address]:
-        """Returns to whom to send a report now.
+        """Returns the addresses to send a report to now.
 
         Args:
-            now_s: The time.
-            most: How many may be sent.
+            now_s: Current time, in seconds.
+            max_reports: Number of reports that may be sent now.
         """
         known = [peer.report.address for peer in self._peers.values()]
         tried = self._contacts.due(set(known), len(known), now_s, max_reports)
-        told = self._choose(known, max_reports - len(tried))
-        self._last_report_s.update(dict.fromkeys(told, now_s))
-        return tried + told
+        chosen = self._choose(known, max_reports - len(tried))
+        self._last_report_s.update(dict.fromkeys(chosen, now_s))
+        return tried + chosen
 
     def _choose(self, known: list[Address], max_reports: int) -> list[Address]:
-        """Returns which peers to tell, at most so many.
+        """Returns the peers to send a report to, up to a maximum.
 
-        Few are told in turn, so that each is told evenly. Of many some are
-        chosen at random, which the estimate of their number relies on.
+        Few peers get reports in turn, at even intervals. Of many peers a
+        random sample is chosen, on which the estimate of their number relies.
         """
         if len(known) > MANY_PEERS:
             return self._rng.sample(known, min(max_reports, len(known)))
@@ -224,7 +227,7 @@
         return known[:max_reports]
 
     def needs_full_report(self, target: Address, now_s: float) -> bool:
-        """Returns whether a report must tell a target all, and notes it."""
+        """Returns whether a full report to a target is due, and records it."""
         last_s = self._last_full_report_s.get(target, -math.inf)
         if now_s - last_s < FULL_REPORT_INTERVAL_S:
             return False
@@ -233,14 +236,14 @@
         return True
 
     def contacts(self) -> tuple[Address, ...]:
-        """Returns some addresses to tell."""
+        """Returns addresses of random peers, for a full report."""
         known = [peer.report.address for peer in self._peers.values()]
         return tuple(
             self._rng.sample(known, min(CONTACTS_PER_REPORT, len(known)))
         )
 
     def expire(self, now_s: float) -> list[str]:
-        """Forgets silent peers and old addresses.
+        """Forgets peers that have been silent for too long.
 
         Returns:
             The names of the peers that were forgotten.
@@ -250,19 +253,19 @@
         )
         timeout_s = min(wanted_s, MAX_PEER_TIMEOUT_S)
         self._times.expire(now_s - timeout_s)
-        gone = [
+        expired = [
             host
             for host, peer in self._peers.items()
             if now_s - peer.heard_s > timeout_s
         ]
-        for host in gone:
+        for host in expired:
             self._hosts_cache = None
             report = self._peers.pop(host).report
             self._hosts.pop(report.incarnation, None)
             self._last_report_s.pop(report.address, None)
             self._last_full_report_s.pop(report.address, None)
             self._contacts.reset(report.address)
-        return gone
+        return expired
 
 
 def _is_older(report: HostReport, known: HostReport) -> bool:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
@@ -1,11 +1,13 @@
-"""Which upstreams this host cannot reach at the moment.
+"""Tracks the upstreams to which this host cannot connect at present.
 
-In a cut, connections to the far side time out one after the other, and each
-request that tries one waits for that. One failure is enough to keep the others
-away, and a connection made in the background brings the upstream back.
+In a network partition connections to the other side time out, and each request
+that tries such an upstream waits for the timeout. A single failure is therefore
+enough to stop sending to an upstream, and a probe in the background that
+connects ends this state.
 
-In a cut all upstreams of a data centre are away at once, and many hosts try
-them: some of each data centre are tried in turn, until one is reached.
+A partition makes all upstreams of a data centre unreachable at once, and many
+hosts probe them. To limit the probes, each host probes the upstreams of such a
+data centre one at a time, until one of them is reached.
 """
 
 import math
@@ -18,21 +20,32 @@
 
 FIRST_RETRY_S = 0.25
 MAX_RETRY_S = 1.0
-"""Between two connections in the background to an upstream that is away."""
+"""Shortest and longest time, in seconds, between two probes of an unreachable
+upstream; it doubles after each failure."""
 
 MANY_UNREACHABLE = 4
-"""Upstreams of one data centre that are away from which they are tried in turn:
-so many seldom crash together."""
+"""Number of unreachable upstreams in one data centre from which they are probed
+one at a time, as in a partition. So many seldom crash together."""
 
 TURN_INTERVAL_S = 0.5
-"""Between two tries in turn."""
+"""Seconds between two probes in a data centre that is probed one at a time."""
 
 RECOVERY_S = 2.0
-"""How long after one of them was reached all of them are tried."""
+"""Seconds for which all upstreams of a data centre are probed after one of them
+was reached again."""
 
 
 @attrs.define
 class _Unreachable:
+    """An upstream that could not be reached.
+
+    Attributes:
+        entry: Entry of the upstream.
+        since_s: Time of the first failure, in seconds.
+        next_try_s: Time from which it may be probed next.
+        backoff_s: Time between two probes.
+    """
+
     entry: UpstreamEntry
     since_s: float
     next_try_s: float
@@ -40,18 +53,18 @@
 
 
 class Reachability:
-    """Upstreams that could not be connected to."""
+    """The upstreams to which one host could not connect."""
 
     def __init__(self) -> None:
-        """All are taken to be reachable."""
+        """Creates an instance that takes all upstreams to be reachable."""
         self._unreachable: dict[str, _Unreachable] = {}
-        # By data centre: when the next one is tried in turn, and until when
-        # all are tried.
+        # By data centre: time of the next single probe, and time until which
+        # all its upstreams are probed.
         self._next_turn_s: dict[str, float] = {}
         self._recovering_until_s: dict[str, float] = {}
 
     def failed(self, entry: UpstreamEntry, now_s: float) -> bool:
-        """Notes a connection that failed or fell silent.
+        """Records that a connection failed or timed out.
 
         Returns:
             Whether the upstream was taken to be reachable before.
@@ -68,10 +81,10 @@
         return False
 
     def succeeded(self, incarnation: str, now_s: float) -> bool:
-        """Notes a connection.
+        """Records that a connection was established.
 
         Returns:
-            Whether the upstream was taken to be away before.
+            Whether the upstream was taken to be unreachable before.
         """
         unreachable = self._unreachable.pop(incarnation, None)
         if unreachable is None:
@@ -81,11 +94,11 @@
         return True
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the state of an upstream that has left for good."""
         self._unreachable.pop(incarnation, None)
 
     def unreachable(self, entries: Sequence[UpstreamEntry]) -> frozenset[str]:
-        """Returns the incarnations that could not be reached lately."""
+        """Returns the incarnations that are unreachable at present."""
         if not self._unreachable:
             return frozenset()
         return frozenset(
@@ -97,7 +110,7 @@
     def has_become_unreachable(
         self, entries: Sequence[UpstreamEntry], since_s: float
     ) -> bool:
-        """Whether one of some upstreams is away since a time or later."""
+        """Whether any of some upstreams became unreachable since a time."""
         return any(
             unreachable.since_s >= since_s
             for entry in entries
@@ -106,7 +119,7 @@
         )
 
     def due(self, now_s: float) -> list[UpstreamEntry]:
-        """Returns upstreams to connect to in the background now."""
+        """Returns the upstreams to probe now, and records the probes."""
         counts = Counter(
             a.entry.data_centre for a in self._unreachable.values()
         )
@@ -118,13 +131,17 @@
             is_many = counts[data_centre] >= MANY_UNREACHABLE
             if is_many and not self._has_turn(data_centre, now_s):
                 continue
-            # Again only when this one has ended, or if it never does.
+            # Not probed again until this probe has ended; the bound matters
+            # only if its end is never reported.
             unreachable.next_try_s = now_s + 2 * MAX_RETRY_S
             tried.append(unreachable.entry)
         return tried
 
     def _has_turn(self, data_centre: str, now_s: float) -> bool:
-        """Whether one of many that are away may be tried, and notes it."""
+        """Returns whether a data centre's next single probe is due.
+
+        Records it if so.
+        """
         if now_s < self._recovering_until_s.get(data_centre, -math.inf):
             return True
         if now_s < self._next_turn_s.get(data_centre, -math.inf):
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
@@ -1,38 +1,47 @@
-"""How much a host may send its peers, by a budget of bytes.
+"""Limits the bytes that a host sends its peers.
 
-Without one, a host's bytes for reports grow with the number of peers and of
-upstreams: at eight hosts ten reports a second to each peer came to 28 KB/s.
+Without a limit, the bytes of reports grow with the number of peers and of
+upstreams: among eight hosts, ten reports a second to each peer take 28 KB/s.
 
-A part of the budget is for what requests wait for: queries to trackers, their
-answers, notes of work. What that leaves goes to reports, which always have the
-rest to themselves. A tracker that is asked so much that it sends no reports
-would be forgotten by its peers, each at another moment, and they would then ask
-and tell different hosts about one upstream.
+Part of the budget is for messages that requests wait for: queries to load
+trackers, their answers, and notes about in-flight requests. Reports have the
+rest of the budget to themselves, and what queries leave unused. If queries
+could take the whole budget, a tracker with many queries would send no reports.
+Its peers would forget it, each at a different time, and would meanwhile use
+different trackers for one upstream.
 """
 
 import attrs
 
 BYTES_A_SECOND = 3000.0
-"""What the largest deployment allows a host to send for control."""
+"""Bytes per second of control traffic that a host of the largest deployment may
+send."""
 
 QUERY_SHARE = 0.75
-"""The part of it for queries, answers and notes, some 300 bytes a request; a
-quarter still tells each of 82 peers something every few seconds."""
+"""Fraction of the budget for queries, answers and notes, which take about 300
+bytes a request. The other quarter still sends each of 82 peers a report every
+few seconds."""
 
 _REPORT_BURST_S = 0.5
-"""What a host may send at once after a pause, in seconds of the budget: a
-report to each of some peers, and not a burst after a suspension."""
+"""Burst size for reports, in seconds of the budget. It allows a report to each
+of several peers at once, but no large burst after the process was suspended."""
 
 
 _QUERY_BURST_S = 10.0
-"""The same for queries and what belongs to them: a burst of requests, which
-lasts some seconds, is when a choice by old loads does the most harm, and the
-budget is kept in the long run."""
+"""Burst size for queries, answers and notes, in seconds of their budget. Bursts
+of requests last some seconds, and choices by outdated loads do the most harm
+during it. The average rate still stays within the budget."""
 
 
 @attrs.define
 class _TokenBucket:
-    """Bytes that may be sent; filled at a steady rate up to a bound."""
+    """A token bucket of bytes that may be sent.
+
+    Attributes:
+        rate: Bytes per second at which the bucket fills.
+        burst_s: Capacity, in seconds of the rate.
+        level: Bytes that may be sent now; negative after overspending.
+    """
 
     rate: float
     burst_s: float
@@ -46,20 +55,20 @@
         return self.rate * self.burst_s
 
     def fill(self, size: float) -> float:
-        """Takes bytes in, and returns those for which there is no room."""
+        """Adds bytes, and returns how many of them exceed the capacity."""
         overflow = max(0.0, self.level + size - self.capacity)
         self.level += size - overflow
         return overflow
 
 
 class ReportRate:
-    """What one host may send."""
+    """The budget of bytes that one host may send its peers."""
 
     def __init__(self, bytes_a_second: float = BYTES_A_SECOND) -> None:
-        """Starts full.
+        """Creates a full budget.
 
         Args:
-            bytes_a_second: What may be sent in the long run.
+            bytes_a_second: Average number of bytes that may be sent per second.
         """
         self._queries = _TokenBucket(
             bytes_a_second * QUERY_SHARE, _QUERY_BURST_S
@@ -67,7 +76,8 @@
         self._reports = _TokenBucket(
             bytes_a_second * (1 - QUERY_SHARE), _REPORT_BURST_S
         )
-        # Reports may use all that is not asked.
+        # Reports may use what queries leave, so their capacity is that of the
+        # whole budget.
         self._report_capacity = bytes_a_second * _REPORT_BURST_S
         self._reports.level = self._report_capacity
         self._filled_s = 0.0
@@ -76,26 +86,26 @@
         """Returns how many reports may be sent now.
 
         Args:
-            size: Bytes of one of them.
-            now_s: The time.
+            size: Size of one report, in bytes.
+            now_s: Current time, in seconds.
         """
         self._fill(now_s, max(self._report_capacity, size))
         return max(0, int(self._reports.level // max(size, 1)))
 
     def may_ask(self, now_s: float) -> bool:
-        """Whether a query may be sent now."""
+        """Returns whether a query may be sent now."""
         self._fill(now_s, self._report_capacity)
         return self._queries.level > 0
 
     def spend(self, size: int) -> None:
-        """Notes bytes of reports that were sent."""
+        """Deducts bytes of reports that were sent."""
         self._reports.level -= size
 
     def spend_on_queries(self, size: int) -> None:
-        """Notes bytes of queries, answers and notes that were sent.
+        """Deducts bytes of queries, answers and notes that were sent.
 
-        Answers and notes are sent in any case, since others wait for them or
-        decide by them; the host then asks less itself.
+        Answers and notes are sent even without budget, since other hosts wait
+        for them or decide by them. The host then sends fewer queries itself.
         """
         bucket = self._queries
         bucket.level = max(bucket.level - size, -self._report_capacity)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
@@ -1,14 +1,14 @@
-"""Bounds the retries of a service over all hosts, without a word between them.
+"""Limits the retries of a service over all hosts without coordination.
 
-Each host spends at most the agreed share of the requests that it took itself,
-so that the sums over all hosts keep the share too. A small allowance on top
-lets a host with little traffic retry at all; it is a part of the slack that
-the operators grant to all hosts together. A host that doesn't know how many
-they are has the share only.
+Each host retries at most the configured share of its own requests, so that the
+sum over all hosts keeps to the share as well. An allowance on top lets a host
+with little traffic retry at all: its part of the slack, which is configured for
+all hosts together. A host that doesn't know the number of hosts has the share
+only.
 
-What is allowed is seldom a whole number. Hosts round it up or down by a chance
-of their own, so that the sums are neither lost nor exceeded where each host has
-a fraction of a retry.
+The allowed number is seldom whole. Each host rounds it up or down by a random
+offset of its own, so that the sum is neither lost nor exceeded where each host
+may send a fraction of a retry.
 """
 
 import random
@@ -20,19 +20,28 @@
 from hollyknot_state.routes import Bounds
 
 _SLACK_FRACTION = 0.65
-"""Of the slack, what hosts spend; the rest covers hosts not heard of yet."""
+"""Fraction of the slack that hosts use; the rest is a margin for hosts that are
+not known yet."""
 
 _FIRST_SLACK_FRACTION = 1.0 - _SLACK_FRACTION
-"""The same in the first window of a host that is alone: the process before it
-may have spent the other part."""
+"""Fraction of the slack that a lone host uses in its first window. The process
+before it may have used the other part."""
 
 _SHARE_FRACTION = 0.8
-"""Of the share, what hosts spend: requests and retries fall into windows that
-slide, and a retry may fall into a window that its request has left."""
+"""Fraction of the share that hosts use. The rest is a margin, since a retry may
+fall into a sliding window that no longer contains its request."""
 
 
 @attrs.define
 class _Window:
+    """The sliding window of one service.
+
+    Attributes:
+        rounding: Random offset from 0 to 1 that rounds the allowed number.
+        first_tries: Times of the first tries in the window, in seconds.
+        retries: Times of the retries in the window, in seconds.
+    """
+
     rounding: float
     first_tries: deque[float] = attrs.Factory(deque)
     retries: deque[float] = attrs.Factory(deque)
@@ -45,13 +54,13 @@
 
 @attrs.frozen
 class RetryAccount:
-    """What one host may send again, and what it has.
+    """The retries of one host that are allowed and used.
 
     Attributes:
-        spent: Retries in the window.
-        allowed: How many there may be.
-        hosts: Among how many hosts the slack is divided; 0 where too little
-            is known for this host to have a part of it.
+        spent: Number of retries in the window.
+        allowed: Number of retries that are allowed in it, unrounded.
+        hosts: Number of hosts among which the slack is divided; 0 if it is
+            unknown, so that this host has no part of the slack.
     """
 
     spent: int
@@ -65,12 +74,12 @@
     def __init__(
         self, bounds: Bounds, size: HostCount, rng: random.Random
     ) -> None:
-        """Starts with no retry spent.
+        """Creates a budget of which nothing is used.
 
         Args:
-            bounds: The share and the slack.
-            size: Among how many hosts the slack is divided.
-            rng: Rounds what is allowed.
+            bounds: The configured share, slack and window.
+            size: Number of hosts among which the slack is divided.
+            rng: Source of the rounding offsets.
         """
         self._bounds = bounds
         self._size = size
@@ -78,37 +87,39 @@
         self._windows: dict[str, _Window] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Puts other shares in force from now on."""
+        """Replaces the share, the slack and the window from now on."""
         self._bounds = bounds
 
     def on_first_try(self, service: str, now_s: float) -> None:
-        """Notes a request that was sent to a service."""
+        """Counts the first try of a request to a service."""
         self._window(service, now_s).first_tries.append(now_s)
 
     def remaining(self, service: str, now_s: float) -> float:
-        """Returns how many retries may be sent now."""
+        """Returns how many retries may be sent now; one needs at least 1.0."""
         account = self.account(service, now_s)
         rounding = self._window(service, now_s).rounding
         return account.allowed + rounding - account.spent
 
     def account(self, service: str, now_s: float) -> RetryAccount:
-        """Returns what is allowed and spent in the window that ends now."""
-        spent = self._window(service, now_s)
+        """Returns what is allowed and used in the window that ends now."""
+        window = self._window(service, now_s)
         bounds = self._bounds
         hosts, slack_fraction = self._slack(now_s)
-        allowed = bounds.retry_share * _SHARE_FRACTION * len(spent.first_tries)
+        allowed = bounds.retry_share * _SHARE_FRACTION * len(window.first_tries)
         if hosts:
             allowed += bounds.retry_slack * slack_fraction / hosts
-        return RetryAccount(len(spent.retries), allowed, hosts)
+        return RetryAccount(len(window.retries), allowed, hosts)
 
     def spend(self, service: str, now_s: float) -> None:
-        """Notes a retry."""
+        """Counts a retry."""
         self._window(service, now_s).retries.append(now_s)
 
     def _slack(self, now_s: float) -> tuple[int, float]:
-        """Returns among how many hosts the slack is divided, and its part.
+        """Returns how many hosts divide the slack, and the usable fraction.
 
-        A host that was restarted may have spent its part in this window.
+        In its first window a host has no part of the slack, or a smaller one
+        if it is alone: the process before a restart may have used some of it
+        in the same window.
         """
         discovery_s = max(DISCOVERY_S, self._bounds.retry_window_s)
         if self._size.is_known(now_s, discovery_s):
@@ -118,8 +129,8 @@
         return 0, 0.0
 
     def _window(self, service: str, now_s: float) -> _Window:
-        spent = self._windows.get(service)
-        if spent is None:
-            spent = self._windows[service] = _Window(self._rng.random())
-        spent.forget(now_s - self._bounds.retry_window_s)
-        return spent
+        window = self._windows.get(service)
+        if window is None:
+            window = self._windows[service] = _Window(self._rng.random())
+        window.forget(now_s - self._bounds.retry_window_s)
+        return window
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request: by host, then by the longest path prefix."""
+"""Finds a request's route, by host and then by the longest path prefix."""
 
 import enum
 
@@ -7,39 +7,41 @@
 from hollyknot_state.routes import KeyOwner, Route, RouteTable
 
 LEAST_URGENT = 9
-"""Engines know ten urgencies, from 0, the first."""
+"""The least urgent of the ten urgencies that engines support; 0 is the most
+urgent."""
 
 
 class NoRoute(enum.Enum):
-    """The table has no route for a request."""
+    """Reason why a request has no route."""
 
     UNKNOWN = "no-route"
 
 
 class NoOwner(enum.Enum):
-    """Nobody holds the key that a route asks for."""
+    """Reason why a request's key has no owner."""
 
     UNKNOWN = "unknown-key"
     NOT_NEEDED = "no-key-needed"
 
 
 class RouteIndex:
-    """The routes of one version, made once for each version.
+    """An index of the routes of one version of the table.
 
-    A lookup costs a dictionary access for each slash of the path, whatever
+    A lookup takes one dictionary access for each slash in the path, whatever
     the number of routes.
     """
 
     def __init__(self, table: RouteTable) -> None:
-        """Indexes a table."""
+        """Creates the index of a table."""
         self._table = table
         self._by_host: dict[str, dict[str, Route]] = {}
         self._longest_prefix = 0
         self._has_owner_priorities = any(
             owner.priority is not None for owner in table.owners_by_key.values()
         )
-        # Where routes have more ranks, those of customers are left out: beyond
-        # the least urgency, requests of different routes would be ranked alike.
+        # With more route priorities than this, customers' priorities are
+        # ignored: the numbers would exceed the least urgent one, and requests
+        # of different routes would get the same urgency.
         self._has_room_for_owner_ranks = all(
             0 <= route.priority < len(TIERS) for route in table.routes
         )
@@ -52,21 +54,22 @@
 
     @property
     def table(self) -> RouteTable:
-        """The indexed version."""
+        """The table that is indexed."""
         return self._table
 
     def find(self, host: str, path: str) -> Route | NoRoute:
         """Returns the route of a request.
 
         Args:
-            host: The `Host` header; a port is left out of the comparison.
-            path: The request's path, with or without a query.
+            host: Value of the `Host` header; its port is ignored.
+            path: Path of the request, with or without a query.
         """
         prefixes = self._by_host.get(host.partition(":")[0].lower())
         if prefixes is None:
             return NoRoute.UNKNOWN
         rest = path.partition("?")[0]
-        # A path of thousands of slashes would else be cut thousands of times.
+        # Bounded by the longest prefix: a path of thousands of slashes would
+        # otherwise take thousands of lookups.
         end = rest.rfind("/", 0, self._longest_prefix)
         while end >= 0:
             route = prefixes.get(rest[: end + 1])
@@ -76,7 +79,7 @@
         return NoRoute.UNKNOWN
 
     def is_loose(self, route: Route, service: str) -> bool:
-        """Whether a route's streams bear longer pauses than most."""
+        """Whether a route's streams tolerate long inter-token gaps."""
         tolerance = self._tolerances.get(service)
         if tolerance is None:
             tolerance = Tolerance(self._table.routes, service)
@@ -84,18 +87,18 @@
         return tolerance.is_loose(route)
 
     def urgency(self, route: Route, owner: KeyOwner | NoOwner) -> int:
-        """Returns how urgent a request is, the same at all hosts; 0 is first.
-
-        The route's priority decides, and among requests of equal routes the
-        customer's. Engines take the most urgent first and drop the least
-        urgent when memory runs out: two hosts that differ, or requests that
-        are ranked alike though their routes differ, would let a long review
-        push out a short question. With the customer's priority first, 18 of
-        206 requests that ran out of memory were dropped beside others of less
-        urgent routes; with the route's first none of 430.
-
-        The numbers must not follow from which priorities are in use: that
-        changes with each key, and running requests keep their number.
+        """Returns a request's urgency; 0 is the most urgent.
+
+        Urgencies are ordered by the route's priority and then by the
+        customer's. Engines run the most urgent requests first and drop the
+        least urgent ones when memory runs out. If two hosts computed different
+        urgencies, or requests of different routes got the same one, a long
+        review could displace a short question. Ordered by customer first, 18
+        of 206 requests dropped for lack of memory ran beside requests of less
+        urgent routes; ordered by route first, none of 430 did.
+
+        The numbers must not depend on which priorities are in use: these
+        change with each key, and running requests keep their urgency.
         """
         if not self._has_owner_priorities or not self._has_room_for_owner_ranks:
             return min(max(route.priority, 0), LEAST_URGENT)
@@ -105,10 +108,10 @@
         return route.priority * len(TIERS) + min(max(own, 0), len(TIERS) - 1)
 
     def sheds_from(self, service: str) -> int:
-        """Returns from which urgency on a service's streams may be refused.
+        """Returns the urgency from which a service's streams may be shed.
 
-        Those are the ones of its least urgent routes, if it has more urgent
-        ones: else no urgency is as great as what is returned.
+        Only streams of its least urgent routes may be shed, and only if it has
+        more urgent ones. Otherwise the number returned is above all urgencies.
         """
         known = self._shed_from_by_service.get(service)
         if known is None:
@@ -131,7 +134,7 @@
         return min(least, LEAST_URGENT)
 
     def owner(self, route: Route, key: str) -> KeyOwner | NoOwner:
-        """Returns who sends a request."""
+        """Returns the customer that holds a key, or why there is none."""
         if not self._table.owners_by_key or not route.needs_key:
             return NoOwner.NOT_NEEDED
         return self._table.owners_by_key.get(key, NoOwner.UNKNOWN)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_silence_detector.py
@@ -1,9 +1,9 @@
-"""Which data centres have just fallen silent, by how often they report.
+"""Detects data centres that have just fallen silent.
 
-A data centre that is cut off goes silent at once, and requests that were sent
-there hang until a timeout. But silences also come by chance: the reports of
-many hosts come at random, and any small multiple of their usual distance is
-passed all the time.
+A data centre that is cut off falls silent at once, and requests that were sent
+there hang until a timeout. But there are also silences by chance: reports of
+many hosts arrive at random times, so that a small multiple of their usual
+interval is exceeded all the time.
 """
 
 import math
@@ -14,32 +14,33 @@
 from hollyknot_coordination.forwarding._smoothing import smoothed
 
 MIN_SILENCE_S = 0.4
-"""Silence of a data centre after which it is looked at, at the least."""
+"""Shortest silence, in seconds, after which a data centre counts as silent."""
 
 MIN_SILENT_INTERVALS = 4.0
-"""The same, in usual times between two reports of it, at the least: reports of
-few hosts come evenly, and some in a hundred datagrams are lost."""
+"""Shortest silence that counts, in usual intervals between two reports of the
+data centre. Reports of few hosts arrive at even intervals, but a few percent of
+the datagrams are lost."""
 
 FALSE_ALARM_PROBABILITY = 1e-6
-"""How often, for each report, chance alone may bring such a silence. At ten
-reports a second that is once a day; the usual distance is itself only
-estimated, which makes it some times an hour."""
+"""Probability, for each report, that the silence after it is one by chance. At
+ten reports a second this would be once a day. As the usual interval is only an
+estimate, it happens several times an hour."""
 
 _MAX_SAMPLE_S = 1.0
-"""The most that one silence counts for in the usual time between two reports
-of a data centre: a cut that lasted seconds was not usual."""
+"""Longest time, in seconds, that one silence adds to the average interval
+between two reports. A partition of several seconds is not a usual interval."""
 
 
 def unlikely_gap(hosts: int, probability: float) -> float:
-    """Returns a gap between reports, in mean ones, that chance hardly exceeds.
+    """Returns a gap between reports, in mean gaps, that is seldom exceeded.
 
-    Hosts that each report at an even pace, but at moments of their own, are
-    points thrown on a circle. A gap is longer than x mean ones with the chance
-    (1 - x / n) ** (n - 1); of one host none is longer than the mean.
+    Reports of n hosts with the same interval but random phases are like random
+    points on a circle. A gap is longer than x mean gaps with a probability of
+    (1 - x / n) ** (n - 1). With one host no gap is longer than the mean.
 
     Args:
-        hosts: How many report.
-        chance: Of a longer gap.
+        hosts: Number of hosts that report.
+        probability: Probability of a longer gap.
     """
     if hosts <= 1:
         return 1.0
@@ -48,19 +49,25 @@
 
 @attrs.define
 class _LastHeard:
-    """When a data centre was heard last, and how often it usually is."""
+    """The last report of a data centre and the usual interval between reports.
+
+    Attributes:
+        heard_s: Time of the last report, in seconds.
+        interval_s: Moving average of the time between two reports; 0 if
+            unknown.
+    """
 
     heard_s: float
     interval_s: float = 0.0
 
     def note(self, now_s: float) -> None:
-        """Notes a report."""
+        """Records a report."""
         passed_s = min(now_s - self.heard_s, _MAX_SAMPLE_S)
         self.interval_s = smoothed(self.interval_s, passed_s)
         self.heard_s = now_s
 
     def is_silent(self, hosts: int, now_s: float) -> bool:
-        """Whether it has been silent for unusually long."""
+        """Whether the silence is too long to be one by chance."""
         reports = max(
             MIN_SILENT_INTERVALS, unlikely_gap(hosts, FALSE_ALARM_PROBABILITY)
         )
@@ -69,31 +76,32 @@
 
 
 class SilenceDetector:
-    """When each data centre was heard."""
+    """Detects silent data centres by the usual interval of their reports."""
 
     def __init__(self, own: str) -> None:
-        """Has heard none.
+        """Creates a detector that has heard no data centre.
 
         Args:
-            own: This host's data centre; it can't be cut off from there.
+            own: This host's data centre, which never counts as silent, since
+                the host can't be cut off from it.
         """
         self._own = own
         self._last_heard: dict[str, _LastHeard] = {}
 
     def note(self, data_centre: str, now_s: float) -> None:
-        """Notes a report from a data centre."""
+        """Records a report from a data centre."""
         heard = self._last_heard.setdefault(data_centre, _LastHeard(now_s))
         heard.note(now_s)
 
     def silent(self, known: Mapping[str, int], now_s: float) -> frozenset[str]:
         """Returns other data centres that have just fallen silent.
 
-        Such a data centre may have been cut off, which its upstreams' open
-        connections would tell seconds later.
+        Such a data centre may be cut off, which the open connections to its
+        upstreams would show only seconds later.
 
         Args:
-            known: How many peers that are not forgotten yet each has.
-            now_s: The time.
+            known: Number of known peers in each data centre.
+            now_s: Current time, in seconds.
         """
         return frozenset(
             name
