--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -66,7 +66,9 @@
 
     @pytest.mark.parametrize("count", [1, 8, 83, 400])
     @pytest.mark.parametrize("seed", range(4))
-    def test_all_hosts_want_it_at_once(self, count: int, seed: int) -> None:
+    def test_sum_over_all_hosts_stays_below_the_rate(
+        self, count: int, seed: int
+    ) -> None:
         """An upstream that has just started crashes again and again.
 
         Sequence: it starts, idle, while others are busy; each host sees that
@@ -114,7 +116,7 @@
         _, total = _busiest_second([host], 10.0)
         assert total >= 10.0 * COLD_START.rate * RATE_FRACTION - 2
 
-    def test_it_learns_first_how_many_share(self) -> None:
+    def test_sends_nothing_until_the_host_count_is_known(self) -> None:
         host = _host(1, started_s=0.0)
         host.note(_cold(LONG_S), 0.0)
         host.size.set(2, 2, 0.1)
@@ -139,7 +141,7 @@
         busiest, _ = _busiest_second(hosts, LONG_S)
         assert busiest <= MOST_IN_A_SECOND
 
-    def test_a_lost_fleet_is_forgotten_in_time(self) -> None:
+    def test_lost_hosts_stop_counting_after_the_retention(self) -> None:
         host = _host(1)
         host.size.set(80, 80, 0.0)
         host.size.set(4, 4, PEAK_RETENTION_S + 1)
@@ -147,14 +149,14 @@
         _, total = _busiest_second([host], LONG_S)
         assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 4 / 2
 
-    def test_what_says_nothing_yet_is_spared_too(self) -> None:
+    def test_suspected_upstream_counts_as_cold(self) -> None:
         host = _host(1)
         host.suspect(upstream("a"), 0.0)
         assert host.is_cold("a", COLD_START.lasts_s - 0.01)
         assert not host.is_cold("a", COLD_START.lasts_s)
         assert host.take("a", COLD_START.lasts_s)
 
-    def test_a_later_word_makes_it_longer_never_shorter(self) -> None:
+    def test_later_entry_extends_but_never_shortens_it(self) -> None:
         host = _host(1)
         host.note(_cold(3.0), 0.0)
         host.note(_cold(1.0), 0.1)
@@ -169,7 +171,7 @@
         host.suspect(upstream("a"), 0.0)
         assert host.closed([upstream("a")], 0.0) == frozenset()
 
-    def test_a_host_that_reads_upstreams_before_routes_spares_them(
+    def test_upstream_read_before_the_routes_counts_as_cold(
         self,
     ) -> None:
         """Hosts that have just started crash upstreams that have, too.
@@ -186,7 +188,7 @@
         assert host.closed([upstream("a")], 0.1) == {"a"}
         assert not host.take("a", 0.1)
 
-    def test_one_with_a_permit_is_offered(self) -> None:
+    def test_upstream_with_a_permit_is_offered(self) -> None:
         """An upstream gets nothing until it is warm.
 
         Sequence: most permits lapse, since a request looks at a few upstreams
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_contacts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_contacts.py
@@ -29,18 +29,18 @@
         contacts.add(HEARD)
         assert set(contacts.due((), 0, 0.0, 9)) == {SEED, HEARD}
 
-    def test_tries_ever_less_often(self) -> None:
+    def test_backoff_doubles_up_to_16_s(self) -> None:
         contacts = _contacts(SEED)
         tried = [now for now in range(100) if contacts.due((), 0, now, 9)]
         assert tried == [0, 1, 3, 7, 15, 31, 47, 63, 79, 95]
 
-    def test_may_try_for_days(self) -> None:
+    def test_thousands_of_tries_keep_the_longest_backoff(self) -> None:
         contacts = _contacts(SEED)
         for step in range(5000):
             contacts.due((), 0, step * 16.0, 1)
         assert contacts.due((), 0, 5000 * 16.0, 1) == [SEED]
 
-    def test_one_that_fell_silent_is_tried_soon(self) -> None:
+    def test_host_that_fell_silent_is_tried_without_backoff(self) -> None:
         contacts = _contacts(SEED)
         for now in range(60):
             contacts.due((), 0, now, 9)
@@ -57,7 +57,7 @@
         due = [contacts.due((), peers, 0.0, 1) for _ in range(100)]
         assert sum(map(len, due)) == tried
 
-    def test_a_long_rest_does_not_pay_for_a_burst(self) -> None:
+    def test_accumulated_tries_are_bounded(self) -> None:
         contacts = _contacts()
         for step in range(1000):
             contacts.due((), 5, step * 0.1, 1)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_health.py
@@ -6,7 +6,9 @@
 POOL = [upstream(name, "plain") for name in ("a", "b", "c")]
 
 
-def _feed(health: Health, index: int, good: int, bad: int, at_s: float) -> None:
+def _record_outcomes(
+    health: Health, index: int, good: int, bad: int, at_s: float
+) -> None:
     for is_good, count in ((True, good), (False, bad)):
         for _ in range(count):
             health.note(POOL[index], POOL, at_s, is_good=is_good)
@@ -15,11 +17,11 @@
 class TestHealth:
     """Shares of failures, compared with the others of the service."""
 
-    def test_one_that_fails_much_is_ejected_and_comes_back(self) -> None:
+    def test_failing_upstream_is_ejected_for_a_while(self) -> None:
         health = Health()
-        _feed(health, 1, 20, 0, 0.0)
-        _feed(health, 2, 20, 0, 0.0)
-        _feed(health, 0, 5, 5, 0.1)
+        _record_outcomes(health, 1, 20, 0, 0.0)
+        _record_outcomes(health, 2, 20, 0, 0.0)
+        _record_outcomes(health, 0, 5, 5, 0.1)
         assert health.ejected(POOL, 0.2) == {"a"}
         assert health.ejected(POOL, 2.0) == frozenset()
 
@@ -27,22 +29,22 @@
         health = Health()
         for step in range(20):
             for index in range(3):
-                _feed(health, index, 6, 1, step * 0.1)
+                _record_outcomes(health, index, 6, 1, step * 0.1)
         assert health.ejected(POOL, 2.0) == frozenset()
 
     def test_at_most_half_of_a_service_is_ejected(self) -> None:
         health = Health()
         for index in range(3):
-            _feed(health, index, 0, 10, 0.0)
+            _record_outcomes(health, index, 0, 10, 0.0)
         assert len(health.ejected(POOL, 0.1)) <= 1
 
     def test_few_failures_may_be_chance(self) -> None:
         health = Health()
-        _feed(health, 0, 0, 2, 0.0)
+        _record_outcomes(health, 0, 0, 2, 0.0)
         assert health.ejected(POOL, 0.1) == frozenset()
 
     def test_old_failures_do_not_count(self) -> None:
         health = Health()
-        _feed(health, 0, 0, 2, 0.0)
-        _feed(health, 0, 0, 2, 6.0)
+        _record_outcomes(health, 0, 0, 2, 0.0)
+        _record_outcomes(health, 0, 0, 2, 6.0)
         assert health.ejected(POOL, 6.1) == frozenset()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -44,7 +44,7 @@
                         host.take(told, now_s)
         assert [host.count for host in hosts.values()] == [7] * 8
 
-    def test_never_contacts_itself(self) -> None:
+    def test_never_sends_a_report_to_itself(self) -> None:
         peers = _peers("a", "a")
         peers.take(report("b", contacts=(address_of("a"),)), 0.0)
         assert address_of("a") not in peers.targets(0.0, 16)
@@ -81,7 +81,7 @@
         assert peers.silent_data_centres(1.35) == {"east"}
         assert peers.silent_data_centres(1.65) == {"east", "south"}
 
-    def test_a_host_is_not_cut_off_from_where_it_is(self) -> None:
+    def test_own_data_centre_is_never_silent(self) -> None:
         """Upstreams beside a host are probed, and their crashes excused.
 
         Sequence: all other hosts of its data centre are restarted. Cause:
@@ -115,7 +115,7 @@
             peers.take(told, now_s)
         assert peers.silent_data_centres(21.1) == {"south"}
 
-    def test_a_short_report_changes_only_what_it_tells(self) -> None:
+    def test_use_report_changes_only_its_own_fields(self) -> None:
         peers = _peers("a")
         peers.take(attrs.evolve(report("b", sequence=1), table_version=9), 0.0)
         uses = (UpstreamUse(7, (100,), 1, 2),)
@@ -124,7 +124,7 @@
         (told,) = peers.fresh(0.4)
         assert (told.host, told.table_version, told.uses) == ("b", 9, uses)
 
-    def test_one_that_is_not_whole_leaves_demands_and_running_streams(
+    def test_partial_use_report_keeps_demands_and_running_streams(
         self,
     ) -> None:
         peers = _peers("a")
@@ -138,7 +138,7 @@
         assert told.demands == demands
         assert told.uses == (UpstreamUse(7, (), 0, 3), *waiting)
 
-    def test_a_short_report_of_a_stranger_tells_nothing(self) -> None:
+    def test_use_report_of_an_unknown_peer_is_ignored(self) -> None:
         peers = _peers("a")
         peers.take_uses(UseReport(1, 1, (UpstreamUse(7, (100,), 1, 2),)), 0.0)
         assert peers.count == 0
@@ -147,7 +147,7 @@
         peers.take_uses(UseReport(2, 9, (UpstreamUse(7, (100,), 1, 2),)), 0.2)
         assert peers.fresh(0.2)[0].uses == ()
 
-    def test_a_restarted_peer_is_told_all_at_once(self) -> None:
+    def test_restarted_peer_gets_a_full_report(self) -> None:
         """A host that was restarted hears nobody for seconds.
 
         Sequence: it comes back at its address; its peers tell it only what
@@ -161,19 +161,19 @@
         peers.take(report("b", sequence=1, incarnation=2), 1.0)
         assert peers.needs_full_report(target, 1.1)
 
-    def test_an_address_that_was_only_heard_of_is_told_all(self) -> None:
+    def test_unheard_address_gets_only_full_reports(self) -> None:
         peers = _peers("a", "seed")
         (target,) = peers.targets(0.0, 9)
         assert peers.needs_full_report(target, 0.0)
         assert peers.needs_full_report(target, 1.0)
 
-    def test_tells_only_some_of_many(self) -> None:
+    def test_reports_to_many_peers_are_limited(self) -> None:
         peers = _peers("a")
         for index in range(100):
             peers.take(report(f"host{index}x{index}"), 0.0)
         assert len(peers.targets(0.0, 16)) == 16
 
-    def test_few_are_told_in_turn(self) -> None:
+    def test_few_peers_get_reports_in_turn(self) -> None:
         peers = _peers("a")
         for name in "bcdefgh":
             peers.take(report(name), 0.0)
@@ -181,7 +181,7 @@
         assert set(told[:7]) == {address_of(name) for name in "bcdefgh"}
         assert told[7:] == told[:7]
 
-    def test_no_more_are_told_than_may_be(self) -> None:
+    def test_unheard_addresses_count_against_the_limit(self) -> None:
         """A host of a large fleet sends ten times what control may send.
 
         Sequence: peers tell of hundreds of hosts that were not heard yet.
@@ -248,7 +248,9 @@
     """Two sides that have forgotten each other."""
 
     @pytest.mark.parametrize("size", [4, 40])
-    def test_the_sides_of_a_long_cut_meet_again(self, size: int) -> None:
+    def test_both_sides_of_a_long_cut_find_each_other_again(
+        self, size: int
+    ) -> None:
         """Each side goes on as if it were the whole fleet.
 
         Sequence: forty hosts on each side of a cut of two minutes, after
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -32,13 +32,13 @@
         assert max(pauses) < 1.2
         assert pauses == sorted(pauses) or pauses[-1] > pauses[0]
 
-    def test_one_try_at_a_time(self) -> None:
+    def test_not_probed_again_while_a_probe_runs(self) -> None:
         reachability = Reachability()
         reachability.failed(A, 0.0)
         assert reachability.due(0.5) == [A]
         assert reachability.due(0.6) == []
 
-    def test_a_data_centre_that_is_cut_off_is_tried_in_turn(self) -> None:
+    def test_upstreams_behind_a_cut_are_probed_one_at_a_time(self) -> None:
         """A cut of seconds costs thousands of connections.
 
         Sequence: a data centre of twenty upstreams is cut off; each of many
@@ -65,7 +65,7 @@
         back |= {e.incarnation for e in reachability.due(8.4)}
         assert len(back) == len(far) - 1
 
-    def test_a_few_are_tried_each_for_itself(self) -> None:
+    def test_few_unreachable_upstreams_are_probed_independently(self) -> None:
         reachability = Reachability()
         for name in "abc":
             reachability.failed(upstream(name), 0.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
@@ -21,7 +21,9 @@
     """Sizes in, numbers of reports out."""
 
     @pytest.mark.parametrize("size", [40, 300, 1400])
-    def test_many_peers_do_not_exceed_it(self, size: int) -> None:
+    def test_reports_to_many_peers_stay_within_the_budget(
+        self, size: int
+    ) -> None:
         """Control takes 64 KB/s of a host's link.
 
         Sequence: sixteen peers are told ten times a second. Cause: a period
@@ -29,7 +31,7 @@
         """
         assert 0.8 * 30_000 <= _sent(size, 16, 10) <= 30_000 + 1500 + size
 
-    def test_few_peers_are_told_each_round(self) -> None:
+    def test_few_peers_get_a_report_each_round(self) -> None:
         assert _sent(100, 2, 10) == 100 * 2 * 100
 
     def test_a_pause_saves_up_for_no_more_than_half_a_second(self) -> None:
@@ -58,17 +60,17 @@
             sent += count
         assert sent * 50 > 10 * 3000.0 * (1 - QUERY_SHARE) * 0.8
 
-    def test_a_host_that_sent_too_much_asks_no_more_for_a_while(self) -> None:
+    def test_host_over_its_query_budget_stops_asking(self) -> None:
         rate = ReportRate(3000.0)
         assert rate.may_ask(0.0)
         rate.spend_on_queries(100_000)
         assert not rate.may_ask(0.1)
         assert rate.may_ask(1.1)
 
-    def test_without_queries_reports_have_all(self) -> None:
+    def test_without_queries_reports_use_the_whole_budget(self) -> None:
         assert _sent(100, 16, 10) > 0.9 * 30_000
 
-    def test_a_burst_of_some_seconds_is_paid_from_what_was_saved(self) -> None:
+    def test_query_budget_covers_a_burst_of_ten_seconds(self) -> None:
         """Streams of a burst fail late instead of being refused in time.
 
         Sequence: for ten seconds a host places half as many requests again as
@@ -83,7 +85,7 @@
             rate.spend_on_queries(330)
         assert asked == 100
 
-    def test_with_queries_the_sum_keeps_to_the_budget(self) -> None:
+    def test_queries_and_reports_together_stay_within_the_budget(self) -> None:
         rate = ReportRate(3000.0)
         sent = 0
         for step in range(1000):
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -207,7 +207,7 @@
         assert busiest <= 1.0
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_is_most_of_what_is_allowed_where_all_hear_all(
+    def test_most_of_the_budget_is_usable_where_all_hear_all(
         self, count: int
     ) -> None:
         """Callers lose their second try for want of whole retries a host."""
@@ -236,14 +236,14 @@
             spent += 1
         assert spent == budget.account(SERVICE, 0.0).spent == 4
 
-    def test_a_lone_host_that_has_just_started_sends_again(self) -> None:
+    def test_lone_host_may_retry_right_after_its_start(self) -> None:
         """A lone host refuses its first requests for want of peers."""
         spent = [_spend_all(started_s) for started_s in (-60.0, 0.0)]
         assert spent[1] >= 1
         # Of the process before it and of its own, within one window.
         assert sum(spent) <= BOUNDS.retry_slack + BOUNDS.retry_share
 
-    def test_services_do_not_share(self) -> None:
+    def test_services_have_separate_budgets(self) -> None:
         budget = _alone(Bounds(retry_share=0.5))
         for _ in range(10):
             budget.on_first_try(SERVICE, 0.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
@@ -38,7 +38,9 @@
         assert found.name == name
 
     @pytest.mark.parametrize("path", ["/a", "/", "/b/a/", "", "/a?/a/"])
-    def test_no_prefix(self, path: str) -> None:
+    def test_path_without_a_matching_prefix_has_no_route(
+        self, path: str
+    ) -> None:
         index = RouteIndex(table(route("short", "/a/")))
         assert index.find("h.example", path) is NoRoute.UNKNOWN
 
@@ -82,7 +84,7 @@
         assert ranks == sorted(set(ranks))
 
     @pytest.mark.parametrize("priorities", [(0, 1, 2), (1, 4, 7), (0, 8, 30)])
-    def test_is_a_number_that_engines_know(
+    def test_urgency_is_one_that_engines_support(
         self, priorities: tuple[int, ...]
     ) -> None:
         """Requests of different routes are dropped as if they were alike.
@@ -96,7 +98,9 @@
         assert ranks == sorted(set(ranks))
         assert 0 <= ranks[0] <= ranks[-1] <= LEAST_URGENT
 
-    def test_does_not_follow_from_which_priorities_are_in_use(self) -> None:
+    def test_urgency_does_not_depend_on_which_priorities_are_in_use(
+        self,
+    ) -> None:
         """Running requests have numbers of another scale than new ones.
 
         Sequence: the only key of a customer of priority 0 is revoked. Cause:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -134,7 +134,7 @@
 class TestIncarnations:
     """Upstreams that start again under the name that they had."""
 
-    def test_a_new_life_is_another_incarnation(self) -> None:
+    def test_restart_is_another_incarnation(self) -> None:
         """An empty engine gets the prompts that the one before had cached.
 
         Sequence: an engine crashes and starts again under its name. Cause:
@@ -147,7 +147,7 @@
         assert fleet.take_ended() == [Ended("a@5", is_superseded=True)]
         assert "a@5" not in fleet
 
-    def test_an_older_life_never_replaces_a_newer_one(self) -> None:
+    def test_older_incarnation_never_replaces_a_newer_one(self) -> None:
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9))
         assert not fleet.put(upstream("a", born_ms=5))
@@ -155,7 +155,7 @@
         assert _names(fleet) == ["a@9"]
         assert fleet.take_ended() == []
 
-    def test_marks_of_the_life_before_end_with_it(self) -> None:
+    def test_marks_end_with_their_incarnation(self) -> None:
         """A restarted upstream never gets work again.
 
         Sequence: it leaves, or another one answers at its address; it starts
@@ -170,21 +170,21 @@
         fleet.put(upstream("b", born_ms=9))
         assert _names(fleet) == ["a@9", "b@9"]
 
-    def test_a_lapse_of_the_life_before_does_not_end_the_new_one(self) -> None:
+    def test_lapse_of_an_older_incarnation_spares_the_newer(self) -> None:
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         fleet.remove("a", 10.0, may_have_lapsed=True)
         fleet.put(upstream("a", born_ms=9))
         assert _names(fleet, 10.0 + 2 * LAPSE_S) == ["a@9"]
 
-    def test_the_later_life_holds_an_address(self) -> None:
+    def test_newer_incarnation_keeps_a_shared_address(self) -> None:
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9, port=7))
         fleet.put(upstream("b", born_ms=5, port=7))
         assert _names(fleet) == ["a@9"]
         assert fleet.take_ended() == [Ended("b@5", is_superseded=True)]
 
-    def test_what_lapses_or_leaves_has_ended_too(self) -> None:
+    def test_lapsed_and_removed_upstreams_have_ended(self) -> None:
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         fleet.put(upstream("b"))
