--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_builders.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_builders.py
@@ -1,4 +1,4 @@
-"""Builds the values that the tests of this package need, with few words."""
+"""Builds values for the tests of this package."""
 
 from hollyknot_state import Address, HostReport, UpstreamUse
 from hollyknot_state.routes import (
@@ -27,7 +27,7 @@
     data_centre: str = "north",
     born_ms: int = 0,
 ) -> UpstreamEntry:
-    """Returns an entry whose address follows from its name."""
+    """Returns an entry whose address is derived from its name."""
     return UpstreamEntry(
         name=name,
         service=service,
@@ -50,7 +50,7 @@
     *,
     may_resume: bool = False,
 ) -> Route:
-    """Returns a route to the engines."""
+    """Returns a route to the service `engines`."""
     return Route(
         name=name,
         host=host,
@@ -67,7 +67,7 @@
 
 
 def table(*routes: Route, **owners: int | None) -> RouteTable:
-    """Returns a table; owners are given as key=priority."""
+    """Returns a table whose keys have the given priorities, as key=priority."""
     return RouteTable(
         version=1,
         routes=routes,
@@ -80,7 +80,7 @@
 
 
 def call(*parts: tuple[str, int]) -> CallTraits:
-    """Returns a request whose prompt has these parts."""
+    """Returns a request whose prompt has these parts, as (name, tokens)."""
     return CallTraits(
         attempt_id="a1",
         prompt=tuple(PromptPart(name, tokens) for name, tokens in parts),
@@ -96,7 +96,7 @@
     contacts: tuple[Address, ...] = (),
     uses: tuple[UpstreamUse, ...] = (),
 ) -> HostReport:
-    """Returns a report."""
+    """Returns a full report of a host."""
     return HostReport(
         host=host,
         incarnation=incarnation,
@@ -110,5 +110,5 @@
 
 
 def address_of(host: str) -> Address:
-    """Returns where a host of this name takes reports."""
+    """Returns the address at which a host of this name receives reports."""
     return Address("127.0.0.1", 2000 + sum(host.encode()))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Tests of what cold upstreams get, summed over hosts that share nothing."""
+"""Tests the request rate at cold upstreams, summed over independent hosts."""
 
 import random
 from collections import deque
@@ -20,7 +20,8 @@
 
 COLD_START = ColdStart(rate=7.6, lasts_s=3.0)
 MOST_IN_A_SECOND = 16
-"""What the upstreams are promised: half as much again as their rate, and 5."""
+"""Requests that a cold upstream may get within any second: 1.5 times its rate,
+plus 5."""
 
 LONG_S = 30.0
 _STEP_S = 0.01
@@ -43,7 +44,7 @@
     """Lets all hosts send to a cold upstream whenever they may.
 
     Returns:
-        How many requests it got in its busiest second, and in all.
+        Number of requests in the busiest second, and in total.
     """
     rng = random.Random(1)
     recent: deque[float] = deque()
@@ -62,7 +63,7 @@
 
 
 class TestColdStarts:
-    """All hosts together stay below the rate, and use a good part of it."""
+    """Keeps the sum over all hosts below the rate, but uses much of it."""
 
     @pytest.mark.parametrize("count", [1, 8, 83, 400])
     @pytest.mark.parametrize("seed", range(4))
@@ -71,9 +72,8 @@
     ) -> None:
         """An upstream that has just started crashes again and again.
 
-        Sequence: it starts, idle, while others are busy; each host sees that
-        and sends what it has. Cause: nothing bounded the sum of what hosts
-        send that know nothing of each other.
+        It is idle while others are busy, so that each host sends it requests,
+        and no limit holds for the sum over hosts that share no state.
         """
         hosts = [
             _host(seed * 1000 + n, is_alone=count == 1) for n in range(count)
@@ -86,11 +86,9 @@
         assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 2
 
     def test_permits_are_not_saved_up(self) -> None:
-        """A burst after a calm minute crashes an upstream that is still cold.
+        """A burst after an idle minute crashes an upstream that is still cold.
 
-        Sequence: for a minute nobody has a request for it; then all have at
-        the same moment. Cause: each host still held the permit it had not
-        used.
+        It happens if each host keeps a permit that it did not use.
         """
         hosts = [_host(n) for n in range(200)]
         for host in hosts:
@@ -100,10 +98,10 @@
         assert at_once <= MOST_IN_A_SECOND
 
     def test_a_host_that_knows_nobody_sends_nothing(self) -> None:
-        """Hosts that are killed together crash what they left.
+        """Hosts that restart at the same time crash a cold upstream.
 
-        Sequence: all hosts start anew while an upstream is cold, and know no
-        peer yet. Cause: each took itself for the only one.
+        It happens if a host that knows no peer yet takes itself for the only
+        one.
         """
         host = _host(1, started_s=0.0)
         host.size.set(1, 1, 0.0)
@@ -128,10 +126,10 @@
         assert total <= 2
 
     def test_peers_that_are_cut_off_still_count(self) -> None:
-        """Both sides of a cut send a cold upstream the whole of its rate.
+        """Both sides of a partition send a cold upstream its whole rate.
 
-        Sequence: hosts lose sight of most others, which reach the same
-        upstreams as before. Cause: the share followed those that are heard.
+        It happens if the rate is divided only by the hosts that are heard,
+        while the others still reach the same upstreams.
         """
         hosts = [_host(n) for n in range(80)]
         for host in hosts:
@@ -174,11 +172,11 @@
     def test_upstream_read_before_the_routes_counts_as_cold(
         self,
     ) -> None:
-        """Hosts that have just started crash upstreams that have, too.
+        """Hosts and upstreams that start together crash the upstreams.
 
-        Sequence: hosts and upstreams start together; a host reads the entries
-        of upstreams before the routes, which say what cold ones bear. Cause:
-        an entry whose service was not known yet was taken for a warm one.
+        The rate of cold upstreams is in the routes, which a host may read
+        after the entries. It happens if an upstream whose service is not known
+        yet counts as warm.
         """
         services: dict[str, ColdStart] = {}
         size = HostCount(0.0, is_alone=False)
@@ -189,10 +187,10 @@
         assert not host.take("a", 0.1)
 
     def test_upstream_with_a_permit_is_offered(self) -> None:
-        """An upstream gets nothing until it is warm.
+        """An upstream gets no requests until it is warm.
 
-        Sequence: most permits lapse, since a request looks at a few upstreams
-        by chance. Cause: those with a permit were not among them.
+        A request considers only a few random upstreams, so that most permits
+        lapse unless upstreams with a permit are always among them.
         """
         host = _host(1)
         host.size.set(8, 8, 0.0)
@@ -203,5 +201,5 @@
         offered = [host.permitted(entries, n * _STEP_S) for n in range(steps)]
         assert [entries[0]] in offered
         assert [] in offered
-        open_ones = [host.closed(entries, n * _STEP_S) for n in range(steps)]
-        assert set(open_ones) == {frozenset({"a"}), frozenset()}
+        closed = [host.closed(entries, n * _STEP_S) for n in range(steps)]
+        assert set(closed) == {frozenset({"a"}), frozenset()}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_contacts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_contacts.py
@@ -1,4 +1,4 @@
-"""Tests of which addresses are tried, and how often."""
+"""Tests which addresses are contacted, and how often."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class TestContacts:
-    """Tries of addresses that have not answered."""
+    """Retries addresses that have not answered, with backoff and limits."""
 
     def test_never_tries_its_own_address(self) -> None:
         contacts = _contacts(OWN)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of ejecting upstreams by what becomes of requests."""
+"""Tests the ejection of upstreams by the outcomes of requests."""
 
 from hollyknot_coordination.forwarding import Health
 from hollyknot_coordination.forwarding.tests._builders import upstream
@@ -15,7 +15,7 @@
 
 
 class TestHealth:
-    """Shares of failures, compared with the others of the service."""
+    """Compares an upstream's failures with the others of its service."""
 
     def test_failing_upstream_is_ejected_for_a_while(self) -> None:
         health = Health()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts find each other."""
+"""Tests how hosts find each other by gossip."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class TestPeers:
-    """Reports in, addresses out."""
+    """Processes reports, and chooses the targets of reports."""
 
     def test_all_hosts_know_each_other_by_one_live_seed(self) -> None:
         names = [f"host{i}" for i in range(8)]
@@ -40,8 +40,8 @@
             for name, target, contacts in sent:
                 for other, host in hosts.items():
                     if address_of(other) == target:
-                        told = report(name, step + 1, contacts=contacts)
-                        host.take(told, now_s)
+                        received = report(name, step + 1, contacts=contacts)
+                        host.take(received, now_s)
         assert [host.count for host in hosts.values()] == [7] * 8
 
     def test_never_sends_a_report_to_itself(self) -> None:
@@ -70,39 +70,39 @@
     def test_a_data_centre_is_silent_only_if_all_its_hosts_are(self) -> None:
         peers = _peers("a")
         for step in range(10):
-            told = report("b", sequence=step, data_centre="south")
-            peers.take(told, step * 0.1)
-            told = report("c", sequence=step, data_centre="south")
-            peers.take(told, step * 0.1 + 0.05)
-            told = report("d", sequence=step, data_centre="east")
-            peers.take(told, step * 0.1)
+            received = report("b", sequence=step, data_centre="south")
+            peers.take(received, step * 0.1)
+            received = report("c", sequence=step, data_centre="south")
+            peers.take(received, step * 0.1 + 0.05)
+            received = report("d", sequence=step, data_centre="east")
+            peers.take(received, step * 0.1)
         peers.take(report("b", sequence=10, data_centre="south"), 1.2)
         assert peers.silent_data_centres(1.29) == set()
         assert peers.silent_data_centres(1.35) == {"east"}
         assert peers.silent_data_centres(1.65) == {"east", "south"}
 
     def test_own_data_centre_is_never_silent(self) -> None:
-        """Upstreams beside a host are probed, and their crashes excused.
+        """Crashes of upstreams in a host's own data centre count as a cut.
 
-        Sequence: all other hosts of its data centre are restarted. Cause:
-        their silence was taken for a cut.
+        It happens if all other hosts there restart, and their silence is taken
+        for a network partition.
         """
         peers = _peers("a")
         for step in range(10):
-            told = report("b", sequence=step, data_centre="north")
-            peers.take(told, step * 0.1)
+            received = report("b", sequence=step, data_centre="north")
+            peers.take(received, step * 0.1)
         assert peers.silent_data_centres(3.0) == set()
 
     def test_a_data_centre_that_seldom_reports_is_not_silent(self) -> None:
-        """All upstreams of a calm data centre are probed, again and again.
+        """All upstreams of a healthy data centre are probed again and again.
 
-        Sequence: one host of it reports every 0.7 s, as the budget of bytes
-        allows. Cause: a fixed bound of 0.4 s for its silence.
+        It happens if its only host reports every 0.7 s, as the byte budget
+        allows, and any silence of 0.4 s counts.
         """
         peers = _peers("a")
         for step in range(8):
-            told = report("b", sequence=step, data_centre="south")
-            peers.take(told, step * 0.7)
+            received = report("b", sequence=step, data_centre="south")
+            peers.take(received, step * 0.7)
         assert peers.silent_data_centres(4.9 + 0.7) == set()
         assert peers.silent_data_centres(4.9 + 2.9) == {"south"}
         assert len(peers.fresh(4.9 + 1.4)) == 1
@@ -111,8 +111,8 @@
         peers = _peers("a")
         times = [step * 0.1 for step in range(20)]
         for number, now_s in enumerate((*times, 20.0, 20.1, 20.2)):
-            told = report("b", sequence=number, data_centre="south")
-            peers.take(told, now_s)
+            received = report("b", sequence=number, data_centre="south")
+            peers.take(received, now_s)
         assert peers.silent_data_centres(21.1) == {"south"}
 
     def test_use_report_changes_only_its_own_fields(self) -> None:
@@ -121,8 +121,12 @@
         uses = (UpstreamUse(7, (100,), 1, 2),)
         peers.take_uses(UseReport(1, 2, uses), 0.3)
         peers.take_uses(UseReport(1, 1), 0.4)
-        (told,) = peers.fresh(0.4)
-        assert (told.host, told.table_version, told.uses) == ("b", 9, uses)
+        (received,) = peers.fresh(0.4)
+        assert (received.host, received.table_version, received.uses) == (
+            "b",
+            9,
+            uses,
+        )
 
     def test_partial_use_report_keeps_demands_and_running_streams(
         self,
@@ -134,9 +138,9 @@
         peers.take_uses(whole, 0.1)
         waiting = (UpstreamUse(8, (30,), 1, 0),)
         peers.take_uses(UseReport(1, 3, waiting, is_whole=False), 0.2)
-        (told,) = peers.fresh(0.3)
-        assert told.demands == demands
-        assert told.uses == (UpstreamUse(7, (), 0, 3), *waiting)
+        (received,) = peers.fresh(0.3)
+        assert received.demands == demands
+        assert received.uses == (UpstreamUse(7, (), 0, 3), *waiting)
 
     def test_use_report_of_an_unknown_peer_is_ignored(self) -> None:
         peers = _peers("a")
@@ -148,10 +152,10 @@
         assert peers.fresh(0.2)[0].uses == ()
 
     def test_restarted_peer_gets_a_full_report(self) -> None:
-        """A host that was restarted hears nobody for seconds.
+        """A restarted host knows no peers for several seconds.
 
-        Sequence: it comes back at its address; its peers tell it only what
-        has changed. Cause: details were due for its address only later.
+        It happens if its peers send only use reports to its address until the
+        next full report is due.
         """
         peers = _peers("a")
         peers.take(report("b", sequence=9), 0.0)
@@ -177,15 +181,15 @@
         peers = _peers("a")
         for name in "bcdefgh":
             peers.take(report(name), 0.0)
-        told = [peers.targets(step / 10, 1)[0] for step in range(1, 15)]
-        assert set(told[:7]) == {address_of(name) for name in "bcdefgh"}
-        assert told[7:] == told[:7]
+        targets = [peers.targets(step / 10, 1)[0] for step in range(1, 15)]
+        assert set(targets[:7]) == {address_of(name) for name in "bcdefgh"}
+        assert targets[7:] == targets[:7]
 
     def test_unheard_addresses_count_against_the_limit(self) -> None:
-        """A host of a large fleet sends ten times what control may send.
+        """A host sends ten times the control traffic that it may.
 
-        Sequence: peers tell of hundreds of hosts that were not heard yet.
-        Cause: addresses that were only heard of came on top of the limit.
+        Peers name hundreds of hosts that were not heard yet. It happens if
+        reports to these addresses do not count against the limit.
         """
         peers = _peers("a", "seed")
         for index in range(5):
@@ -195,38 +199,37 @@
             assert len(peers.targets(1.0 + most, most)) <= most
 
     def test_dead_addresses_do_not_keep_reports_from_peers(self) -> None:
-        """Live hosts hear nothing of each other where many were replaced.
+        """Live hosts do not hear each other after many hosts were replaced.
 
-        Sequence: peers tell of twenty addresses whose hosts are gone; the
-        budget pays for one report a round. Cause: each dead address is tried
-        once a second, and is tried before a peer is told.
+        The budget allows one report a round. It happens if each of twenty dead
+        addresses is tried once a second, before any peer.
         """
         peers = _peers("a")
         gone = tuple(Address("127.0.0.9", 1 + n) for n in range(20))
         for name in "bcdefgh":
             peers.take(report(name, contacts=gone), 0.0)
-        told = {
+        targets = {
             target
             for step in range(1, 11)
             for target in peers.targets(step / 10, 1)
         }
-        assert told & {address_of(name) for name in "bcdefgh"}
+        assert targets & {address_of(name) for name in "bcdefgh"}
 
 
 def _exchange(
     hosts: dict[str, Peers], number: int, now_s: float, *, is_cut: bool
 ) -> None:
-    """Plays one round of reports between hosts, each of which sends three.
+    """Simulates one round in which each host sends up to three reports.
 
     Args:
         hosts: All hosts; the first letter of a name is its data centre.
-        number: Of the round.
-        now_s: The time.
-        is_cut: Whether nothing passes between data centres.
+        number: Sequence number of the round's reports.
+        now_s: Current time, in seconds.
+        is_cut: Whether reports between data centres are lost.
     """
     by_address = {_unique(name): name for name in hosts}
     for name, host in hosts.items():
-        told = attrs.evolve(
+        sent = attrs.evolve(
             report(name, number, data_centre=name[0]),
             incarnation=_unique(name).port,
             address=_unique(name),
@@ -235,7 +238,7 @@
         for target in host.targets(now_s, 3):
             other = by_address.get(target)
             if other is not None and not (is_cut and other[0] != name[0]):
-                hosts[other].take(told, now_s)
+                hosts[other].take(sent, now_s)
     for host in hosts.values():
         host.expire(now_s)
 
@@ -245,18 +248,17 @@
 
 
 class TestAfterCut:
-    """Two sides that have forgotten each other."""
+    """The two sides of a partition after they have forgotten each other."""
 
     @pytest.mark.parametrize("size", [4, 40])
     def test_both_sides_of_a_long_cut_find_each_other_again(
         self, size: int
     ) -> None:
-        """Each side goes on as if it were the whole fleet.
+        """The two sides of a partition never hear of each other again.
 
-        Sequence: forty hosts on each side of a cut of two minutes, after
-        which the cut ends; the seeds have long been replaced. Cause: a host
-        that knows of more than 32 peers tried no other addresses, so that
-        neither side ever heard of the other again.
+        The partition lasts two minutes, and the seeds have been replaced. It
+        happens if a host that knows more than 32 peers tries no other
+        addresses.
         """
         names = [f"{side}{i}" for side in "ns" for i in range(size)]
         seeds = (_unique("n0"), _unique("s0"))
@@ -283,7 +285,7 @@
 
 
 class TestEstimate:
-    """How many peers there are, from those that were heard."""
+    """Estimates the number of peers from those that were heard."""
 
     @pytest.mark.parametrize("hosts", [1, 7, 99])
     def test_exact_where_all_are_heard(self, hosts: int) -> None:
@@ -294,10 +296,10 @@
     def test_near_where_some_are_heard(
         self, hosts: int, reports: int, seed: int
     ) -> None:
-        """Retries of all hosts together come to four times the slack.
+        """The retries of all hosts together are four times the slack.
 
-        Sequence: 2,500 hosts, of which each hears 600 in a minute; each takes
-        its share of the slack. Cause: those heard were taken for all.
+        Each of 2,500 hosts hears 600 others in a minute. It happens if each
+        divides the slack only by the number that it has heard.
         """
         rng = random.Random(seed)
         heard = {rng.randrange(hosts) for _ in range(reports)}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Tests of keeping requests from upstreams that can't be reached."""
+"""Tests which upstreams count as unreachable, and when they are probed."""
 
 from hollyknot_coordination.forwarding import Reachability
 from hollyknot_coordination.forwarding.tests._builders import upstream
@@ -7,7 +7,7 @@
 
 
 class TestReachability:
-    """One failure keeps requests away, one connection brings them back."""
+    """A failure makes an upstream unreachable, a connection ends that."""
 
     def test_failure_and_success(self) -> None:
         reachability = Reachability()
@@ -39,11 +39,10 @@
         assert reachability.due(0.6) == []
 
     def test_upstreams_behind_a_cut_are_probed_one_at_a_time(self) -> None:
-        """A cut of seconds costs thousands of connections.
+        """A partition of several seconds costs thousands of connections.
 
-        Sequence: a data centre of twenty upstreams is cut off; each of many
-        hosts tries each of them once a second. Cause: each upstream was tried
-        for itself, though all are behind the same cut.
+        It happens if each of many hosts probes each upstream of the data
+        centre once a second, though all are behind the same cut.
         """
         reachability = Reachability()
         far = [upstream(f"far-{n:02}") for n in range(20)]
@@ -57,7 +56,7 @@
                 reachability.failed(entry, now_s)
         assert len(tries) <= 13
         assert len({entry.incarnation for entry in tries}) == len(tries)
-        # The cut ends: the next one in turn is reached, and all are tried.
+        # The cut ends: the next single probe connects, and all are probed.
         found = reachability.due(6.5)
         assert len(found) == 1
         assert reachability.succeeded(found[0].incarnation, 6.5)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of bytes for reports."""
+"""Tests the budget of bytes that a host may send its peers."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def _sent(size: int, wanted: int, seconds: int) -> int:
-    """Returns the bytes that are sent in a time, ten rounds a second."""
+    """Returns the bytes sent within some seconds, at ten rounds a second."""
     rate = ReportRate(3000.0)
     sent = 0
     for step in range(seconds * 10):
@@ -18,16 +18,16 @@
 
 
 class TestReportRate:
-    """Sizes in, numbers of reports out."""
+    """Limits the number of reports by their size."""
 
     @pytest.mark.parametrize("size", [40, 300, 1400])
     def test_reports_to_many_peers_stay_within_the_budget(
         self, size: int
     ) -> None:
-        """Control takes 64 KB/s of a host's link.
+        """Reports to sixteen peers take 64 KB/s of a host's link.
 
-        Sequence: sixteen peers are told ten times a second. Cause: a period
-        without regard to the size and number of reports.
+        It happens if reports are sent ten times a second whatever their size
+        and number.
         """
         assert 0.8 * 30_000 <= _sent(size, 16, 10) <= 30_000 + 1500 + size
 
@@ -42,14 +42,13 @@
 
 
 class TestQueries:
-    """What requests wait for has a part of the budget to itself."""
+    """Queries, answers and notes have their own part of the budget."""
 
     def test_a_busy_tracker_still_reports(self) -> None:
-        """Hosts ask and tell different trackers about one upstream.
+        """Hosts use different load trackers for one upstream.
 
-        Sequence: in a burst a tracker is asked for more than it may send; it
-        sends no reports, and its peers forget it, each at another moment.
-        Cause: its answers took all of its budget.
+        In a burst of queries a tracker's answers use up its whole budget. It
+        sends no reports, and its peers forget it at different times.
         """
         rate = ReportRate(3000.0)
         sent = 0
@@ -73,10 +72,10 @@
     def test_query_budget_covers_a_burst_of_ten_seconds(self) -> None:
         """Streams of a burst fail late instead of being refused in time.
 
-        Sequence: for ten seconds a host places half as many requests again as
-        its budget pays for. Cause: only half a second of the budget was saved
-        up, and choices went by old reports. Emulated, 83 hosts at 1.3 times the
-        usual load: 740 of 6,700 long streams failed, 273 with ten seconds.
+        For ten seconds a host routes 1.5 times as many requests as its query
+        budget covers. With a burst size of half a second, it chooses by
+        outdated reports: with 83 hosts at 1.3 times the usual load, 740 of
+        6,700 long streams failed, but 273 with a burst size of ten seconds.
         """
         rate = ReportRate(3000.0)
         asked = 0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget that all hosts keep without a word."""
+"""Tests the retry budget, alone and summed over hosts that share no state."""
 
 import math
 import random
@@ -18,8 +18,8 @@
 STEP_S = 0.5
 
 MIN_USED_FRACTION = 0.6
-"""Of what is allowed, where all hosts hear all: callers keep their second try.
-"""
+"""Fraction of the allowed retries that has to be usable if all hosts hear each
+other, so that callers get their second try."""
 
 
 def _alone(bounds: Bounds) -> RetryBudget:
@@ -28,7 +28,7 @@
 
 
 def _spend_all(started_s: float) -> int:
-    """Returns the retries of a lone host whose only request failed."""
+    """Returns how often a lone host may retry its only request."""
     size = HostCount(started_s, is_alone=True)
     budget = RetryBudget(BOUNDS, size, random.Random(1))
     budget.on_first_try(SERVICE, 0.0)
@@ -41,7 +41,13 @@
 
 @attrs.define
 class _Host:
-    """One host of a fleet."""
+    """A simulated host.
+
+    Attributes:
+        size: Its count of the hosts.
+        budget: Its retry budget.
+        paused_until_s: Time until which it is suspended, in seconds.
+    """
 
     size: HostCount
     budget: RetryBudget
@@ -50,7 +56,15 @@
 
 @attrs.define
 class _Fleet:
-    """Hosts that send each failed request once more while they may."""
+    """Simulated hosts that retry each failed request once if they may.
+
+    Attributes:
+        count: Number of hosts.
+        rng: Source of all random choices.
+        hosts: The hosts.
+        requests: Time of each step, and the requests sent in it.
+        retries: Time of each step, and the retries sent in it.
+    """
 
     count: int
     rng: random.Random
@@ -64,11 +78,12 @@
         return _Host(size, RetryBudget(BOUNDS, size, self.rng))
 
     def step(self, now_s: float, a_second: float) -> tuple[float, float]:
-        """Sends the requests of one step; all fail.
+        """Sends the requests of one step, all of which fail.
 
         Returns:
-            The retries in the window that ends now, as a part of what is
-            allowed, and as a part of that or of what callers want.
+            The retries in the window that ends now, as a fraction of those
+            allowed, and as a fraction of those allowed or of the requests,
+            whichever is less.
         """
         wanted = a_second * STEP_S
         count = int(wanted) + (self.rng.random() < wanted % 1)
@@ -120,7 +135,7 @@
 
 
 def _restarted_again_and_again(fleet: _Fleet, now_s: float) -> None:
-    """All hosts are killed every seven seconds, and hear ever more."""
+    """Restarts all hosts every seven seconds; each then hears more and more."""
     since_s = now_s % 7.0
     if since_s == 0.0:
         fleet.hosts = [fleet.start(now_s) for _ in fleet.hosts]
@@ -130,7 +145,7 @@
 
 
 def _paused_and_resumed(fleet: _Fleet, now_s: float) -> None:
-    """Most hosts stand still for a while, and then have forgotten all peers."""
+    """Suspends most hosts for a while; then they know no peers."""
     if now_s % 20.0 == 0.0:
         for host in fleet.rng.sample(fleet.hosts, round(fleet.count * 0.8)):
             host.paused_until_s = now_s + 5.0
@@ -142,7 +157,7 @@
 
 
 def _alone_for_long(fleet: _Fleet, now_s: float) -> None:
-    """All hosts hear nobody until everything is forgotten, then a few."""
+    """Lets hosts hear nobody until the peak count is forgotten, then a few."""
     is_apart = now_s < PEAK_RETENTION_S + 5.0
     heard = 1 if is_apart else min(3, fleet.count)
     for host in fleet.hosts:
@@ -157,7 +172,12 @@
 def _busiest(
     count: int, state: State, a_second: float, seconds: float
 ) -> tuple[float, float]:
-    """Returns the largest part of what is allowed, and the last one used."""
+    """Returns the largest and last fractions that the steps returned.
+
+    The first is the largest fraction of the allowed retries that was sent in
+    any window; the second is that of the last window, by the allowed retries
+    or the requests, whichever were less.
+    """
     fleet = _Fleet(count, random.Random(count))
     fleet.hosts = [fleet.start(-30.0) for _ in range(count)]
     busiest = used = 0.0
@@ -170,16 +190,16 @@
 
 SIZES = (8, 83, 300, 2500)
 RATES = (5.0, 40.0, 353.0, 2000.0)
-"""Requests a second of all hosts together: the slack counts most where there
-are few, the share where there are many."""
+"""Requests per second of all hosts together. Few requests test the slack, many
+test the share."""
 
 RATES_OF_A_HOST = (1.1, 4.3, 12.0)
-"""Requests a second of one host to a service: a small service's at the larger
-deployments, their engines', and a busier host's."""
+"""Requests per second of one host to a service: a small service and the engines
+of the larger deployments, and a busier host."""
 
 
 class TestSumOverHosts:
-    """What all hosts together send again, by what each of them knows."""
+    """The retries of all hosts together, by what each host knows."""
 
     @pytest.mark.parametrize("count", SIZES)
     @pytest.mark.parametrize(
@@ -193,14 +213,14 @@
         ],
     )
     def test_is_never_more_than_allowed(self, count: int, state: State) -> None:
-        """Hosts that know few others each spend the slack of all."""
+        """Hosts that know few others each use the slack of all hosts."""
         for a_second in RATES:
             busiest, _ = _busiest(count, state, a_second, 42.0)
             assert busiest <= 1.0, a_second
 
     @pytest.mark.parametrize("count", SIZES)
     def test_is_never_more_after_a_long_cut(self, count: int) -> None:
-        """Hosts that come back from a long cut count from one again."""
+        """Hosts that heard nobody for long count from one again."""
         busiest, _ = _busiest(
             count, _alone_for_long, RATES[1], PEAK_RETENTION_S + 10.0
         )
@@ -210,14 +230,14 @@
     def test_most_of_the_budget_is_usable_where_all_hear_all(
         self, count: int
     ) -> None:
-        """Callers lose their second try for want of whole retries a host."""
+        """Callers get no retry since each host's allowance is below one."""
         for of_a_host in RATES_OF_A_HOST:
             _, used = _busiest(count, _all_hear_all, count * of_a_host, 30.0)
             assert used >= MIN_USED_FRACTION, of_a_host
 
 
 class TestRetryBudget:
-    """Shares of requests and of the slack of one host."""
+    """The retry budget of one host."""
 
     def test_the_window_slides(self) -> None:
         budget = _alone(Bounds(retry_share=0.5, retry_slack=0.0))
@@ -237,10 +257,10 @@
         assert spent == budget.account(SERVICE, 0.0).spent == 4
 
     def test_lone_host_may_retry_right_after_its_start(self) -> None:
-        """A lone host refuses its first requests for want of peers."""
+        """A lone host can't retry its first requests for lack of peers."""
         spent = [_spend_all(started_s) for started_s in (-60.0, 0.0)]
         assert spent[1] >= 1
-        # Of the process before it and of its own, within one window.
+        # The process before the restart and the new one share a window.
         assert sum(spent) <= BOUNDS.retry_slack + BOUNDS.retry_share
 
     def test_services_have_separate_budgets(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
@@ -1,4 +1,4 @@
-"""Tests of finding routes, owners and urgency."""
+"""Tests the lookup of routes and customers, and the urgency of requests."""
 
 import attrs
 import pytest
@@ -10,7 +10,7 @@
 
 
 class TestFind:
-    """By host, then by the longest prefix."""
+    """Finds routes by host, then by the longest prefix."""
 
     @pytest.mark.parametrize(
         ("host", "path", "name"),
@@ -50,7 +50,7 @@
 
 
 class TestOwner:
-    """Who holds a key."""
+    """Finds the customer that holds a key."""
 
     def test_known_unknown_and_not_needed(self) -> None:
         index = RouteIndex(table(route(), k1=None))
@@ -63,14 +63,13 @@
 
 
 class TestUrgency:
-    """The same figure at all hosts."""
+    """Computes the same urgency at all hosts."""
 
     def test_route_first_then_customer(self) -> None:
-        """Questions are dropped from an engine while reviews run on.
+        """An engine out of memory drops questions while it runs reviews.
 
-        Sequence: memory runs out at an engine; all customers but one have the
-        same priority. Cause: urgency by the customer alone, or by the customer
-        first, ranks reviews of one before questions of the others.
+        It happens if urgency depends on the customer alone or first: reviews
+        of one customer are then more urgent than questions of the others.
         """
         question, review = route("q", "/q/"), route("r", "/r/", priority=2)
         index = RouteIndex(table(question, review, first=0, usual=1))
@@ -87,10 +86,10 @@
     def test_urgency_is_one_that_engines_support(
         self, priorities: tuple[int, ...]
     ) -> None:
-        """Requests of different routes are dropped as if they were alike.
+        """Requests of different routes get the same urgency.
 
-        Sequence: routes have priorities of 4 and 7, and customers have some.
-        Cause: three times a route's priority, cut off at 9.
+        It happens with route priorities of 4 and 7, if these are multiplied by
+        three to make room for customers' priorities and limited to 9.
         """
         routes = [route(f"r{p}", f"/{p}/", priority=p) for p in priorities]
         index = RouteIndex(table(*routes, first=0, usual=1))
@@ -101,10 +100,10 @@
     def test_urgency_does_not_depend_on_which_priorities_are_in_use(
         self,
     ) -> None:
-        """Running requests have numbers of another scale than new ones.
+        """Running requests have urgencies on another scale than new ones.
 
-        Sequence: the only key of a customer of priority 0 is revoked. Cause:
-        urgencies were numbered by the priorities that the table had.
+        It happens if urgencies are numbered by the priorities in the table,
+        and the only key of a customer of priority 0 is revoked.
         """
         usual = KeyOwner("u", 1)
         before = RouteIndex(table(route(), first=0, usual=1))
@@ -118,7 +117,7 @@
 
 
 class TestLooseStreams:
-    """Which routes bear long pauses."""
+    """Finds routes whose streams tolerate long inter-token gaps."""
 
     @pytest.mark.parametrize(
         ("pauses_s", "are_loose"),
@@ -133,11 +132,12 @@
     def test_all_but_the_shortest_pauses_are_loose(
         self, pauses_s: tuple[float, ...], are_loose: tuple[bool, ...]
     ) -> None:
-        """Streams of the shortest pauses are late in each burst of the others.
+        """Streams with the shortest gap target are late in bursts of others.
 
-        Sequence: prompts of 2,000 tokens, whose streams bear 0.3 s, come beside
-        streams that bear 0.2 s. Cause: only the widest gap between pauses
-        divided them, so that both shared the few upstreams of one lane.
+        Prompts of 2,000 tokens, whose streams tolerate gaps of 0.3 s, arrive
+        beside streams that tolerate 0.2 s. It happens if routes are divided
+        only at the largest difference between targets, so that both kinds
+        share the few upstreams of one lane.
         """
         routes = [
             route(f"r{index}", f"/{index}/", gap_s=pause_s)
@@ -154,7 +154,7 @@
 
 
 class TestShedsFrom:
-    """Which streams may be refused under load."""
+    """Finds the urgency from which streams may be shed."""
 
     @pytest.mark.parametrize(
         ("priorities", "owner_priority", "sheds_from"),
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
@@ -1,4 +1,4 @@
-"""Tests of telling a cut data centre from one that is silent by chance."""
+"""Tests that a data centre that is cut off is told from a chance silence."""
 
 import random
 
@@ -12,20 +12,22 @@
 )
 
 FALSE_ALARMS_AN_HOUR = 10.0
-"""What a host may pay: each costs a connection to one upstream."""
+"""False alarms per hour that a host may raise. Each costs a connection to one
+upstream."""
 
 FOUND_S = 3.0
-"""Within which a cut has to be found in a large fleet: the time that callers'
-requests may hang before contact with a data centre counts as lost."""
+"""Seconds within which a cut has to be detected where there are many hosts.
+Callers' requests may hang for this long before contact with a data centre
+counts as lost."""
 
 _STEP_S = 0.1
 
 
 def _false_alarms(hosts: int, reports_a_second: float, hours: float) -> int:
-    """Returns how often a calm data centre is taken to be silent.
+    """Returns how often a reachable data centre is taken to be silent.
 
-    Each report is from one of the hosts by chance, as peers of many choose
-    whom to tell.
+    Each report is from a random host, since hosts with many peers choose the
+    targets of their reports at random.
     """
     rng = random.Random(hosts)
     detector = SilenceDetector("here")
@@ -40,7 +42,7 @@
 
 
 class TestChance:
-    """Reports that come at random are silent for long now and then."""
+    """Reports of many hosts arrive at random, with long gaps now and then."""
 
     @pytest.mark.parametrize(
         ("hosts", "reports_a_second"), [(28, 14.0), (39, 8.0), (39, 4.0)]
@@ -50,10 +52,10 @@
     ) -> None:
         """Hosts open six connections for each request that they forward.
 
-        Sequence: 195 hosts of five data centres, no cut; each host probes all
-        upstreams of a data centre several times a minute. Cause: a silence of
-        four usual distances between reports counted as one of a cut, but of
-        reports that come at random one in fifty is longer.
+        With 195 hosts in five data centres and no cut, each host probes all
+        upstreams of a data centre several times a minute. It happens if a
+        silence of four usual intervals counts as a cut, which one in fifty
+        gaps between random reports exceeds.
         """
         hours = 2.0
         alarms = _false_alarms(hosts, reports_a_second, hours)
@@ -72,7 +74,7 @@
 
 
 class TestFewHosts:
-    """Hosts that are few tell each other in turn, so that gaps are short."""
+    """Few hosts send reports in turn, so that gaps are short."""
 
     @pytest.mark.parametrize("hosts", [1, 2, 3])
     def test_a_cut_is_found_as_soon_as_reports_allow(self, hosts: int) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -1,4 +1,4 @@
-"""Tests of which upstreams may get work."""
+"""Tests which upstreams may get requests."""
 
 from hollyknot_coordination.forwarding import Ended, UpstreamRegistry
 from hollyknot_coordination.forwarding.tests._builders import upstream
@@ -11,7 +11,7 @@
 
 
 class TestUpstreamRegistry:
-    """Entries that come, drain, lapse and go."""
+    """Entries that are added, drain, lapse and are removed."""
 
     def test_order_is_the_same_whatever_order_entries_came_in(self) -> None:
         one, other = UpstreamRegistry(LAPSE_S), UpstreamRegistry(LAPSE_S)
@@ -40,12 +40,11 @@
         assert _names(fleet) == []
 
     def test_most_entries_going_at_once_have_lapsed(self) -> None:
-        """All requests are refused just after the directory has come back.
+        """All requests are refused just after the directory has recovered.
 
-        Sequence: the directory is down for longer than entries live, while
-        this host's watch is open and silent; a peer tells it of the return,
-        and it reads that all entries are gone. Cause: it had noticed no
-        failure, so that it took lapses for upstreams that have left.
+        While the directory is down, all entries lapse, and a host whose watch
+        stays open notices no failure. It happens if the host takes the missing
+        entries for upstreams that have left.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         for name in "abcdefgh":
@@ -67,11 +66,10 @@
     def test_entries_that_lapse_with_the_directory_keep_their_work(
         self,
     ) -> None:
-        """All requests are refused just after the directory has come back.
+        """All requests are refused just after the directory has recovered.
 
-        Sequence: the directory is down for longer than entries live; on its
-        return all are gone, and come back within two seconds. Cause: an entry
-        that is gone was taken for an upstream that is gone.
+        Entries that lapsed with the directory are written again within two
+        seconds. It happens if their upstreams get no requests until then.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
@@ -89,11 +87,11 @@
         assert "a" not in fleet
 
     def test_an_address_that_is_given_to_another_ends_the_first(self) -> None:
-        """A request of one service runs at another.
+        """A request to one service runs at another.
 
-        Sequence: an upstream crashes, its address is given to an upstream of
-        another service, its own entry has not lapsed yet. Cause: two entries
-        with one address were both believed.
+        An upstream crashes, and its address is assigned to an upstream of
+        another service before its entry lapses. It happens if both entries
+        with this address are used.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", port=7))
@@ -108,11 +106,11 @@
         assert _names(fleet) == []
 
     def test_an_entry_of_an_unknown_service_takes_no_address(self) -> None:
-        """A sound upstream gets no work any more.
+        """A healthy upstream gets no more requests.
 
-        Sequence: somebody writes an entry with its address and a service that
-        does not exist. Cause: the newer of two entries with one address held,
-        whoever wrote it.
+        Anybody may write an entry with its address and a service that does not
+        exist. It happens if the newer of two entries with one address is kept
+        in any case.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.set_services(["engines", "plain"])
@@ -132,13 +130,12 @@
 
 
 class TestIncarnations:
-    """Upstreams that start again under the name that they had."""
+    """Upstreams that restart under the same name."""
 
     def test_restart_is_another_incarnation(self) -> None:
-        """An empty engine gets the prompts that the one before had cached.
+        """A restarted engine gets prompts that only its predecessor had cached.
 
-        Sequence: an engine crashes and starts again under its name. Cause:
-        the name alone told incarnations apart.
+        It happens if incarnations are identified by the name alone.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
@@ -156,10 +153,10 @@
         assert fleet.take_ended() == []
 
     def test_marks_end_with_their_incarnation(self) -> None:
-        """A restarted upstream never gets work again.
+        """A restarted upstream never gets requests again.
 
-        Sequence: it leaves, or another one answers at its address; it starts
-        again under its name. Cause: the marks were kept by name.
+        It happens if the marks that it drains or was replaced at its address
+        are kept by name.
         """
         fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
