--- a/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -31,7 +31,7 @@
 upstreams that left at the same time."""
 
 
-REMEMBER_REMOVED_S = 60.0
+REMOVED_RETENTION_S = 60.0
 """Seconds for which a removed entry is remembered. A directory that is restored
 from an older copy may hold the entry again until it lapses."""
 
@@ -149,12 +149,12 @@
             known.lapses_at = min(known.lapses_at, now_s + self._lapse_s)
         else:
             self._end(incarnation, is_superseded=False)
-            self._note_removed(incarnation, now_s)
+            self._remember_removed(incarnation, now_s)
         return incarnation
 
-    def _note_removed(self, incarnation: str, now_s: float) -> None:
+    def _remember_removed(self, incarnation: str, now_s: float) -> None:
         for other, removed_s in list(self._removed.items()):
-            if now_s - removed_s >= REMEMBER_REMOVED_S:
+            if now_s - removed_s >= REMOVED_RETENTION_S:
                 del self._removed[other]
         self._removed[incarnation] = now_s
 
@@ -179,7 +179,7 @@
             The entry to use; None if it is to be ignored.
         """
         removed_s = self._removed.get(entry.incarnation)
-        if removed_s is not None and now_s - removed_s < REMEMBER_REMOVED_S:
+        if removed_s is not None and now_s - removed_s < REMOVED_RETENTION_S:
             return None
         known = self._known.get(entry.incarnation)
         if known is not None and known.entry.is_draining:
@@ -290,7 +290,7 @@
         for incarnation, known in list(self._known.items()):
             if now_s >= known.lapses_at:
                 self._end(incarnation, is_superseded=False)
-                self._note_removed(incarnation, now_s)
+                self._remember_removed(incarnation, now_s)
 
     def _end_displaced(self) -> None:
         """Ends incarnations whose address now belongs to another one."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -217,7 +217,7 @@
 
 
 def _exchange(
-    hosts: dict[str, Peers], number: int, now_s: float, *, is_cut: bool
+    hosts: dict[str, Peers], number: int, now_s: float, *, is_partitioned: bool
 ) -> None:
     """Simulates one round in which each host sends up to three reports.
 
@@ -237,7 +237,9 @@
         )
         for target in host.targets(now_s, 3):
             other = by_address.get(target)
-            if other is not None and not (is_cut and other[0] != name[0]):
+            if other is not None and not (
+                is_partitioned and other[0] != name[0]
+            ):
                 hosts[other].take(sent, now_s)
     for host in hosts.values():
         host.expire(now_s)
@@ -247,11 +249,11 @@
     return Address("127.0.0.2", 100 * ord(host[0]) + int(host[1:]))
 
 
-class TestAfterCut:
+class TestAfterPartition:
     """The two sides of a partition after they have forgotten each other."""
 
     @pytest.mark.parametrize("size", [4, 40])
-    def test_both_sides_of_a_long_cut_find_each_other_again(
+    def test_both_sides_of_a_long_partition_find_each_other_again(
         self, size: int
     ) -> None:
         """The two sides of a partition never hear of each other again.
@@ -270,8 +272,8 @@
             now_s = step * 0.5
             if step == 100:
                 del hosts["n0"], hosts["s0"]
-            is_cut = 60 < now_s < 180
-            _exchange(hosts, step, now_s, is_cut=is_cut)
+            is_partitioned = 60 < now_s < 180
+            _exchange(hosts, step, now_s, is_partitioned=is_partitioned)
             if now_s == 179.5:
                 assert not any(map(_hears_far_side, hosts.items()))
         assert all(map(_hears_far_side, hosts.items()))
@@ -288,12 +290,12 @@
     """Estimates the number of peers from those that were heard."""
 
     @pytest.mark.parametrize("hosts", [1, 7, 99])
-    def test_exact_where_all_are_heard(self, hosts: int) -> None:
+    def test_estimate_is_exact_where_all_are_heard(self, hosts: int) -> None:
         assert estimate_peers(hosts, hosts * 10) == hosts
 
     @pytest.mark.parametrize("seed", range(20))
     @pytest.mark.parametrize(("hosts", "reports"), [(300, 600), (2500, 660)])
-    def test_near_where_some_are_heard(
+    def test_estimate_is_close_where_some_are_heard(
         self, hosts: int, reports: int, seed: int
     ) -> None:
         """The retries of all hosts together are four times the slack.
@@ -305,5 +307,5 @@
         heard = {rng.randrange(hosts) for _ in range(reports)}
         assert 0.6 < estimate_peers(len(heard), reports) / hosts < 1.7
 
-    def test_none(self) -> None:
+    def test_no_reports_mean_no_peers(self) -> None:
         assert estimate_peers(0, 0) == 0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -38,7 +38,7 @@
         assert reachability.due(0.5) == [A]
         assert reachability.due(0.6) == []
 
-    def test_upstreams_behind_a_cut_are_probed_one_at_a_time(self) -> None:
+    def test_partitioned_upstreams_are_probed_one_at_a_time(self) -> None:
         """A partition of several seconds costs thousands of connections.
 
         It happens if each of many hosts probes each upstream of the data
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -128,7 +128,7 @@
         host.size.set(1, 1, now_s, (1,))
 
 
-def _data_centres_cut_apart(fleet: _Fleet, now_s: float) -> None:
+def _data_centres_partitioned(fleet: _Fleet, now_s: float) -> None:
     near = fleet.count // DATA_CENTRES
     for host in fleet.hosts:
         host.size.set(near, near, now_s, (near,))
@@ -207,7 +207,7 @@
         [
             _all_hear_all,
             _none_hears_another,
-            _data_centres_cut_apart,
+            _data_centres_partitioned,
             _restarted_again_and_again,
             _paused_and_resumed,
         ],
@@ -219,7 +219,7 @@
             assert busiest <= 1.0, a_second
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_is_never_more_after_a_long_cut(self, count: int) -> None:
+    def test_is_never_more_after_a_long_partition(self, count: int) -> None:
         """Hosts that heard nobody for long count from one again."""
         busiest, _ = _busiest(
             count, _alone_for_long, RATES[1], PEAK_RETENTION_S + 10.0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
@@ -62,22 +62,26 @@
         assert alarms / hours < FALSE_ALARMS_AN_HOUR
 
     @pytest.mark.parametrize(("hosts", "reports_a_second"), [(28, 14), (39, 8)])
-    def test_a_cut_is_found(self, hosts: int, reports_a_second: int) -> None:
+    def test_a_partition_is_found(
+        self, hosts: int, reports_a_second: int
+    ) -> None:
         rng = random.Random(1)
         detector = SilenceDetector("here")
-        cut_s = 60.0
+        partition_s = 60.0
         now_s = 0.0
-        while now_s < cut_s:
+        while now_s < partition_s:
             detector.note("there", now_s)
             now_s += rng.expovariate(reports_a_second)
-        assert detector.silent({"there": hosts}, cut_s + FOUND_S)
+        assert detector.silent({"there": hosts}, partition_s + FOUND_S)
 
 
 class TestFewHosts:
     """Few hosts send reports in turn, so that gaps are short."""
 
     @pytest.mark.parametrize("hosts", [1, 2, 3])
-    def test_a_cut_is_found_as_soon_as_reports_allow(self, hosts: int) -> None:
+    def test_a_partition_is_found_as_soon_as_reports_allow(
+        self, hosts: int
+    ) -> None:
         detector = SilenceDetector("here")
         for step in range(100):
             detector.note("there", step * _STEP_S / hosts)
