--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -82,7 +82,7 @@
         assert peers.silent_data_centres(1.65) == {"east", "south"}
 
     def test_own_data_centre_is_never_silent(self) -> None:
-        """Crashes of upstreams in a host's own data centre count as a cut.
+        """Crashed upstreams in a host's own data centre count as cut off.
 
         It happens if all other hosts there restart, and their silence is taken
         for a network partition.
@@ -205,9 +205,9 @@
         addresses is tried once a second, before any peer.
         """
         peers = _peers("a")
-        gone = tuple(Address("127.0.0.9", 1 + n) for n in range(20))
+        dead = tuple(Address("127.0.0.9", 1 + n) for n in range(20))
         for name in "bcdefgh":
-            peers.take(report(name, contacts=gone), 0.0)
+            peers.take(report(name, contacts=dead), 0.0)
         targets = {
             target
             for step in range(1, 11)
@@ -225,7 +225,7 @@
         hosts: All hosts; the first letter of a name is its data centre.
         number: Sequence number of the round's reports.
         now_s: Current time, in seconds.
-        is_cut: Whether reports between data centres are lost.
+        is_partitioned: Whether reports between data centres are lost.
     """
     by_address = {_unique(name): name for name in hosts}
     for name, host in hosts.items():
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -42,7 +42,7 @@
         """A partition of several seconds costs thousands of connections.
 
         It happens if each of many hosts probes each upstream of the data
-        centre once a second, though all are behind the same cut.
+        centre once a second, though all are behind the same partition.
         """
         reachability = Reachability()
         far = [upstream(f"far-{n:02}") for n in range(20)]
@@ -56,7 +56,8 @@
                 reachability.failed(entry, now_s)
         assert len(tries) <= 13
         assert len({entry.incarnation for entry in tries}) == len(tries)
-        # The cut ends: the next single probe connects, and all are probed.
+        # After the partition the next single probe connects, and then all
+        # upstreams are probed.
         found = reachability.due(6.5)
         assert len(found) == 1
         assert reachability.succeeded(found[0].incarnation, 6.5)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
@@ -1,4 +1,4 @@
-"""Tests that a data centre that is cut off is told from a chance silence."""
+"""Tests that a partition is distinguished from a silence by chance."""
 
 import random
 
@@ -16,7 +16,7 @@
 upstream."""
 
 FOUND_S = 3.0
-"""Seconds within which a cut has to be detected where there are many hosts.
+"""Seconds within which a partition has to be detected among many hosts.
 Callers' requests may hang for this long before contact with a data centre
 counts as lost."""
 
@@ -52,10 +52,10 @@
     ) -> None:
         """Hosts open six connections for each request that they forward.
 
-        With 195 hosts in five data centres and no cut, each host probes all
-        upstreams of a data centre several times a minute. It happens if a
-        silence of four usual intervals counts as a cut, which one in fifty
-        gaps between random reports exceeds.
+        With 195 hosts in five data centres and no partition, each host probes
+        all upstreams of a data centre several times a minute. It happens if a
+        silence of four usual intervals counts as a partition, though one in
+        fifty gaps between random reports is longer.
         """
         hours = 2.0
         alarms = _false_alarms(hosts, reports_a_second, hours)
