--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -201,5 +201,5 @@
         offered = [host.permitted(entries, n * _STEP_S) for n in range(steps)]
         assert [entries[0]] in offered
         assert [] in offered
-        closed = [host.closed(entries, n * _STEP_S) for n in range(steps)]
-        assert set(closed) == {frozenset({"a"}), frozenset()}
+        excluded = [host.closed(entries, n * _STEP_S) for n in range(steps)]
+        assert set(excluded) == {frozenset({"a"}), frozenset()}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -181,9 +181,9 @@
         peers = _peers("a")
         for name in "bcdefgh":
             peers.take(report(name), 0.0)
-        targets = [peers.targets(step / 10, 1)[0] for step in range(1, 15)]
-        assert set(targets[:7]) == {address_of(name) for name in "bcdefgh"}
-        assert targets[7:] == targets[:7]
+        chosen = [peers.targets(step / 10, 1)[0] for step in range(1, 15)]
+        assert set(chosen[:7]) == {address_of(name) for name in "bcdefgh"}
+        assert chosen[7:] == chosen[:7]
 
     def test_unheard_addresses_count_against_the_limit(self) -> None:
         """A host sends ten times the control traffic that it may.
@@ -208,12 +208,12 @@
         dead = tuple(Address("127.0.0.9", 1 + n) for n in range(20))
         for name in "bcdefgh":
             peers.take(report(name, contacts=dead), 0.0)
-        targets = {
+        chosen = {
             target
             for step in range(1, 11)
             for target in peers.targets(step / 10, 1)
         }
-        assert targets & {address_of(name) for name in "bcdefgh"}
+        assert chosen & {address_of(name) for name in "bcdefgh"}
 
 
 def _exchange(
