--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a host that forwards calls by routes, apart from any I/O."""
+"""Decides how a host forwards calls by routes, without doing any I/O."""
 
 from hollyknot_coordination.forwarding._cached_parts import (
     CachedParts,
@@ -6,10 +6,9 @@
 )
 from hollyknot_coordination.forwarding._cold_starts import ColdStarts
 from hollyknot_coordination.forwarding._events import EventFramer
-from hollyknot_coordination.forwarding._fleet import Ended, Fleet
-from hollyknot_coordination.forwarding._fleet_size import FleetSize
 from hollyknot_coordination.forwarding._forecasts import Forecasts
 from hollyknot_coordination.forwarding._health import Health
+from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_coordination.forwarding._inquiries import (
     ANSWER_S,
     ASK_FROM_S,
@@ -63,6 +62,10 @@
     TrackedLoads,
 )
 from hollyknot_coordination.forwarding._trackers import Tracker, Trackers
+from hollyknot_coordination.forwarding._upstream_registry import (
+    Ended,
+    UpstreamRegistry,
+)
 
 __all__ = [
     "ANSWER_S",
@@ -78,12 +81,11 @@
     "Demand",
     "Ended",
     "EventFramer",
-    "Fleet",
-    "FleetSize",
     "Forecasts",
     "GapTolerance",
     "GiveUp",
     "Health",
+    "HostCount",
     "Inquiries",
     "Inquiry",
     "Lanes",
@@ -112,6 +114,7 @@
     "Trackers",
     "TryAnother",
     "TryState",
+    "UpstreamRegistry",
     "give_up",
     "next_step",
     "runs_of",
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
@@ -1,9 +1,9 @@
-"""Keeps work from upstreams that fail much of it and call themselves good.
+"""Ejects upstreams that fail many requests though they report to be healthy.
 
-The evidence is what becomes of real requests: a health check of an upstream
-that fails every second request may pass each time, and costs a place. An
-upstream that fails far more often than the others of its service gets none for
-a while, then some again.
+The evidence is the outcome of real requests: a health check may pass each time
+at an upstream that fails every second request, and it takes up a slot. An
+upstream that fails far more often than the others of its service gets no
+requests for a while, and is then tried again.
 """
 
 from collections import deque
@@ -14,30 +14,40 @@
 from hollyknot_state.routes import UpstreamEntry
 
 WINDOW_S = 5.0
-"""How long an outcome counts."""
+"""Seconds for which an outcome counts."""
 
-LEAST_FAILURES = 3
-"""Fewer in a window may be chance."""
+MIN_FAILURES = 3
+"""Failures within the window that are needed; fewer may be chance."""
 
-LEAST_SHARE = 0.25
-"""Of an upstream's requests that failed, beyond the share that fail at the
-others: some calls fail on their own account, wherever they run."""
+MIN_EXCESS_FAILURE_SHARE = 0.25
+"""Amount by which the share of an upstream's requests that failed has to exceed
+the share at the others. Some calls fail wherever they run."""
 
 FIRST_EJECTION_S = 1.5
-LONGEST_EJECTION_S = 8.0
-"""How long an upstream gets no work, doubled each time in a row."""
+MAX_EJECTION_S = 8.0
+"""Seconds for which an upstream gets no requests: the first ejection and the
+longest one. The time doubles with each ejection in a row."""
 
-MOST_EJECTED = 0.5
-"""Of a service's upstreams; more than that fail for a reason that ejecting
-them does not cure, and the rest could not carry the load."""
+MAX_EJECTED_FRACTION = 0.5
+"""Fraction of a service's upstreams that may be ejected at once. If more fail,
+ejection does not remove the cause, and the rest could not handle the load."""
 
 
 @attrs.define
 class _Record:
+    """Recent outcomes at one upstream.
+
+    Attributes:
+        outcomes: Time of each outcome in the window, and whether it was good.
+        failures: Number of these outcomes that were not good.
+        ejected_until: Time, in seconds, until which it gets no requests.
+        ejection_s: Duration of its next ejection, in seconds.
+    """
+
     outcomes: deque[tuple[float, bool]] = attrs.Factory(deque)
     failures: int = 0
     ejected_until: float = float("-inf")
-    pause_s: float = FIRST_EJECTION_S
+    ejection_s: float = FIRST_EJECTION_S
 
     def add(self, now_s: float, *, is_good: bool) -> None:
         self.outcomes.append((now_s, is_good))
@@ -55,10 +65,10 @@
 
 
 class Health:
-    """Outcomes of requests by upstream, as one host has seen them."""
+    """Outcomes of one host's requests at each upstream."""
 
     def __init__(self) -> None:
-        """All are taken to be healthy."""
+        """Creates an instance that takes all upstreams to be healthy."""
         self._records: dict[str, _Record] = {}
 
     def note(
@@ -69,40 +79,42 @@
         *,
         is_good: bool,
     ) -> bool:
-        """Notes an outcome.
+        """Records the outcome of a request.
 
         Args:
-            entry: The upstream.
+            entry: Upstream that the request was sent to.
             entries: All upstreams of its service.
-            now_s: The time.
-            is_good: Whether the request got what it came for.
+            now_s: Current time, in seconds.
+            is_good: Whether the request succeeded.
 
         Returns:
-            Whether the upstream is ejected by it.
+            Whether the outcome causes the upstream to be ejected.
         """
         record = self._records.setdefault(entry.incarnation, _Record())
         record.add(now_s, is_good=is_good)
         if is_good:
-            if now_s > record.ejected_until + LONGEST_EJECTION_S:
-                record.pause_s = FIRST_EJECTION_S
+            if now_s > record.ejected_until + MAX_EJECTION_S:
+                record.ejection_s = FIRST_EJECTION_S
             return False
-        if record.failures < LEAST_FAILURES or now_s < record.ejected_until:
+        if record.failures < MIN_FAILURES or now_s < record.ejected_until:
             return False
         share = record.failures / len(record.outcomes)
-        if share < LEAST_SHARE + self._share_of_others(entry, entries, now_s):
+        if share < MIN_EXCESS_FAILURE_SHARE + self._failure_share_of_others(
+            entry, entries, now_s
+        ):
             return False
         ejected = sum(self._is_ejected(e.incarnation, now_s) for e in entries)
-        if ejected + 1 > len(entries) * MOST_EJECTED:
+        if ejected + 1 > len(entries) * MAX_EJECTED_FRACTION:
             return False
-        record.ejected_until = now_s + record.pause_s
-        record.pause_s = min(record.pause_s * 2, LONGEST_EJECTION_S)
+        record.ejected_until = now_s + record.ejection_s
+        record.ejection_s = min(record.ejection_s * 2, MAX_EJECTION_S)
         record.clear()
         return True
 
     def ejected(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
-        """Returns the incarnations that get no work at the moment."""
+        """Returns the incarnations that are ejected at present."""
         return frozenset(
             entry.incarnation
             for entry in entries
@@ -110,14 +122,14 @@
         )
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the outcomes of an upstream that has left for good."""
         self._records.pop(incarnation, None)
 
     def _is_ejected(self, incarnation: str, now_s: float) -> bool:
         record = self._records.get(incarnation)
         return record is not None and now_s < record.ejected_until
 
-    def _share_of_others(
+    def _failure_share_of_others(
         self,
         entry: UpstreamEntry,
         entries: Sequence[UpstreamEntry],
--- /dev/null
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
@@ -0,0 +1,95 @@
+"""Tracks the number of hosts among which a limit of an upstream is divided.
+
+An upstream's limit holds for all hosts together, and hosts share no state, so
+each uses the limit divided by the number of hosts. Hosts that it does not hear
+count too: on the other side of a network partition they may still reach the
+same upstreams.
+"""
+
+import math
+from collections.abc import Sequence
+
+DISCOVERY_S = 4.0
+"""Seconds that a host takes to hear of the others after its start."""
+
+PEAK_RETENTION_S = 60.0
+"""Seconds for which the largest number of hosts that was heard counts."""
+
+
+class HostCount:
+    """The number of hosts, as far as one host can tell."""
+
+    def __init__(
+        self, started_s: float, *, is_alone: bool, data_centres: int = 1
+    ) -> None:
+        """Creates a count of this host alone.
+
+        Args:
+            started_s: Time at which this host started, in seconds.
+            is_alone: Whether there may be no other host. A host that was given
+                peers and has heard none does not know the number.
+            data_centres: Number of data centres in the settings.
+        """
+        self.is_alone = is_alone
+        self._data_centres = data_centres
+        self._discovery_start_s = started_s
+        self._hosts = 1
+        self._largest = 1
+        self._largest_s = -math.inf
+        self._heard = 1
+
+    @property
+    def hosts(self) -> int:
+        """Number of hosts at present or heard recently, whichever is larger."""
+        return max(self._hosts, self._largest)
+
+    @property
+    def heard_part(self) -> float:
+        """Fraction of the hosts that are heard, including this one."""
+        return min(1.0, self._heard / self.hosts)
+
+    def set(
+        self,
+        hosts: int,
+        heard: int,
+        now_s: float,
+        by_data_centre: Sequence[int] = (),
+    ) -> None:
+        """Updates the number of hosts.
+
+        A data centre of which no host is heard may be cut off: it is taken to
+        have as many hosts as the largest of the others.
+
+        Args:
+            hosts: Estimated number of hosts, including this one.
+            heard: Number of hosts that are heard, including this one.
+            now_s: Current time, in seconds.
+            by_data_centre: Number of heard hosts of each data centre; empty if
+                it isn't known.
+        """
+        self._heard = heard
+        absent = max(0, self._data_centres - len(by_data_centre))
+        # The peak is taken of the hosts heard: it would keep the largest error
+        # of the estimate.
+        known = heard
+        if by_data_centre and not self.is_alone:
+            hosts += absent * round(hosts * max(by_data_centre) / heard)
+            known += absent * max(by_data_centre)
+        self._hosts = hosts
+        is_forgotten = now_s - self._largest_s > PEAK_RETENTION_S
+        if known >= self._largest or is_forgotten:
+            self._largest = known
+            self._largest_s = now_s
+            if heard == 1 and not self.is_alone:
+                self._discovery_start_s = now_s
+
+    def is_known(self, now_s: float, discovery_s: float = DISCOVERY_S) -> bool:
+        """Whether the number is certain enough to divide a limit by it.
+
+        Args:
+            now_s: Current time, in seconds.
+            discovery_s: Seconds for which the number is unknown after this
+                host started, or last heard no peer and remembered none.
+        """
+        is_discovered = now_s >= self._discovery_start_s + discovery_s
+        return is_discovered and (self.hosts > 1 or self.is_alone)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
@@ -1,9 +1,9 @@
-"""Which other hosts there are, learnt from what they tell.
+"""Tracks the other hosts by their gossip.
 
-A host starts with the addresses of a few seeds, some of which may be gone. It
-tells them of itself; each report carries some addresses that its sender has
-heard of, so that all hosts know each other after a few rounds. Nobody keeps a
-list, and nobody has to agree: what a report says counts until it is old.
+A host starts with the addresses of a few seeds, some of which may no longer
+answer, and sends them reports. Each report carries some addresses of peers of
+its sender, so that all hosts know each other after a few rounds. There is no
+list of members to agree on: a report counts until it is too old.
 """
 
 import math
@@ -18,34 +18,38 @@
     ReportTimes,
     estimate_peers,
 )
-from hollyknot_coordination.forwarding._silences import Silences
+from hollyknot_coordination.forwarding._silence_detector import SilenceDetector
 from hollyknot_coordination.forwarding._smoothing import smoothed
 from hollyknot_coordination.forwarding._trackers import Tracker
 from hollyknot_state import Address, HostReport, UseReport
 
 FRESH_S = 1.0
-"""Age from which a peer's load is no longer counted: its work has changed."""
+"""Age in seconds from which a peer's load no longer counts, since its in-flight
+requests have changed."""
 
 FRESH_REPORTS = 3
-"""The same where reports come seldom, in usual times between two of a peer:
-the last one is lost now and then."""
+"""The same age where reports are rare, in usual intervals between two reports
+of a peer. One interval is not enough, since reports get lost."""
 
-FORGET_S = 5.0
-"""Silence after which a peer is taken to be gone, at the least."""
+MIN_PEER_TIMEOUT_S = 5.0
+"""Shortest silence, in seconds, after which a peer is forgotten."""
 
-FORGET_REPORTS = 8
-"""The same, in usual times between two reports of a peer."""
+PEER_TIMEOUT_REPORTS = 8
+"""Silence after which a peer is forgotten, in usual intervals between two
+reports of a peer."""
 
-LONGEST_FORGET_S = 60.0
-"""The longest such silence. In a large fleet a host hears only some of the
-others in this time, and estimates from that how many there are."""
+MAX_PEER_TIMEOUT_S = 60.0
+"""Longest silence, in seconds, after which a peer is forgotten. Where there are
+many hosts, a host hears only some of the others within it, and estimates from
+these how many there are."""
 
-DETAILS_S = 4.0
-"""Between two reports to one peer that also tell who the sender is, other
-hosts' names and addresses, which seldom change."""
+FULL_REPORT_INTERVAL_S = 4.0
+"""Seconds between two full reports to one peer. Only these contain the sender's
+name and address and the addresses of other hosts, which seldom change."""
 
-CONTACTS_TOLD = 4
-"""Addresses in one report: eight hosts know each other within a second."""
+CONTACTS_PER_REPORT = 4
+"""Addresses in one report. With four, eight hosts know each other within a
+second."""
 
 
 @attrs.frozen
@@ -53,8 +57,8 @@
     """A peer's newest report.
 
     Attributes:
-        report: What it told.
-        heard_s: When.
+        report: Last full report, updated by the use reports after it.
+        heard_s: Time of the last report of either kind, in seconds.
     """
 
     report: HostReport
@@ -62,7 +66,7 @@
 
 
 class Peers:
-    """The peers of one host."""
+    """The peers that one host hears, and those to which it sends reports."""
 
     def __init__(
         self,
@@ -71,64 +75,63 @@
         seeds: tuple[Address, ...],
         rng: random.Random,
     ) -> None:
-        """Knows the seeds only.
+        """Creates an instance without peers.
 
         Args:
-            own: Where this host takes reports; never contacted.
-            data_centre: Where it is; it can't be cut off from there.
-            seeds: Where to begin.
-            rng: Chooses which addresses to tell and to try.
+            own: Address where this host receives reports; never contacted.
+            data_centre: This host's data centre, which never counts as silent.
+            seeds: Addresses to contact first.
+            rng: Chooses the targets of reports and the addresses in them.
         """
         self._own = own
         self._data_centre = data_centre
         self._rng = rng
         self._contacts = Contacts(own, seeds, rng)
-        self._silences = Silences(data_centre)
+        self._silence_detector = SilenceDetector(data_centre)
         self._peers: dict[str, Peer] = {}
-        # Peers by the incarnation that their short reports name.
+        # Names of peers by incarnation, which identifies them in use reports.
         self._hosts: dict[int, str] = {}
-        self._hosts_known: tuple[Tracker, ...] | None = ()
-        # When each peer was last sent a report, and one that tells all.
-        self._told: dict[Address, float] = {}
-        self._detailed: dict[Address, float] = {}
+        self._hosts_cache: tuple[Tracker, ...] | None = ()
+        # Times of the last report and of the last full one to each peer.
+        self._last_report_s: dict[Address, float] = {}
+        self._last_full_report_s: dict[Address, float] = {}
         self._times = ReportTimes()
-        # The usual time between two reports of one peer.
         self._interval_s = 0.0
 
     @property
     def interval_s(self) -> float:
-        """The usual time between two reports of one peer; 0 for none."""
+        """Usual seconds between two reports of one peer; 0 if unknown."""
         return self._interval_s
 
     @property
     def hosts(self) -> tuple[Tracker, ...]:
-        """The peers, as hosts that may track; the same until they change."""
-        if self._hosts_known is None:
-            self._hosts_known = tuple(
+        """The peers as possible load trackers; cached until they change."""
+        if self._hosts_cache is None:
+            self._hosts_cache = tuple(
                 Tracker(r.incarnation, r.address, r.data_centre)
                 for r in (peer.report for peer in self._peers.values())
             )
-        return self._hosts_known
+        return self._hosts_cache
 
     @property
     def count(self) -> int:
-        """Peers that have told of themselves lately."""
+        """Number of peers that were heard recently."""
         return len(self._peers)
 
     @property
-    def by_centre(self) -> tuple[int, ...]:
-        """Hosts that are heard, by data centre; this one among them."""
+    def by_data_centre(self) -> tuple[int, ...]:
+        """Number of heard hosts in each data centre, including this one."""
         counts = Counter(p.report.data_centre for p in self._peers.values())
         counts[self._data_centre] += 1
         return tuple(counts.values())
 
     @property
-    def estimated(self) -> int:
-        """How many peers there are, also of those that were not heard."""
+    def estimated_count(self) -> int:
+        """Estimated number of peers, including those that were not heard."""
         return estimate_peers(len(self._peers), len(self._times))
 
     def take(self, report: HostReport, now_s: float) -> bool:
-        """Takes in a report.
+        """Processes a full report.
 
         Returns:
             Whether it is from a peer that was not known.
@@ -139,8 +142,8 @@
         if known is not None and _is_older(report, known.report):
             return False
         if known is None or known.report.incarnation != report.incarnation:
-            # It knows nobody yet.
-            self._detailed.pop(report.address, None)
+            # A host that has just started needs a full report.
+            self._last_full_report_s.pop(report.address, None)
         if known is None:
             self._contacts.reset(report.address)
         self._note(report, now_s)
@@ -149,23 +152,23 @@
         return known is None
 
     def take_uses(self, report: UseReport, now_s: float) -> None:
-        """Takes in what has changed; that of a stranger tells nothing."""
+        """Processes a use report; one of an unknown peer is ignored."""
         host = self._hosts.get(report.incarnation, "")
         known = self._peers.get(host)
         if known is None or report.sequence <= known.report.sequence:
             return
-        told = attrs.evolve(
+        updated = attrs.evolve(
             known.report,
             sequence=report.sequence,
             uses=report.uses,
             suspects=report.suspects,
         )
         if report.demands:
-            told = attrs.evolve(told, demands=report.demands)
+            updated = attrs.evolve(updated, demands=report.demands)
         if not report.is_whole:
             uses = merged_uses(known.report.uses, report.uses)
-            told = attrs.evolve(told, uses=uses)
-        self._note(told, now_s)
+            updated = attrs.evolve(updated, uses=uses)
+        self._note(updated, now_s)
 
     def _note(self, report: HostReport, now_s: float) -> None:
         known = self._peers.get(report.host)
@@ -174,14 +177,14 @@
             self._interval_s = smoothed(self._interval_s, passed_s)
             self._hosts.pop(known.report.incarnation, None)
         if known is None or known.report.incarnation != report.incarnation:
-            self._hosts_known = None
+            self._hosts_cache = None
         self._hosts[report.incarnation] = report.host
         self._peers[report.host] = Peer(report, now_s)
         self._times.note(now_s)
-        self._silences.note(report.data_centre, now_s)
+        self._silence_detector.note(report.data_centre, now_s)
 
     def fresh(self, now_s: float) -> list[HostReport]:
-        """Returns reports whose loads still count."""
+        """Returns the reports of peers whose loads still count."""
         fresh_s = max(FRESH_S, FRESH_REPORTS * self._interval_s)
         return [
             peer.report
@@ -190,75 +193,79 @@
         ]
 
     def silent_data_centres(self, now_s: float) -> frozenset[str]:
-        """Returns other data centres whose peers have all just fallen silent.
+        """Returns other data centres whose peers have all fallen silent.
 
         Args:
-            now_s: The time.
+            now_s: Current time, in seconds.
         """
         known = Counter(p.report.data_centre for p in self._peers.values())
-        return self._silences.silent(known, now_s)
+        return self._silence_detector.silent(known, now_s)
 
-    def targets(self, now_s: float, most: int) -> list[Address]:
-        """Returns to whom to send a report now.
+    def targets(self, now_s: float, max_reports: int) -> list[Address]:
+        """Returns the addresses to send a report to now.
 
         Args:
-            now_s: The time.
-            most: How many may be sent.
+            now_s: Current time, in seconds.
+            max_reports: Number of reports that may be sent now.
         """
         known = [peer.report.address for peer in self._peers.values()]
-        tried = self._contacts.due(set(known), len(known), now_s, most)
-        told = self._chosen(known, most - len(tried))
-        self._told.update(dict.fromkeys(told, now_s))
-        return tried + told
+        tried = self._contacts.due(set(known), len(known), now_s, max_reports)
+        chosen = self._choose(known, max_reports - len(tried))
+        self._last_report_s.update(dict.fromkeys(chosen, now_s))
+        return tried + chosen
 
-    def _chosen(self, known: list[Address], most: int) -> list[Address]:
-        """Returns which peers to tell, at most so many.
+    def _choose(self, known: list[Address], max_reports: int) -> list[Address]:
+        """Returns the peers to send a report to, up to a maximum.
 
-        Few are told in turn, so that each is told evenly. Of many some are
-        chosen at random, which the estimate of their number relies on.
+        Few peers get reports in turn, at even intervals. Of many peers a
+        random sample is chosen, on which the estimate of their number relies.
         """
         if len(known) > MANY_PEERS:
-            return self._rng.sample(known, min(most, len(known)))
+            return self._rng.sample(known, min(max_reports, len(known)))
         self._rng.shuffle(known)
-        known.sort(key=lambda address: self._told.get(address, 0.0))
-        return known[:most]
+        known.sort(key=lambda address: self._last_report_s.get(address, 0.0))
+        return known[:max_reports]
 
-    def wants_details(self, target: Address, now_s: float) -> bool:
-        """Returns whether a report must tell a target all, and notes it."""
-        last_s = self._detailed.get(target, -math.inf)
-        if now_s - last_s < DETAILS_S:
+    def needs_full_report(self, target: Address, now_s: float) -> bool:
+        """Returns whether a full report to a target is due, and records it."""
+        last_s = self._last_full_report_s.get(target, -math.inf)
+        if now_s - last_s < FULL_REPORT_INTERVAL_S:
             return False
-        if target in self._told:
-            self._detailed[target] = now_s
+        if target in self._last_report_s:
+            self._last_full_report_s[target] = now_s
         return True
 
     def contacts(self) -> tuple[Address, ...]:
-        """Returns some addresses to tell."""
+        """Returns addresses of random peers, for a full report."""
         known = [peer.report.address for peer in self._peers.values()]
-        return tuple(self._rng.sample(known, min(CONTACTS_TOLD, len(known))))
+        return tuple(
+            self._rng.sample(known, min(CONTACTS_PER_REPORT, len(known)))
+        )
 
     def expire(self, now_s: float) -> list[str]:
-        """Forgets silent peers and old addresses.
+        """Forgets peers that have been silent for too long.
 
         Returns:
             The names of the peers that were forgotten.
         """
-        wanted_s = max(FORGET_S, FORGET_REPORTS * self._interval_s)
-        forget_s = min(wanted_s, LONGEST_FORGET_S)
-        self._times.expire(now_s - forget_s)
-        gone = [
+        wanted_s = max(
+            MIN_PEER_TIMEOUT_S, PEER_TIMEOUT_REPORTS * self._interval_s
+        )
+        timeout_s = min(wanted_s, MAX_PEER_TIMEOUT_S)
+        self._times.expire(now_s - timeout_s)
+        expired = [
             host
             for host, peer in self._peers.items()
-            if now_s - peer.heard_s > forget_s
+            if now_s - peer.heard_s > timeout_s
         ]
-        for host in gone:
-            self._hosts_known = None
+        for host in expired:
+            self._hosts_cache = None
             report = self._peers.pop(host).report
             self._hosts.pop(report.incarnation, None)
-            self._told.pop(report.address, None)
-            self._detailed.pop(report.address, None)
+            self._last_report_s.pop(report.address, None)
+            self._last_full_report_s.pop(report.address, None)
             self._contacts.reset(report.address)
-        return gone
+        return expired
 
 
 def _is_older(report: HostReport, known: HostReport) -> bool:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
@@ -1,11 +1,13 @@
-"""Which upstreams this host cannot reach at the moment.
+"""Tracks the upstreams to which this host cannot connect at present.
 
-In a cut, connections to the far side time out one after the other, and each
-request that tries one waits for that. One failure is enough to keep the others
-away, and a connection made in the background brings the upstream back.
+In a network partition connections to the other side time out, and each request
+that tries such an upstream waits for the timeout. A single failure is therefore
+enough to stop sending to an upstream, and a probe in the background that
+connects ends this state.
 
-In a cut all upstreams of a data centre are away at once, and many hosts try
-them: some of each data centre are tried in turn, until one is reached.
+A partition makes all upstreams of a data centre unreachable at once, and many
+hosts probe them. To limit the probes, each host probes the upstreams of such a
+data centre one at a time, until one of them is reached.
 """
 
 import math
@@ -17,112 +19,132 @@
 from hollyknot_state.routes import UpstreamEntry
 
 FIRST_RETRY_S = 0.25
-LONGEST_RETRY_S = 1.0
-"""Between two connections in the background to an upstream that is away."""
+MAX_RETRY_S = 1.0
+"""Shortest and longest time, in seconds, between two probes of an unreachable
+upstream; it doubles after each failure."""
 
-MANY_AWAY = 4
-"""Upstreams of one data centre that are away from which they are tried in turn:
-so many seldom crash together."""
+MANY_UNREACHABLE = 4
+"""Number of unreachable upstreams in one data centre from which they are probed
+one at a time, as in a partition. So many seldom crash together."""
 
-TURN_S = 0.5
-"""Between two tries in turn."""
+TURN_INTERVAL_S = 0.5
+"""Seconds between two probes in a data centre that is probed one at a time."""
 
-RETURNING_S = 2.0
-"""How long after one of them was reached all of them are tried."""
+RECOVERY_S = 2.0
+"""Seconds for which all upstreams of a data centre are probed after one of them
+was reached again."""
 
 
 @attrs.define
-class _Away:
+class _Unreachable:
+    """An upstream that could not be reached.
+
+    Attributes:
+        entry: Entry of the upstream.
+        since_s: Time of the first failure, in seconds.
+        next_try_s: Time from which it may be probed next.
+        backoff_s: Time between two probes.
+    """
+
     entry: UpstreamEntry
     since_s: float
     next_try_s: float
-    pause_s: float = FIRST_RETRY_S
+    backoff_s: float = FIRST_RETRY_S
 
 
 class Reachability:
-    """Upstreams that could not be connected to."""
+    """The upstreams to which one host could not connect."""
 
     def __init__(self) -> None:
-        """All are taken to be reachable."""
-        self._away: dict[str, _Away] = {}
-        # By data centre: when the next one is tried in turn, and until when
-        # all are tried.
-        self._turn_s: dict[str, float] = {}
-        self._returning_until_s: dict[str, float] = {}
+        """Creates an instance that takes all upstreams to be reachable."""
+        self._unreachable: dict[str, _Unreachable] = {}
+        # By data centre: time of the next single probe, and time until which
+        # all its upstreams are probed.
+        self._next_turn_s: dict[str, float] = {}
+        self._recovering_until_s: dict[str, float] = {}
 
     def failed(self, entry: UpstreamEntry, now_s: float) -> bool:
-        """Notes a connection that failed or fell silent.
+        """Records that a connection failed or timed out.
 
         Returns:
             Whether the upstream was taken to be reachable before.
         """
-        away = self._away.get(entry.incarnation)
-        if away is None:
+        unreachable = self._unreachable.get(entry.incarnation)
+        if unreachable is None:
             next_try_s = now_s + FIRST_RETRY_S
-            self._away[entry.incarnation] = _Away(entry, now_s, next_try_s)
+            self._unreachable[entry.incarnation] = _Unreachable(
+                entry, now_s, next_try_s
+            )
             return True
-        away.pause_s = min(away.pause_s * 2, LONGEST_RETRY_S)
-        away.next_try_s = now_s + away.pause_s
+        unreachable.backoff_s = min(unreachable.backoff_s * 2, MAX_RETRY_S)
+        unreachable.next_try_s = now_s + unreachable.backoff_s
         return False
 
     def succeeded(self, incarnation: str, now_s: float) -> bool:
-        """Notes a connection.
+        """Records that a connection was established.
 
         Returns:
-            Whether the upstream was taken to be away before.
+            Whether the upstream was taken to be unreachable before.
         """
-        away = self._away.pop(incarnation, None)
-        if away is None:
+        unreachable = self._unreachable.pop(incarnation, None)
+        if unreachable is None:
             return False
-        data_centre = away.entry.data_centre
-        self._returning_until_s[data_centre] = now_s + RETURNING_S
+        data_centre = unreachable.entry.data_centre
+        self._recovering_until_s[data_centre] = now_s + RECOVERY_S
         return True
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
-        self._away.pop(incarnation, None)
+        """Drops the state of an upstream that has left for good."""
+        self._unreachable.pop(incarnation, None)
 
-    def away(self, entries: Sequence[UpstreamEntry]) -> frozenset[str]:
-        """Returns the incarnations that could not be reached lately."""
-        if not self._away:
+    def unreachable(self, entries: Sequence[UpstreamEntry]) -> frozenset[str]:
+        """Returns the incarnations that are unreachable at present."""
+        if not self._unreachable:
             return frozenset()
         return frozenset(
             entry.incarnation
             for entry in entries
-            if entry.incarnation in self._away
+            if entry.incarnation in self._unreachable
         )
 
-    def has_lost(
+    def has_become_unreachable(
         self, entries: Sequence[UpstreamEntry], since_s: float
     ) -> bool:
-        """Whether one of some upstreams is away since a time or later."""
+        """Whether any of some upstreams became unreachable since a time."""
         return any(
-            away.since_s >= since_s
+            unreachable.since_s >= since_s
             for entry in entries
-            if (away := self._away.get(entry.incarnation)) is not None
+            if (unreachable := self._unreachable.get(entry.incarnation))
+            is not None
         )
 
     def due(self, now_s: float) -> list[UpstreamEntry]:
-        """Returns upstreams to connect to in the background now."""
-        counts = Counter(a.entry.data_centre for a in self._away.values())
-        due = [a for a in self._away.values() if now_s >= a.next_try_s]
-        due.sort(key=lambda away: away.next_try_s)
+        """Returns the upstreams to probe now, and records the probes."""
+        counts = Counter(
+            a.entry.data_centre for a in self._unreachable.values()
+        )
+        due = [a for a in self._unreachable.values() if now_s >= a.next_try_s]
+        due.sort(key=lambda unreachable: unreachable.next_try_s)
         tried = []
-        for away in due:
-            data_centre = away.entry.data_centre
-            is_many = counts[data_centre] >= MANY_AWAY
+        for unreachable in due:
+            data_centre = unreachable.entry.data_centre
+            is_many = counts[data_centre] >= MANY_UNREACHABLE
             if is_many and not self._has_turn(data_centre, now_s):
                 continue
-            # Again only when this one has ended, or if it never does.
-            away.next_try_s = now_s + 2 * LONGEST_RETRY_S
-            tried.append(away.entry)
+            # Not probed again until this probe has ended; the bound matters
+            # only if its end is never reported.
+            unreachable.next_try_s = now_s + 2 * MAX_RETRY_S
+            tried.append(unreachable.entry)
         return tried
 
     def _has_turn(self, data_centre: str, now_s: float) -> bool:
-        """Whether one of many that are away may be tried, and notes it."""
-        if now_s < self._returning_until_s.get(data_centre, -math.inf):
+        """Returns whether a data centre's next single probe is due.
+
+        Records it if so.
+        """
+        if now_s < self._recovering_until_s.get(data_centre, -math.inf):
             return True
-        if now_s < self._turn_s.get(data_centre, -math.inf):
+        if now_s < self._next_turn_s.get(data_centre, -math.inf):
             return False
-        self._turn_s[data_centre] = now_s + TURN_S
+        self._next_turn_s[data_centre] = now_s + TURN_INTERVAL_S
         return True
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_retry_budget.py
@@ -1,14 +1,14 @@
-"""Bounds the retries of a service over all hosts, without a word between them.
+"""Limits the retries of a service over all hosts without coordination.
 
-Each host spends at most the agreed share of the requests that it took itself,
-so that the sums over all hosts keep the share too. A small allowance on top
-lets a host with little traffic retry at all; it is a part of the slack that
-the operators grant to all hosts together. A host that doesn't know how many
-they are has the share only.
+Each host retries at most the configured share of its own requests, so that the
+sum over all hosts keeps to the share as well. An allowance on top lets a host
+with little traffic retry at all: its part of the slack, which is configured for
+all hosts together. A host that doesn't know the number of hosts has the share
+only.
 
-What is allowed is seldom a whole number. Hosts round it up or down by a chance
-of their own, so that the sums are neither lost nor exceeded where each host has
-a fraction of a retry.
+The allowed number is seldom whole. Each host rounds it up or down by a random
+offset of its own, so that the sum is neither lost nor exceeded where each host
+may send a fraction of a retry.
 """
 
 import random
@@ -16,24 +16,33 @@
 
 import attrs
 
-from hollyknot_coordination.forwarding._fleet_size import LEARN_S, FleetSize
+from hollyknot_coordination.forwarding._host_count import DISCOVERY_S, HostCount
 from hollyknot_state.routes import Bounds
 
-_SLACK_PART = 0.65
-"""Of the slack, what hosts spend; the rest covers hosts not heard of yet."""
+_SLACK_FRACTION = 0.65
+"""Fraction of the slack that hosts use; the rest is a margin for hosts that are
+not known yet."""
 
-_FIRST_SLACK_PART = 1.0 - _SLACK_PART
-"""The same in the first window of a host that is alone: the process before it
-may have spent the other part."""
+_FIRST_SLACK_FRACTION = 1.0 - _SLACK_FRACTION
+"""Fraction of the slack that a lone host uses in its first window. The process
+before it may have used the other part."""
 
-_SHARE_PART = 0.8
-"""Of the share, what hosts spend: requests and retries fall into windows that
-slide, and a retry may fall into a window that its request has left."""
+_SHARE_FRACTION = 0.8
+"""Fraction of the share that hosts use. The rest is a margin, since a retry may
+fall into a sliding window that no longer contains its request."""
 
 
 @attrs.define
-class _Spent:
-    rounds_up: float
+class _Window:
+    """The sliding window of one service.
+
+    Attributes:
+        rounding: Random offset from 0 to 1 that rounds the allowed number.
+        first_tries: Times of the first tries in the window, in seconds.
+        retries: Times of the retries in the window, in seconds.
+    """
+
+    rounding: float
     first_tries: deque[float] = attrs.Factory(deque)
     retries: deque[float] = attrs.Factory(deque)
 
@@ -45,13 +54,13 @@
 
 @attrs.frozen
 class RetryAccount:
-    """What one host may send again, and what it has.
+    """The retries of one host that are allowed and used.
 
     Attributes:
-        spent: Retries in the window.
-        allowed: How many there may be.
-        hosts: Among how many hosts the slack is divided; 0 where too little
-            is known for this host to have a part of it.
+        spent: Number of retries in the window.
+        allowed: Number of retries that are allowed in it, unrounded.
+        hosts: Number of hosts among which the slack is divided; 0 if it is
+            unknown, so that this host has no part of the slack.
     """
 
     spent: int
@@ -63,63 +72,65 @@
     """Counts first tries and retries of each service in a sliding window."""
 
     def __init__(
-        self, bounds: Bounds, size: FleetSize, rng: random.Random
+        self, bounds: Bounds, size: HostCount, rng: random.Random
     ) -> None:
-        """Starts with no retry spent.
+        """Creates a budget of which nothing is used.
 
         Args:
-            bounds: The share and the slack.
-            size: Among how many hosts the slack is divided.
-            rng: Rounds what is allowed.
+            bounds: The configured share, slack and window.
+            size: Number of hosts among which the slack is divided.
+            rng: Source of the rounding offsets.
         """
         self._bounds = bounds
         self._size = size
         self._rng = rng
-        self._spent: dict[str, _Spent] = {}
+        self._windows: dict[str, _Window] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Puts other shares in force from now on."""
+        """Replaces the share, the slack and the window from now on."""
         self._bounds = bounds
 
     def on_first_try(self, service: str, now_s: float) -> None:
-        """Notes a request that was sent to a service."""
-        self._service(service, now_s).first_tries.append(now_s)
+        """Counts the first try of a request to a service."""
+        self._window(service, now_s).first_tries.append(now_s)
 
-    def left(self, service: str, now_s: float) -> float:
-        """Returns how many retries may be sent now."""
+    def remaining(self, service: str, now_s: float) -> float:
+        """Returns how many retries may be sent now; one needs at least 1.0."""
         account = self.account(service, now_s)
-        rounds_up = self._service(service, now_s).rounds_up
-        return account.allowed + rounds_up - account.spent
+        rounding = self._window(service, now_s).rounding
+        return account.allowed + rounding - account.spent
 
     def account(self, service: str, now_s: float) -> RetryAccount:
-        """Returns what is allowed and spent in the window that ends now."""
-        spent = self._service(service, now_s)
+        """Returns what is allowed and used in the window that ends now."""
+        window = self._window(service, now_s)
         bounds = self._bounds
-        hosts, slack_part = self._slack(now_s)
-        allowed = bounds.retry_share * _SHARE_PART * len(spent.first_tries)
+        hosts, slack_fraction = self._slack(now_s)
+        allowed = bounds.retry_share * _SHARE_FRACTION * len(window.first_tries)
         if hosts:
-            allowed += bounds.retry_slack * slack_part / hosts
-        return RetryAccount(len(spent.retries), allowed, hosts)
+            allowed += bounds.retry_slack * slack_fraction / hosts
+        return RetryAccount(len(window.retries), allowed, hosts)
 
     def spend(self, service: str, now_s: float) -> None:
-        """Notes a retry."""
-        self._service(service, now_s).retries.append(now_s)
+        """Counts a retry."""
+        self._window(service, now_s).retries.append(now_s)
 
     def _slack(self, now_s: float) -> tuple[int, float]:
-        """Returns among how many hosts the slack is divided, and its part.
+        """Returns how many hosts divide the slack, and the usable fraction.
 
-        A host that was restarted may have spent its part in this window.
+        In its first window a host has no part of the slack, or a smaller one
+        if it is alone: the process before a restart may have used some of it
+        in the same window.
         """
-        learn_s = max(LEARN_S, self._bounds.retry_window_s)
-        if self._size.is_known(now_s, learn_s):
-            return self._size.hosts, _SLACK_PART
+        discovery_s = max(DISCOVERY_S, self._bounds.retry_window_s)
+        if self._size.is_known(now_s, discovery_s):
+            return self._size.hosts, _SLACK_FRACTION
         if self._size.is_alone:
-            return 1, _FIRST_SLACK_PART
+            return 1, _FIRST_SLACK_FRACTION
         return 0, 0.0
 
-    def _service(self, service: str, now_s: float) -> _Spent:
-        spent = self._spent.get(service)
-        if spent is None:
-            spent = self._spent[service] = _Spent(self._rng.random())
-        spent.forget(now_s - self._bounds.retry_window_s)
-        return spent
+    def _window(self, service: str, now_s: float) -> _Window:
+        window = self._windows.get(service)
+        if window is None:
+            window = self._windows[service] = _Window(self._rng.random())
+        window.forget(now_s - self._bounds.retry_window_s)
+        return window
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -1,15 +1,17 @@
-"""The upstreams that may get work, by incarnation.
-
-Entries come and go by the directory. An entry that goes while the directory
-has been away may only have lapsed: its upstream could not renew it. Such an
-upstream keeps its work for a short while, since most of them come back; one
-would otherwise refuse everything just when the directory has recovered. If most
-entries go at one moment, the directory has been away even if nobody noticed.
-
-An upstream may start again under the name that it had. Of two runs with one
-name the one that began later lives: an entry of the run before, written late or
-read late, never takes its place. Of two entries with one address the newer
-holds, if its service exists; anybody may write an entry.
+"""Keeps track of the upstreams in the directory, by incarnation.
+
+Upstreams register themselves by entries in the directory, which lapse unless
+they are renewed. An entry that is removed while the directory was unavailable
+may only have lapsed because its upstream could not renew it. Such an upstream
+still gets requests for a short time, since most of them register again;
+otherwise the host would refuse all requests just when the directory has
+recovered. If most entries are removed at once, the directory was unavailable
+even if this host did not notice it.
+
+An upstream may restart under the same name. Of two incarnations with one name
+the one that started later is kept: an entry of the earlier one that is written
+or read late never replaces it. Of two entries with one address the newer is
+kept, but only if its service exists, since anybody may write an entry.
 """
 
 from collections.abc import Collection, Iterable
@@ -19,52 +21,63 @@
 from hollyknot_state import Address
 from hollyknot_state.routes import UpstreamEntry
 
-LAPSED_PART = 0.5
-"""Of all upstreams, the part whose entries go at one moment only because the
-directory has been away: a host whose open watch fell silent has not seen that
-it was. Upstreams that leave do so a few at a time."""
+LAPSED_FRACTION = 0.5
+"""Fraction of all entries that, removed at once, must have lapsed while the
+directory was unavailable. A host whose open watch fell silent does not notice
+that it was. Upstreams that leave on purpose do so a few at a time."""
 
-LEAST_LAPSED = 4
-"""Fewer entries than this may go at one moment on their own account."""
+MIN_LAPSED = 4
+"""Entries that have to be removed at once to count as lapsed; fewer may be of
+upstreams that left at the same time."""
 
 
-REMEMBER_REMOVED_S = 60.0
-"""How long it is known that an upstream's entry was removed. A directory that
-comes back from an older copy may have the entry again until it lapses."""
+REMOVED_RETENTION_S = 60.0
+"""Seconds for which a removed entry is remembered. A directory that is restored
+from an older copy may hold the entry again until it lapses."""
 
 
 @attrs.define
-class _Known:
+class _UpstreamState:
+    """An upstream that is registered.
+
+    Attributes:
+        entry: Its newest entry.
+        lapses_at: Time, in seconds, from which the upstream gets no more
+            requests unless its entry is written again.
+        is_replaced: Whether another incarnation answered at its address.
+    """
+
     entry: UpstreamEntry
     lapses_at: float = float("inf")
-    is_gone: bool = False
+    is_replaced: bool = False
 
 
 @attrs.frozen
 class Ended:
-    """An incarnation that is no longer known.
+    """An incarnation that is no longer registered.
 
     Attributes:
-        incarnation: Which.
-        runs_no_more: Whether another one has taken its name or address, so
-            that nothing that it had begun can be answered.
+        incarnation: Identifier of the incarnation.
+        is_superseded: Whether another incarnation has taken its name or
+            address, so that its in-flight requests can't be answered any more.
     """
 
     incarnation: str
-    runs_no_more: bool
+    is_superseded: bool
 
 
-class Fleet:
-    """All upstreams that a host knows."""
+class UpstreamRegistry:
+    """All upstreams that a host has read from the directory."""
 
     def __init__(self, lapse_s: float) -> None:
-        """Knows none.
+        """Creates an empty registry.
 
         Args:
-            lapse_s: How long a lapsed entry's upstream keeps its work.
+            lapse_s: Seconds for which an upstream still gets requests after
+                its entry has lapsed.
         """
         self._lapse_s = lapse_s
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _UpstreamState] = {}
         self._names: dict[str, str] = {}
         self._services: frozenset[str] | None = None
         self._evacuated: frozenset[str] = frozenset()
@@ -80,20 +93,20 @@
         return len(self._known)
 
     def set_services(self, services: Iterable[str]) -> None:
-        """Tells which services exist; entries of others name no upstream."""
+        """Sets which services exist; entries of others are not used."""
         self._services = frozenset(services)
         self._by_service = None
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Tells which data centres are to get no new work."""
+        """Sets which data centres get no new requests."""
         self._evacuated = data_centres
         self._by_service = None
 
     def put(self, entry: UpstreamEntry) -> bool:
-        """Takes in an entry.
+        """Adds or updates an entry.
 
         Returns:
-            Whether it changes what is believed.
+            Whether the entry is new or differs from the one that was known.
         """
         before = self._of_name(entry.name)
         if before is not None and before.entry.born_ms > entry.born_ms:
@@ -108,21 +121,21 @@
             return is_change
         self._by_service = None
         if before is not None:
-            self._end(before.entry.incarnation, runs_no_more=True)
-        self._known[entry.incarnation] = _Known(entry)
+            self._end(before.entry.incarnation, is_superseded=True)
+        self._known[entry.incarnation] = _UpstreamState(entry)
         self._names[entry.name] = entry.incarnation
         return True
 
     def remove(
         self, name: str, now_s: float, *, may_have_lapsed: bool
     ) -> str | None:
-        """Takes an entry out.
+        """Removes an entry.
 
         Args:
-            name: Of the upstream.
-            now_s: The time.
-            may_have_lapsed: Whether the directory has been away, so that the
-                entry may have gone only for that.
+            name: Name of the upstream.
+            now_s: Current time, in seconds.
+            may_have_lapsed: Whether the directory was unavailable, so that the
+                entry may have been removed only because it lapsed.
 
         Returns:
             The incarnation whose entry it was; None if none is known.
@@ -135,35 +148,38 @@
         if may_have_lapsed and not known.entry.is_draining:
             known.lapses_at = min(known.lapses_at, now_s + self._lapse_s)
         else:
-            self._end(incarnation, runs_no_more=False)
-            self._note_removed(incarnation, now_s)
+            self._end(incarnation, is_superseded=False)
+            self._remember_removed(incarnation, now_s)
         return incarnation
 
-    def _note_removed(self, incarnation: str, now_s: float) -> None:
+    def _remember_removed(self, incarnation: str, now_s: float) -> None:
         for other, removed_s in list(self._removed.items()):
-            if now_s - removed_s >= REMEMBER_REMOVED_S:
+            if now_s - removed_s >= REMOVED_RETENTION_S:
                 del self._removed[other]
         self._removed[incarnation] = now_s
 
     def are_lapses(self, removed: Collection[str]) -> bool:
-        """Whether so many entries go at once that they must have lapsed.
+        """Whether so many entries are removed at once that they have lapsed.
 
         Args:
-            removed: Names of the upstreams whose entries have gone.
+            removed: Names of the upstreams whose entries were removed.
         """
         known = len(self._names.keys() & set(removed))
-        return known >= max(LEAST_LAPSED, len(self._names) * LAPSED_PART)
+        return known >= max(MIN_LAPSED, len(self._names) * LAPSED_FRACTION)
 
     def _from_older_copy(
         self, entry: UpstreamEntry, now_s: float
     ) -> UpstreamEntry | None:
-        """Returns what a list says that may be older than what is known.
+        """Returns what to take from an entry that may be out of date.
+
+        A draining upstream stays draining, and an entry that was removed
+        recently is ignored.
 
-        An upstream that is known to leave does not come back, and one whose
-        entry was removed lately is not there again.
+        Returns:
+            The entry to use; None if it is to be ignored.
         """
         removed_s = self._removed.get(entry.incarnation)
-        if removed_s is not None and now_s - removed_s < REMEMBER_REMOVED_S:
+        if removed_s is not None and now_s - removed_s < REMOVED_RETENTION_S:
             return None
         known = self._known.get(entry.incarnation)
         if known is not None and known.entry.is_draining:
@@ -178,16 +194,17 @@
         may_have_lapsed: bool,
         may_be_older: bool = False,
     ) -> list[UpstreamEntry]:
-        """Takes in a whole list: what it lacks is removed.
+        """Replaces all entries by those of a list.
 
         Args:
-            entries: The list.
-            now_s: The time.
-            may_have_lapsed: As of `remove`.
+            entries: All entries in the directory.
+            now_s: Current time, in seconds.
+            may_have_lapsed: Whether the directory was unavailable, so that
+                missing entries may only have lapsed.
             may_be_older: Whether the list may be older than what is known.
 
         Returns:
-            The entries that change what is believed.
+            The entries that are new or differ from those that were known.
         """
         if may_be_older:
             older = (self._from_older_copy(e, now_s) for e in entries)
@@ -200,7 +217,7 @@
         return [entry for entry in listed.values() if self.put(entry)]
 
     def take_ended(self) -> list[Ended]:
-        """Returns what has ended since this was last asked."""
+        """Returns the incarnations that ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -210,32 +227,32 @@
         return known.entry.service if known is not None else ""
 
     def entry_of(self, incarnation: str) -> UpstreamEntry | None:
-        """Returns an upstream that is known."""
+        """Returns the entry of an incarnation; None if it is not known."""
         known = self._known.get(incarnation)
         return known.entry if known is not None else None
 
-    def mark_gone(self, incarnation: str) -> None:
-        """Notes that another incarnation answered at an upstream's address."""
+    def mark_replaced(self, incarnation: str) -> None:
+        """Records that another incarnation answered at an address."""
         known = self._known.get(incarnation)
         if known is not None:
-            known.is_gone = True
+            known.is_replaced = True
             self._by_service = None
 
     def is_usable(self, incarnation: str, now_s: float) -> bool:
-        """Whether an upstream may get work at this moment."""
+        """Whether an upstream may get requests now."""
         self._refresh(now_s)
         known = self._known.get(incarnation)
-        return known is not None and self._may_work(known)
+        return known is not None and self._accepts_work(known)
 
     def usable(self, service: str, now_s: float) -> list[UpstreamEntry]:
-        """Returns a service's upstreams that may get work, in a fixed order.
+        """Returns a service's upstreams that may get requests.
 
-        The order is the same at all hosts that know the same entries.
+        Their order is the same at all hosts that know the same entries.
         """
         return self._refresh(now_s).get(service, [])
 
     def all_usable(self, now_s: float) -> list[UpstreamEntry]:
-        """Returns the upstreams of all services that may get work."""
+        """Returns the upstreams of all services that may get requests."""
         found = self._refresh(now_s).values()
         return [entry for entries in found for entry in entries]
 
@@ -254,14 +271,14 @@
         by_service: dict[str, list[UpstreamEntry]] = {}
         for incarnation in sorted(self._known):
             known = self._known[incarnation]
-            if self._may_work(known):
+            if self._accepts_work(known):
                 entry = known.entry
                 by_service.setdefault(entry.service, []).append(entry)
         return by_service
 
-    def _may_work(self, known: _Known) -> bool:
+    def _accepts_work(self, known: _UpstreamState) -> bool:
         entry = known.entry
-        if known.is_gone or entry.is_draining:
+        if known.is_replaced or entry.is_draining:
             return False
         is_evacuated = entry.data_centre in self._evacuated
         return not is_evacuated and self._exists(entry.service)
@@ -272,13 +289,13 @@
     def _end_lapsed(self, now_s: float) -> None:
         for incarnation, known in list(self._known.items()):
             if now_s >= known.lapses_at:
-                self._end(incarnation, runs_no_more=False)
-                self._note_removed(incarnation, now_s)
+                self._end(incarnation, is_superseded=False)
+                self._remember_removed(incarnation, now_s)
 
     def _end_displaced(self) -> None:
-        """Ends incarnations whose address was given to another one."""
+        """Ends incarnations whose address now belongs to another one."""
         holders: dict[Address, UpstreamEntry] = {}
-        # In the order in which they were first heard of.
+        # In the order in which they were first registered.
         for known in list(self._known.values()):
             entry = known.entry
             if not self._exists(entry.service):
@@ -289,13 +306,13 @@
                 continue
             if other.born_ms > entry.born_ms:
                 holders[entry.address], other = other, entry
-            self._end(other.incarnation, runs_no_more=True)
+            self._end(other.incarnation, is_superseded=True)
 
-    def _of_name(self, name: str) -> _Known | None:
+    def _of_name(self, name: str) -> _UpstreamState | None:
         incarnation = self._names.get(name)
         return None if incarnation is None else self._known[incarnation]
 
-    def _end(self, incarnation: str, *, runs_no_more: bool) -> None:
+    def _end(self, incarnation: str, *, is_superseded: bool) -> None:
         known = self._known.pop(incarnation)
         del self._names[known.entry.name]
-        self._ended.append(Ended(incarnation, runs_no_more))
+        self._ended.append(Ended(incarnation, is_superseded))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Tests of what cold upstreams get, summed over hosts that share nothing."""
+"""Tests the request rate at cold upstreams, summed over independent hosts."""
 
 import random
 from collections import deque
@@ -6,18 +6,22 @@
 import attrs
 import pytest
 
-from hollyknot_coordination.forwarding import ColdStarts, FleetSize
+from hollyknot_coordination.forwarding import ColdStarts, HostCount
 from hollyknot_coordination.forwarding._cold_starts import (
-    PERMIT_S,
-    RATE_PART,
+    PERMIT_LIFETIME_S,
+    RATE_FRACTION,
+)
+from hollyknot_coordination.forwarding._host_count import (
+    DISCOVERY_S,
+    PEAK_RETENTION_S,
 )
-from hollyknot_coordination.forwarding._fleet_size import LEARN_S, REMEMBER_S
 from hollyknot_coordination.forwarding.tests._builders import upstream
 from hollyknot_state.routes import ColdStart, UpstreamEntry
 
 COLD_START = ColdStart(rate=7.6, lasts_s=3.0)
 MOST_IN_A_SECOND = 16
-"""What the upstreams are promised: half as much again as their rate, and 5."""
+"""Requests that a cold upstream may get within any second: 1.5 times its rate,
+plus 5."""
 
 LONG_S = 30.0
 _STEP_S = 0.01
@@ -30,7 +34,7 @@
 def _host(
     seed: int, started_s: float = -60.0, *, is_alone: bool = False
 ) -> ColdStarts:
-    size = FleetSize(started_s, is_alone=is_alone)
+    size = HostCount(started_s, is_alone=is_alone)
     return ColdStarts(random.Random(seed), size, lambda _: COLD_START)
 
 
@@ -40,7 +44,7 @@
     """Lets all hosts send to a cold upstream whenever they may.
 
     Returns:
-        How many requests it got in its busiest second, and in all.
+        Number of requests in the busiest second, and in total.
     """
     rng = random.Random(1)
     recent: deque[float] = deque()
@@ -59,16 +63,17 @@
 
 
 class TestColdStarts:
-    """All hosts together stay below the rate, and use a good part of it."""
+    """Keeps the sum over all hosts below the rate, but uses much of it."""
 
     @pytest.mark.parametrize("count", [1, 8, 83, 400])
     @pytest.mark.parametrize("seed", range(4))
-    def test_all_hosts_want_it_at_once(self, count: int, seed: int) -> None:
+    def test_sum_over_all_hosts_stays_below_the_rate(
+        self, count: int, seed: int
+    ) -> None:
         """An upstream that has just started crashes again and again.
 
-        Sequence: it starts, idle, while others are busy; each host sees that
-        and sends what it has. Cause: nothing bounded the sum of what hosts
-        send that know nothing of each other.
+        It is idle while others are busy, so that each host sends it requests,
+        and no limit holds for the sum over hosts that share no state.
         """
         hosts = [
             _host(seed * 1000 + n, is_alone=count == 1) for n in range(count)
@@ -78,14 +83,12 @@
             host.note(_cold(LONG_S), 0.0)
         busiest, total = _busiest_second(hosts, LONG_S)
         assert busiest <= MOST_IN_A_SECOND
-        assert total >= LONG_S * COLD_START.rate * RATE_PART / 2
+        assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 2
 
     def test_permits_are_not_saved_up(self) -> None:
-        """A burst after a calm minute crashes an upstream that is still cold.
+        """A burst after an idle minute crashes an upstream that is still cold.
 
-        Sequence: for a minute nobody has a request for it; then all have at
-        the same moment. Cause: each host still held the permit it had not
-        used.
+        It happens if each host keeps a permit that it did not use.
         """
         hosts = [_host(n) for n in range(200)]
         for host in hosts:
@@ -95,10 +98,10 @@
         assert at_once <= MOST_IN_A_SECOND
 
     def test_a_host_that_knows_nobody_sends_nothing(self) -> None:
-        """Hosts that are killed together crash what they left.
+        """Hosts that restart at the same time crash a cold upstream.
 
-        Sequence: all hosts start anew while an upstream is cold, and know no
-        peer yet. Cause: each took itself for the only one.
+        It happens if a host that knows no peer yet takes itself for the only
+        one.
         """
         host = _host(1, started_s=0.0)
         host.size.set(1, 1, 0.0)
@@ -109,49 +112,49 @@
         host = _host(1, is_alone=True)
         host.note(_cold(10.0), 0.0)
         _, total = _busiest_second([host], 10.0)
-        assert total >= 10.0 * COLD_START.rate * RATE_PART - 2
+        assert total >= 10.0 * COLD_START.rate * RATE_FRACTION - 2
 
-    def test_it_learns_first_how_many_share(self) -> None:
+    def test_sends_nothing_until_the_host_count_is_known(self) -> None:
         host = _host(1, started_s=0.0)
         host.note(_cold(LONG_S), 0.0)
         host.size.set(2, 2, 0.1)
         assert not any(
-            host.take("a", step * 0.1) for step in range(int(LEARN_S * 10))
+            host.take("a", step * 0.1) for step in range(int(DISCOVERY_S * 10))
         )
-        host.size.set(83, 83, LEARN_S)
+        host.size.set(83, 83, DISCOVERY_S)
         _, total = _busiest_second([host], LONG_S)
         assert total <= 2
 
     def test_peers_that_are_cut_off_still_count(self) -> None:
-        """Both sides of a cut send a cold upstream the whole of its rate.
+        """Both sides of a partition send a cold upstream its whole rate.
 
-        Sequence: hosts lose sight of most others, which reach the same
-        upstreams as before. Cause: the share followed those that are heard.
+        It happens if the rate is divided only by the hosts that are heard,
+        while the others still reach the same upstreams.
         """
         hosts = [_host(n) for n in range(80)]
         for host in hosts:
             host.size.set(80, 80, 0.0)
-            host.size.set(4, 4, REMEMBER_S / 2)
+            host.size.set(4, 4, PEAK_RETENTION_S / 2)
             host.note(_cold(LONG_S), 0.0)
         busiest, _ = _busiest_second(hosts, LONG_S)
         assert busiest <= MOST_IN_A_SECOND
 
-    def test_a_lost_fleet_is_forgotten_in_time(self) -> None:
+    def test_lost_hosts_stop_counting_after_the_retention(self) -> None:
         host = _host(1)
         host.size.set(80, 80, 0.0)
-        host.size.set(4, 4, REMEMBER_S + 1)
+        host.size.set(4, 4, PEAK_RETENTION_S + 1)
         host.note(_cold(LONG_S), 0.0)
         _, total = _busiest_second([host], LONG_S)
-        assert total >= LONG_S * COLD_START.rate * RATE_PART / 4 / 2
+        assert total >= LONG_S * COLD_START.rate * RATE_FRACTION / 4 / 2
 
-    def test_what_says_nothing_yet_is_spared_too(self) -> None:
+    def test_suspected_upstream_counts_as_cold(self) -> None:
         host = _host(1)
         host.suspect(upstream("a"), 0.0)
         assert host.is_cold("a", COLD_START.lasts_s - 0.01)
         assert not host.is_cold("a", COLD_START.lasts_s)
         assert host.take("a", COLD_START.lasts_s)
 
-    def test_a_later_word_makes_it_longer_never_shorter(self) -> None:
+    def test_later_entry_extends_but_never_shortens_it(self) -> None:
         host = _host(1)
         host.note(_cold(3.0), 0.0)
         host.note(_cold(1.0), 0.1)
@@ -160,43 +163,43 @@
         assert host.is_cold("a", 4.9)
 
     def test_services_that_are_never_cold_are_not_held_back(self) -> None:
-        size = FleetSize(0.0, is_alone=False)
+        size = HostCount(0.0, is_alone=False)
         host = ColdStarts(random.Random(1), size, lambda _: None)
         host.note(_cold(LONG_S), 0.0)
         host.suspect(upstream("a"), 0.0)
         assert host.closed([upstream("a")], 0.0) == frozenset()
 
-    def test_a_host_that_reads_upstreams_before_routes_spares_them(
+    def test_upstream_read_before_the_routes_counts_as_cold(
         self,
     ) -> None:
-        """Hosts that have just started crash upstreams that have, too.
+        """Hosts and upstreams that start together crash the upstreams.
 
-        Sequence: hosts and upstreams start together; a host reads the entries
-        of upstreams before the routes, which say what cold ones bear. Cause:
-        an entry whose service was not known yet was taken for a warm one.
+        The rate of cold upstreams is in the routes, which a host may read
+        after the entries. It happens if an upstream whose service is not known
+        yet counts as warm.
         """
         services: dict[str, ColdStart] = {}
-        size = FleetSize(0.0, is_alone=False)
+        size = HostCount(0.0, is_alone=False)
         host = ColdStarts(random.Random(1), size, services.get)
         host.note(_cold(3.0), 0.0)
         services["engines"] = COLD_START
         assert host.closed([upstream("a")], 0.1) == {"a"}
         assert not host.take("a", 0.1)
 
-    def test_one_with_a_permit_is_offered(self) -> None:
-        """An upstream gets nothing until it is warm.
+    def test_upstream_with_a_permit_is_offered(self) -> None:
+        """An upstream gets no requests until it is warm.
 
-        Sequence: most permits lapse, since a request looks at a few upstreams
-        by chance. Cause: those with a permit were not among them.
+        A request considers only a few random upstreams, so that most permits
+        lapse unless upstreams with a permit are always among them.
         """
         host = _host(1)
         host.size.set(8, 8, 0.0)
         entries = [upstream("a"), upstream("b")]
         host.note(_cold(LONG_S), 0.0)
-        interval_s = 8 / (COLD_START.rate * RATE_PART)
-        steps = int((interval_s + PERMIT_S) / _STEP_S)
+        interval_s = 8 / (COLD_START.rate * RATE_FRACTION)
+        steps = int((interval_s + PERMIT_LIFETIME_S) / _STEP_S)
         offered = [host.permitted(entries, n * _STEP_S) for n in range(steps)]
         assert [entries[0]] in offered
         assert [] in offered
-        open_ones = [host.closed(entries, n * _STEP_S) for n in range(steps)]
-        assert set(open_ones) == {frozenset({"a"}), frozenset()}
+        excluded = [host.closed(entries, n * _STEP_S) for n in range(steps)]
+        assert set(excluded) == {frozenset({"a"}), frozenset()}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Tests of keeping requests from upstreams that can't be reached."""
+"""Tests which upstreams count as unreachable, and when they are probed."""
 
 from hollyknot_coordination.forwarding import Reachability
 from hollyknot_coordination.forwarding.tests._builders import upstream
@@ -7,15 +7,15 @@
 
 
 class TestReachability:
-    """One failure keeps requests away, one connection brings them back."""
+    """A failure makes an upstream unreachable, a connection ends that."""
 
     def test_failure_and_success(self) -> None:
         reachability = Reachability()
         assert reachability.failed(A, 0.0)
         assert not reachability.failed(A, 0.1)
-        assert reachability.away([A, B]) == {"a"}
+        assert reachability.unreachable([A, B]) == {"a"}
         assert reachability.succeeded("a", 0.2)
-        assert reachability.away([A, B]) == frozenset()
+        assert reachability.unreachable([A, B]) == frozenset()
 
     def test_tries_again_with_growing_pauses(self) -> None:
         reachability = Reachability()
@@ -32,18 +32,17 @@
         assert max(pauses) < 1.2
         assert pauses == sorted(pauses) or pauses[-1] > pauses[0]
 
-    def test_one_try_at_a_time(self) -> None:
+    def test_not_probed_again_while_a_probe_runs(self) -> None:
         reachability = Reachability()
         reachability.failed(A, 0.0)
         assert reachability.due(0.5) == [A]
         assert reachability.due(0.6) == []
 
-    def test_a_data_centre_that_is_cut_off_is_tried_in_turn(self) -> None:
-        """A cut of seconds costs thousands of connections.
+    def test_partitioned_upstreams_are_probed_one_at_a_time(self) -> None:
+        """A partition of several seconds costs thousands of connections.
 
-        Sequence: a data centre of twenty upstreams is cut off; each of many
-        hosts tries each of them once a second. Cause: each upstream was tried
-        for itself, though all are behind the same cut.
+        It happens if each of many hosts probes each upstream of the data
+        centre once a second, though all are behind the same partition.
         """
         reachability = Reachability()
         far = [upstream(f"far-{n:02}") for n in range(20)]
@@ -57,7 +56,8 @@
                 reachability.failed(entry, now_s)
         assert len(tries) <= 13
         assert len({entry.incarnation for entry in tries}) == len(tries)
-        # The cut ends: the next one in turn is reached, and all are tried.
+        # After the partition the next single probe connects, and then all
+        # upstreams are probed.
         found = reachability.due(6.5)
         assert len(found) == 1
         assert reachability.succeeded(found[0].incarnation, 6.5)
@@ -65,7 +65,7 @@
         back |= {e.incarnation for e in reachability.due(8.4)}
         assert len(back) == len(far) - 1
 
-    def test_a_few_are_tried_each_for_itself(self) -> None:
+    def test_few_unreachable_upstreams_are_probed_independently(self) -> None:
         reachability = Reachability()
         for name in "abc":
             reachability.failed(upstream(name), 0.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget that all hosts keep without a word."""
+"""Tests the retry budget, alone and summed over hosts that share no state."""
 
 import math
 import random
@@ -8,32 +8,32 @@
 import attrs
 import pytest
 
-from hollyknot_coordination.forwarding import FleetSize, RetryBudget
-from hollyknot_coordination.forwarding._fleet_size import REMEMBER_S
+from hollyknot_coordination.forwarding import HostCount, RetryBudget
+from hollyknot_coordination.forwarding._host_count import PEAK_RETENTION_S
 from hollyknot_state.routes import Bounds
 
 BOUNDS = Bounds(retry_share=0.2, retry_window_s=10.0, retry_slack=206.0)
 SERVICE = "s"
-CENTRES = 3
+DATA_CENTRES = 3
 STEP_S = 0.5
 
-LEAST_USED = 0.6
-"""Of what is allowed, where all hosts hear all: callers keep their second try.
-"""
+MIN_USED_FRACTION = 0.6
+"""Fraction of the allowed retries that has to be usable if all hosts hear each
+other, so that callers get their second try."""
 
 
 def _alone(bounds: Bounds) -> RetryBudget:
-    size = FleetSize(-math.inf, is_alone=True)
+    size = HostCount(-math.inf, is_alone=True)
     return RetryBudget(bounds, size, random.Random(1))
 
 
 def _spend_all(started_s: float) -> int:
-    """Returns the retries of a lone host whose only request failed."""
-    size = FleetSize(started_s, is_alone=True)
+    """Returns how often a lone host may retry its only request."""
+    size = HostCount(started_s, is_alone=True)
     budget = RetryBudget(BOUNDS, size, random.Random(1))
     budget.on_first_try(SERVICE, 0.0)
     spent = 0
-    while budget.left(SERVICE, 0.0) >= 1.0:
+    while budget.remaining(SERVICE, 0.0) >= 1.0:
         budget.spend(SERVICE, 0.0)
         spent += 1
     return spent
@@ -41,16 +41,30 @@
 
 @attrs.define
 class _Host:
-    """One host of a fleet."""
+    """A simulated host.
 
-    size: FleetSize
+    Attributes:
+        size: Its count of the hosts.
+        budget: Its retry budget.
+        paused_until_s: Time until which it is suspended, in seconds.
+    """
+
+    size: HostCount
     budget: RetryBudget
-    stands_until_s: float = 0.0
+    paused_until_s: float = 0.0
 
 
 @attrs.define
 class _Fleet:
-    """Hosts that send each failed request once more while they may."""
+    """Simulated hosts that retry each failed request once if they may.
+
+    Attributes:
+        count: Number of hosts.
+        rng: Source of all random choices.
+        hosts: The hosts.
+        requests: Time of each step, and the requests sent in it.
+        retries: Time of each step, and the retries sent in it.
+    """
 
     count: int
     rng: random.Random
@@ -60,24 +74,25 @@
 
     def start(self, now_s: float) -> _Host:
         """Returns a host that has just started."""
-        size = FleetSize(now_s, is_alone=False, data_centres=CENTRES)
+        size = HostCount(now_s, is_alone=False, data_centres=DATA_CENTRES)
         return _Host(size, RetryBudget(BOUNDS, size, self.rng))
 
     def step(self, now_s: float, a_second: float) -> tuple[float, float]:
-        """Sends the requests of one step; all fail.
+        """Sends the requests of one step, all of which fail.
 
         Returns:
-            The retries in the window that ends now, as a part of what is
-            allowed, and as a part of that or of what callers want.
+            The retries in the window that ends now, as a fraction of those
+            allowed, and as a fraction of those allowed or of the requests,
+            whichever is less.
         """
         wanted = a_second * STEP_S
         count = int(wanted) + (self.rng.random() < wanted % 1)
         sent = 0
         for host in self.rng.choices(self.hosts, k=count):
-            if now_s < host.stands_until_s:
+            if now_s < host.paused_until_s:
                 continue
             host.budget.on_first_try(SERVICE, now_s)
-            if host.budget.left(SERVICE, now_s) >= 1.0:
+            if host.budget.remaining(SERVICE, now_s) >= 1.0:
                 host.budget.spend(SERVICE, now_s)
                 sent += 1
         self.requests.append((now_s, count))
@@ -103,7 +118,9 @@
 
 def _all_hear_all(fleet: _Fleet, now_s: float) -> None:
     for host in fleet.hosts:
-        host.size.set(fleet.count, fleet.count, now_s, _centres(fleet.count))
+        host.size.set(
+            fleet.count, fleet.count, now_s, _by_data_centre(fleet.count)
+        )
 
 
 def _none_hears_another(fleet: _Fleet, now_s: float) -> None:
@@ -111,43 +128,43 @@
         host.size.set(1, 1, now_s, (1,))
 
 
-def _centres_apart(fleet: _Fleet, now_s: float) -> None:
-    near = fleet.count // CENTRES
+def _data_centres_partitioned(fleet: _Fleet, now_s: float) -> None:
+    near = fleet.count // DATA_CENTRES
     for host in fleet.hosts:
         host.size.set(near, near, now_s, (near,))
 
 
-def _started_anew(fleet: _Fleet, now_s: float) -> None:
-    """All hosts are killed every seven seconds, and hear ever more."""
+def _restarted_again_and_again(fleet: _Fleet, now_s: float) -> None:
+    """Restarts all hosts every seven seconds; each then hears more and more."""
     since_s = now_s % 7.0
     if since_s == 0.0:
         fleet.hosts = [fleet.start(now_s) for _ in fleet.hosts]
     for host in fleet.hosts:
         heard = 1 + round((fleet.count - 1) * fleet.rng.random() * since_s / 7)
-        host.size.set(heard, heard, now_s, _centres(heard))
+        host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
-def _stood_still(fleet: _Fleet, now_s: float) -> None:
-    """Most hosts stand still for a while, and then have forgotten all peers."""
+def _paused_and_resumed(fleet: _Fleet, now_s: float) -> None:
+    """Suspends most hosts for a while; then they know no peers."""
     if now_s % 20.0 == 0.0:
         for host in fleet.rng.sample(fleet.hosts, round(fleet.count * 0.8)):
-            host.stands_until_s = now_s + 5.0
+            host.paused_until_s = now_s + 5.0
     for host in fleet.hosts:
-        if now_s >= host.stands_until_s:
-            is_back = now_s < host.stands_until_s + 2.0
+        if now_s >= host.paused_until_s:
+            is_back = now_s < host.paused_until_s + 2.0
             heard = 1 if is_back and now_s > 0.0 else fleet.count
-            host.size.set(heard, heard, now_s, _centres(heard))
+            host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
 def _alone_for_long(fleet: _Fleet, now_s: float) -> None:
-    """All hosts hear nobody until everything is forgotten, then a few."""
-    is_apart = now_s < REMEMBER_S + 5.0
+    """Lets hosts hear nobody until the peak count is forgotten, then a few."""
+    is_apart = now_s < PEAK_RETENTION_S + 5.0
     heard = 1 if is_apart else min(3, fleet.count)
     for host in fleet.hosts:
-        host.size.set(heard, heard, now_s, _centres(heard))
+        host.size.set(heard, heard, now_s, _by_data_centre(heard))
 
 
-def _centres(count: int) -> tuple[int, ...]:
+def _by_data_centre(count: int) -> tuple[int, ...]:
     parts = (count // 3, (count + 1) // 3, (count + 2) // 3)
     return tuple(filter(None, parts))
 
@@ -155,7 +172,12 @@
 def _busiest(
     count: int, state: State, a_second: float, seconds: float
 ) -> tuple[float, float]:
-    """Returns the largest part of what is allowed, and the last one used."""
+    """Returns the largest and last fractions that the steps returned.
+
+    The first is the largest fraction of the allowed retries that was sent in
+    any window; the second is that of the last window, by the allowed retries
+    or the requests, whichever were less.
+    """
     fleet = _Fleet(count, random.Random(count))
     fleet.hosts = [fleet.start(-30.0) for _ in range(count)]
     busiest = used = 0.0
@@ -168,16 +190,16 @@
 
 SIZES = (8, 83, 300, 2500)
 RATES = (5.0, 40.0, 353.0, 2000.0)
-"""Requests a second of all hosts together: the slack counts most where there
-are few, the share where there are many."""
+"""Requests per second of all hosts together. Few requests test the slack, many
+test the share."""
 
 RATES_OF_A_HOST = (1.1, 4.3, 12.0)
-"""Requests a second of one host to a service: a small service's at the larger
-deployments, their engines', and a busier host's."""
+"""Requests per second of one host to a service: a small service and the engines
+of the larger deployments, and a busier host."""
 
 
 class TestSumOverHosts:
-    """What all hosts together send again, by what each of them knows."""
+    """The retries of all hosts together, by what each host knows."""
 
     @pytest.mark.parametrize("count", SIZES)
     @pytest.mark.parametrize(
@@ -185,37 +207,37 @@
         [
             _all_hear_all,
             _none_hears_another,
-            _centres_apart,
-            _started_anew,
-            _stood_still,
+            _data_centres_partitioned,
+            _restarted_again_and_again,
+            _paused_and_resumed,
         ],
     )
     def test_is_never_more_than_allowed(self, count: int, state: State) -> None:
-        """Hosts that know few others each spend the slack of all."""
+        """Hosts that know few others each use the slack of all hosts."""
         for a_second in RATES:
             busiest, _ = _busiest(count, state, a_second, 42.0)
             assert busiest <= 1.0, a_second
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_is_never_more_after_a_long_cut(self, count: int) -> None:
-        """Hosts that come back from a long cut count from one again."""
+    def test_is_never_more_after_a_long_partition(self, count: int) -> None:
+        """Hosts that heard nobody for long count from one again."""
         busiest, _ = _busiest(
-            count, _alone_for_long, RATES[1], REMEMBER_S + 10.0
+            count, _alone_for_long, RATES[1], PEAK_RETENTION_S + 10.0
         )
         assert busiest <= 1.0
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_is_most_of_what_is_allowed_where_all_hear_all(
+    def test_most_of_the_budget_is_usable_where_all_hear_all(
         self, count: int
     ) -> None:
-        """Callers lose their second try for want of whole retries a host."""
+        """Callers get no retry since each host's allowance is below one."""
         for of_a_host in RATES_OF_A_HOST:
             _, used = _busiest(count, _all_hear_all, count * of_a_host, 30.0)
-            assert used >= LEAST_USED, of_a_host
+            assert used >= MIN_USED_FRACTION, of_a_host
 
 
 class TestRetryBudget:
-    """Shares of requests and of the slack of one host."""
+    """The retry budget of one host."""
 
     def test_the_window_slides(self) -> None:
         budget = _alone(Bounds(retry_share=0.5, retry_slack=0.0))
@@ -229,19 +251,19 @@
         for _ in range(10):
             budget.on_first_try(SERVICE, 0.0)
         spent = 0
-        while budget.left(SERVICE, 0.0) >= 1.0:
+        while budget.remaining(SERVICE, 0.0) >= 1.0:
             budget.spend(SERVICE, 0.0)
             spent += 1
         assert spent == budget.account(SERVICE, 0.0).spent == 4
 
-    def test_a_lone_host_that_has_just_started_sends_again(self) -> None:
-        """A lone host refuses its first requests for want of peers."""
+    def test_lone_host_may_retry_right_after_its_start(self) -> None:
+        """A lone host can't retry its first requests for lack of peers."""
         spent = [_spend_all(started_s) for started_s in (-60.0, 0.0)]
         assert spent[1] >= 1
-        # Of the process before it and of its own, within one window.
+        # The process before the restart and the new one share a window.
         assert sum(spent) <= BOUNDS.retry_slack + BOUNDS.retry_share
 
-    def test_services_do_not_share(self) -> None:
+    def test_services_have_separate_budgets(self) -> None:
         budget = _alone(Bounds(retry_share=0.5))
         for _ in range(10):
             budget.on_first_try(SERVICE, 0.0)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -1,20 +1,20 @@
-"""Tests of which upstreams may get work."""
+"""Tests which upstreams may get requests."""
 
-from hollyknot_coordination.forwarding import Ended, Fleet
+from hollyknot_coordination.forwarding import Ended, UpstreamRegistry
 from hollyknot_coordination.forwarding.tests._builders import upstream
 
 LAPSE_S = 1.7
 
 
-def _names(fleet: Fleet, now_s: float = 0.0) -> list[str]:
+def _names(fleet: UpstreamRegistry, now_s: float = 0.0) -> list[str]:
     return [e.incarnation for e in fleet.usable("engines", now_s)]
 
 
-class TestFleet:
-    """Entries that come, drain, lapse and go."""
+class TestUpstreamRegistry:
+    """Entries that are added, drain, lapse and are removed."""
 
     def test_order_is_the_same_whatever_order_entries_came_in(self) -> None:
-        one, other = Fleet(LAPSE_S), Fleet(LAPSE_S)
+        one, other = UpstreamRegistry(LAPSE_S), UpstreamRegistry(LAPSE_S)
         for name in ("b", "a", "c"):
             one.put(upstream(name))
         for name in ("c", "b", "a"):
@@ -22,32 +22,31 @@
         assert _names(one) == _names(other) == ["a", "b", "c"]
 
     def test_a_draining_upstream_gets_no_work(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         assert fleet.put(upstream("a", is_draining=True))
         assert _names(fleet) == []
         assert not fleet.is_usable("a", 0.0)
 
     def test_renewing_an_entry_changes_nothing(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         assert fleet.put(upstream("a"))
         assert not fleet.put(upstream("a"))
 
     def test_a_removed_upstream_gets_no_work_at_once(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         assert fleet.remove("a", 0.0, may_have_lapsed=False)
         assert _names(fleet) == []
 
     def test_most_entries_going_at_once_have_lapsed(self) -> None:
-        """All requests are refused just after the directory has come back.
+        """All requests are refused just after the directory has recovered.
 
-        Sequence: the directory is down for longer than entries live, while
-        this host's watch is open and silent; a peer tells it of the return,
-        and it reads that all entries are gone. Cause: it had noticed no
-        failure, so that it took lapses for upstreams that have left.
+        While the directory is down, all entries lapse, and a host whose watch
+        stays open notices no failure. It happens if the host takes the missing
+        entries for upstreams that have left.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         for name in "abcdefgh":
             fleet.put(upstream(name))
         assert fleet.are_lapses("abcd")
@@ -58,7 +57,7 @@
         assert _names(fleet, LAPSE_S) == ["a"]
 
     def test_a_few_upstreams_of_a_small_fleet_leave(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         for name in "abc":
             fleet.put(upstream(name))
         fleet.replace([], 0.0, may_have_lapsed=False)
@@ -67,13 +66,12 @@
     def test_entries_that_lapse_with_the_directory_keep_their_work(
         self,
     ) -> None:
-        """All requests are refused just after the directory has come back.
+        """All requests are refused just after the directory has recovered.
 
-        Sequence: the directory is down for longer than entries live; on its
-        return all are gone, and come back within two seconds. Cause: an entry
-        that is gone was taken for an upstream that is gone.
+        Entries that lapsed with the directory are written again within two
+        seconds. It happens if their upstreams get no requests until then.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         fleet.put(upstream("b"))
         fleet.replace([], 10.0, may_have_lapsed=True)
@@ -83,38 +81,38 @@
         assert _names(fleet, 99.0) == ["a"]
 
     def test_a_draining_entry_that_is_gone_did_not_lapse(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", is_draining=True))
         fleet.remove("a", 0.0, may_have_lapsed=True)
         assert "a" not in fleet
 
     def test_an_address_that_is_given_to_another_ends_the_first(self) -> None:
-        """A request of one service runs at another.
+        """A request to one service runs at another.
 
-        Sequence: an upstream crashes, its address is given to an upstream of
-        another service, its own entry has not lapsed yet. Cause: two entries
-        with one address were both believed.
+        An upstream crashes, and its address is assigned to an upstream of
+        another service before its entry lapses. It happens if both entries
+        with this address are used.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", port=7))
         fleet.put(upstream("b", service="plain", port=7))
         assert _names(fleet) == []
 
     def test_another_incarnation_at_the_address_ends_it_for_good(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
-        fleet.mark_gone("a")
+        fleet.mark_replaced("a")
         fleet.put(upstream("a"))
         assert _names(fleet) == []
 
     def test_an_entry_of_an_unknown_service_takes_no_address(self) -> None:
-        """A sound upstream gets no work any more.
+        """A healthy upstream gets no more requests.
 
-        Sequence: somebody writes an entry with its address and a service that
-        does not exist. Cause: the newer of two entries with one address held,
-        whoever wrote it.
+        Anybody may write an entry with its address and a service that does not
+        exist. It happens if the newer of two entries with one address is kept
+        in any case.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.set_services(["engines", "plain"])
         fleet.put(upstream("a", port=7))
         fleet.put(upstream("b", service="none", port=7))
@@ -123,7 +121,7 @@
         assert not fleet.is_usable("b", 0.0)
 
     def test_a_service_that_begins_to_exist_has_its_upstreams(self) -> None:
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.set_services(["plain"])
         fleet.put(upstream("a"))
         assert _names(fleet) == []
@@ -131,68 +129,67 @@
         assert _names(fleet) == ["a"]
 
 
-class TestLives:
-    """Upstreams that start again under the name that they had."""
+class TestIncarnations:
+    """Upstreams that restart under the same name."""
 
-    def test_a_new_life_is_another_incarnation(self) -> None:
-        """An empty engine gets the prompts that the one before had cached.
+    def test_restart_is_another_incarnation(self) -> None:
+        """A restarted engine gets prompts that only its predecessor had cached.
 
-        Sequence: an engine crashes and starts again under its name. Cause:
-        the name alone told incarnations apart.
+        It happens if incarnations are identified by the name alone.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         assert fleet.put(upstream("a", born_ms=9))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("a@5", runs_no_more=True)]
+        assert fleet.take_ended() == [Ended("a@5", is_superseded=True)]
         assert "a@5" not in fleet
 
-    def test_an_older_life_never_replaces_a_newer_one(self) -> None:
-        fleet = Fleet(LAPSE_S)
+    def test_older_incarnation_never_replaces_a_newer_one(self) -> None:
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9))
         assert not fleet.put(upstream("a", born_ms=5))
         assert not fleet.put(upstream("a", is_draining=True))
         assert _names(fleet) == ["a@9"]
         assert fleet.take_ended() == []
 
-    def test_marks_of_the_life_before_end_with_it(self) -> None:
-        """A restarted upstream never gets work again.
+    def test_marks_end_with_their_incarnation(self) -> None:
+        """A restarted upstream never gets requests again.
 
-        Sequence: it leaves, or another one answers at its address; it starts
-        again under its name. Cause: the marks were kept by name.
+        It happens if the marks that it drains or was replaced at its address
+        are kept by name.
         """
-        fleet = Fleet(LAPSE_S)
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         fleet.put(upstream("b", born_ms=5, is_draining=True))
-        fleet.mark_gone("a@5")
+        fleet.mark_replaced("a@5")
         assert _names(fleet) == []
         fleet.put(upstream("a", born_ms=9))
         fleet.put(upstream("b", born_ms=9))
         assert _names(fleet) == ["a@9", "b@9"]
 
-    def test_a_lapse_of_the_life_before_does_not_end_the_new_one(self) -> None:
-        fleet = Fleet(LAPSE_S)
+    def test_lapse_of_an_older_incarnation_spares_the_newer(self) -> None:
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=5))
         fleet.remove("a", 10.0, may_have_lapsed=True)
         fleet.put(upstream("a", born_ms=9))
         assert _names(fleet, 10.0 + 2 * LAPSE_S) == ["a@9"]
 
-    def test_the_later_life_holds_an_address(self) -> None:
-        fleet = Fleet(LAPSE_S)
+    def test_newer_incarnation_keeps_a_shared_address(self) -> None:
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a", born_ms=9, port=7))
         fleet.put(upstream("b", born_ms=5, port=7))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("b@5", runs_no_more=True)]
+        assert fleet.take_ended() == [Ended("b@5", is_superseded=True)]
 
-    def test_what_lapses_or_leaves_has_ended_too(self) -> None:
-        fleet = Fleet(LAPSE_S)
+    def test_lapsed_and_removed_upstreams_have_ended(self) -> None:
+        fleet = UpstreamRegistry(LAPSE_S)
         fleet.put(upstream("a"))
         fleet.put(upstream("b"))
         fleet.remove("a", 0.0, may_have_lapsed=False)
         fleet.remove("b", 0.0, may_have_lapsed=True)
         assert _names(fleet, LAPSE_S) == []
         assert fleet.take_ended() == [
-            Ended("a", runs_no_more=False),
-            Ended("b", runs_no_more=False),
+            Ended("a", is_superseded=False),
+            Ended("b", is_superseded=False),
         ]
         assert fleet.take_ended() == []
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -190,8 +190,10 @@
             return None
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        away = parts.reachability.away(usable)
-        entries = job.asked or [e for e in usable if e.incarnation not in away]
+        unreachable = parts.reachability.unreachable(usable)
+        entries = job.asked or [
+            e for e in usable if e.incarnation not in unreachable
+        ]
         # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
         decision = parts.shedding.decide(
@@ -231,7 +233,7 @@
             sent=job.sent,
             may_have_run=job.may_have_run,
             left_s=job.deadline_s - now,
-            budget_left=parts.budget.left(job.service.name, now),
+            budget_left=parts.budget.remaining(job.service.name, now),
             candidates=sum(e.incarnation not in excluded for e in usable),
         )
 
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -16,16 +16,16 @@
     ColdStarts,
     Demand,
     Ended,
-    Fleet,
-    FleetSize,
     Forecasts,
     Health,
+    HostCount,
     Loads,
     NamedLimits,
     Placement,
     Reachability,
     RetryBudget,
     Shedding,
+    UpstreamRegistry,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway import _metrics as metrics
@@ -123,7 +123,7 @@
         self._rng = rng
         self._log = Log(settings.host, settings.data_centre, STANDARD_OUTPUT)
         self._pool = Pool(clock)
-        self._routing_state = RoutingState(Fleet(LAPSE_GRACE_S))
+        self._routing_state = RoutingState(UpstreamRegistry(LAPSE_GRACE_S))
         self._metrics = Metrics()
         self._loads = Loads()
         self._demand = Demand()
@@ -131,7 +131,7 @@
         self._forecasts = Forecasts()
         self._reachability = Reachability()
         self._health = Health()
-        self._size = FleetSize(
+        self._size = HostCount(
             clock(),
             is_alone=not set(settings.seeds) - {settings.peers},
             data_centres=settings.data_centres,
@@ -448,7 +448,7 @@
     def _on_upstream_ended(self, ended: Ended) -> None:
         """Discards all state that is kept for an incarnation that has left."""
         incarnation = ended.incarnation
-        if ended.runs_no_more:
+        if ended.is_superseded:
             self._stalls.on_upstream_unreachable(incarnation)
         self._reachability.forget(incarnation)
         self._health.forget(incarnation)
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -11,8 +11,8 @@
     NOTE_FROM_S,
     CachedParts,
     Demand,
-    FleetSize,
     Forecasts,
+    HostCount,
     Inquiries,
     Loads,
     NamedLimits,
@@ -89,7 +89,7 @@
     cached: CachedParts
     forecasts: Forecasts
     suspects: SuspectRegister
-    host_count: FleetSize
+    host_count: HostCount
     limits: NamedLimits
 
 
@@ -222,7 +222,7 @@
     @property
     def hosts(self) -> int:
         """Estimated number of hosts, with this one."""
-        return self._peers.estimated + 1
+        return self._peers.estimated_count + 1
 
     async def open(self) -> None:
         """Opens the socket for reports.
@@ -280,7 +280,7 @@
         max_targets = self._rate.affordable(self._report_bytes, now_s)
         targets = self._peers.targets(now_s, max_targets)
         full_report_targets = [
-            t for t in targets if self._peers.wants_details(t, now_s)
+            t for t in targets if self._peers.needs_full_report(t, now_s)
         ]
         use_report_targets = [
             target for target in targets if target not in full_report_targets
@@ -307,7 +307,7 @@
             min(1.0, (len(fresh) + 1) / self.hosts),
         )
         shared.host_count.set(
-            self.hosts, self.count + 1, now_s, self._peers.by_centre
+            self.hosts, self.count + 1, now_s, self._peers.by_data_centre
         )
 
     def _use_report(self, now_s: float, *, is_whole: bool) -> UseReport:
@@ -420,7 +420,7 @@
         if entry.data_centre in self._silent_data_centres:
             return True
         since_s = self._clock() - PARTITION_DETECTION_S
-        return self._reachability.has_lost(
+        return self._reachability.has_become_unreachable(
             self._others_in_data_centre(entry), since_s
         )
 
@@ -454,8 +454,10 @@
         self, entries: Sequence[UpstreamEntry]
     ) -> list[UpstreamEntry]:
         """Returns the upstreams that are not known to be unreachable."""
-        away = self._reachability.away(entries)
-        return [entry for entry in entries if entry.incarnation not in away]
+        unreachable = self._reachability.unreachable(entries)
+        return [
+            entry for entry in entries if entry.incarnation not in unreachable
+        ]
 
     def _others_in_data_centre(
         self, entry: UpstreamEntry
--- a/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/_neighbour_network.py
@@ -10,12 +10,12 @@
 from hollyknot_coordination.forwarding import (
     CachedParts,
     Demand,
-    Fleet,
-    FleetSize,
     Forecasts,
+    HostCount,
     Loads,
     NamedLimits,
     Reachability,
+    UpstreamRegistry,
 )
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_gateway._log import Log
@@ -63,7 +63,7 @@
 
     suspects: SuspectRegister
     neighbours: Neighbours
-    host_count: FleetSize
+    host_count: HostCount
     task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -158,7 +158,7 @@
             seeds=tuple(map(address, seeds)),
         )
         suspects = SuspectRegister(SuspectOptions())
-        host_count = FleetSize(
+        host_count = HostCount(
             self._clock(), is_alone=not seeds, data_centres=len(DATA_CENTRES)
         )
         neighbours = Neighbours(
@@ -172,7 +172,7 @@
                 host_count,
                 NamedLimits(),
             ),
-            RoutingState(Fleet(1.0)),
+            RoutingState(UpstreamRegistry(1.0)),
             Reachability(),
             cast(Prober, None),
             RevisionGossip(ReadRevisions, lambda _: None),
--- a/packages/gateway/src/hollyknot_gateway/tests/test_loss_classifier.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_loss_classifier.py
@@ -4,7 +4,7 @@
 import os
 from collections.abc import Awaitable, Callable
 
-from hollyknot_coordination.forwarding import Reachability, _silences
+from hollyknot_coordination.forwarding import Reachability, _silence_detector
 from hollyknot_coordination.suspects import (
     Clear,
     SuspectOptions,
@@ -117,4 +117,7 @@
         _run(test)
 
     def test_verdict_waits_longer_than_partition_detection(self) -> None:
-        assert _loss_classifier.VERDICT_DELAY_S >= 2 * _silences.SILENT_S
+        assert (
+            _loss_classifier.VERDICT_DELAY_S
+            >= 2 * _silence_detector.MIN_SILENCE_S
+        )
