--- a/packages/bench/src/hollyknot_bench/_routing_measures.py
+++ b/packages/bench/src/hollyknot_bench/_routing_measures.py
@@ -105,7 +105,7 @@
 def hot_prefix() -> None:
     """Shows that one prefix in most requests makes no hot spot."""
     for bound, label in ((1.25, "bounded"), (FOREVER_S, "without a bound")):
-        options = RoutingOptions(locality_bound=bound)
+        options = RoutingOptions(locality_bound_factor=bound)
         _print_result(
             f"one prefix for all, {label}",
             RoutingScenario(options, prefixes=1, cold_s=0.8, decode_s=1.2),
--- a/packages/bench/src/hollyknot_bench/slopes/_signals.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_signals.py
@@ -119,7 +119,7 @@
 
         store, kept = traced(make)
         memory.append((size, kept / MEGA))
-        told = functools.partial(store.take_news, 278, 1.0)
+        told = functools.partial(store.next_updates, 278, 1.0)
         cpu.append((size, cpu_us(told, 3, 3)))
     against = "signs kept"
     return [
--- a/packages/coordination/src/hollyknot_coordination/checks/_problems.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/_problems.py
@@ -3,13 +3,13 @@
 from hollyknot_coordination.spread import Invalid
 from hollyknot_state import Problems
 
-_TOLD = 5
+_MAX_LISTED = 5
 
 
 def invalid(problems: Problems) -> Invalid:
     """Returns the refusal, with the first few problems told."""
-    told = [str(p) for p in problems.problems[:_TOLD]]
-    rest = len(problems.problems) + problems.more - len(told)
+    listed = [str(p) for p in problems.problems[:_MAX_LISTED]]
+    rest = len(problems.problems) + problems.more - len(listed)
     if rest:
-        told.append(f"and {rest} more")
-    return Invalid(" | ".join(told))
+        listed.append(f"and {rest} more")
+    return Invalid(" | ".join(listed))
--- a/packages/coordination/src/hollyknot_coordination/checks/tests/test_declarations.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/tests/test_declarations.py
@@ -93,14 +93,14 @@
     """The same verdict and the same value as the check of the whole."""
 
     @pytest.mark.parametrize("after", _CASES.values(), ids=_CASES.keys())
-    def test_equals_the_whole_check(self, after: dict[str, Any]) -> None:
+    def test_agrees_with_the_full_check(self, after: dict[str, Any]) -> None:
         whole = parse_declarations(orjson.dumps(after), 2)
         found = check_declarations(_candidate(after))
         assert isinstance(found, Invalid) == isinstance(whole, Problems)
         if isinstance(whole, Declarations):
             assert found == whole
 
-    def test_first_version_is_checked_whole(self) -> None:
+    def test_first_version_gets_the_full_check(self) -> None:
         kind = DocumentKind.DECLARATIONS
         records = read_records(kind, orjson.dumps(_BEFORE))
         candidate = Candidate(
--- a/packages/coordination/src/hollyknot_coordination/checks/tests/test_hosts.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/tests/test_hosts.py
@@ -77,7 +77,9 @@
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=300)
     @given(edits=_EDITS)
-    def test_equals_the_whole_check(self, edits: list[tuple[str, Any]]) -> None:
+    def test_agrees_with_the_full_check(
+        self, edits: list[tuple[str, Any]]
+    ) -> None:
         """A host that learns by changes has the list of one that reads all.
 
         Symptom: hosts with the same revision send to different upstreams.
--- a/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
@@ -53,7 +53,7 @@
         self,
         request_class: str,
         verdict: Verdict,
-        met: bool,
+        met_target: bool,
         size: int,
         wasted_tries: int,
     ) -> None:
@@ -68,7 +68,7 @@
         """
         old = self._by_class.get(request_class, ClassTally())
         field = _FIELDS[verdict.outcome]
-        is_good = met and verdict.is_complete
+        is_good = met_target and verdict.is_complete
         counted = attrs.evolve(
             old,
             ended=old.ended + 1,
--- a/packages/coordination/src/hollyknot_coordination/outcomes/_targets.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/_targets.py
@@ -34,22 +34,22 @@
         target: The class's target.
         timing: When the parts came.
     """
-    whole_ms = (timing.ended_s - timing.arrived_s) * 1000
-    if target.whole_answer_ms and whole_ms > target.whole_answer_ms:
+    answer_ms = (timing.ended_s - timing.arrived_s) * 1000
+    if target.whole_answer_ms and answer_ms > target.whole_answer_ms:
         return False
     if not timing.is_streamed:
-        return whole_ms <= _whole_allowance_ms(target, timing.tokens)
+        return answer_ms <= _max_answer_ms(target, timing.tokens)
     first_ms = (timing.first_byte_s - timing.arrived_s) * 1000
     if target.first_token_ms and first_ms > target.first_token_ms:
         return False
     gaps = max(1, timing.tokens - 1)
-    between_ms = (timing.ended_s - timing.first_byte_s) * 1000 / gaps
+    mean_gap_ms = (timing.ended_s - timing.first_byte_s) * 1000 / gaps
     return (
-        not target.between_tokens_ms or between_ms <= target.between_tokens_ms
+        not target.between_tokens_ms or mean_gap_ms <= target.between_tokens_ms
     )
 
 
-def _whole_allowance_ms(target: Target, tokens: int) -> float:
+def _max_answer_ms(target: Target, tokens: int) -> float:
     if not target.first_token_ms or not target.between_tokens_ms:
         return float("inf")
     return target.first_token_ms + tokens * target.between_tokens_ms
--- a/packages/coordination/src/hollyknot_coordination/outcomes/tests/test_outcomes.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/tests/test_outcomes.py
@@ -41,7 +41,7 @@
 class TestTallies:
     """Counts by class."""
 
-    def test_attainment_counts_refusals_against_it(self) -> None:
+    def test_refused_requests_lower_attainment(self) -> None:
         tallies = Tallies()
         tallies.record("counter", Verdict(Outcome.COMPLETE), True, 10, 0)
         tallies.record("counter", Verdict(Outcome.COMPLETE), False, 10, 1)
--- a/packages/coordination/src/hollyknot_coordination/routing/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/__init__.py
@@ -12,15 +12,15 @@
 from hollyknot_coordination.routing._subset import subset
 from hollyknot_coordination.routing._table import UpstreamTable
 from hollyknot_coordination.routing._timeouts import (
-    CONNECT_S,
-    PROBE_S,
+    CONNECT_TIMEOUT_S,
+    PROBE_TIMEOUT_S,
     Timeouts,
     timeouts,
 )
 
 __all__ = [
-    "CONNECT_S",
-    "PROBE_S",
+    "CONNECT_TIMEOUT_S",
+    "PROBE_TIMEOUT_S",
     "Choice",
     "NoChoice",
     "NoChoiceReason",
--- a/packages/coordination/src/hollyknot_coordination/routing/_candidates.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_candidates.py
@@ -31,14 +31,16 @@
 ) -> Candidates | NoChoiceReason:
     """Returns upstreams that may take the request, or why there are none."""
     usable = usable_group(pool)
-    open_ = [u for u in usable if u.has_room and _allows(u, request, exclude)]
-    if open_:
-        return open_
+    available = [
+        u for u in usable if u.has_room and _allows(u, request, exclude)
+    ]
+    if available:
+        return available
     if request.nature is Nature.IDEMPOTENT and (not usable or suspects_itself):
         for group in _trial_groups(pool):
-            open_ = [u for u in group if _allows(u, request, exclude)]
-            if open_:
-                return open_
+            available = [u for u in group if _allows(u, request, exclude)]
+            if available:
+                return available
     if usable:
         return NoChoiceReason.ALL_FULL
     return NoChoiceReason.ALL_EJECTED
--- a/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
@@ -6,7 +6,7 @@
 from hollyknot_coordination.routing._upstream import Flight, Upstream
 from hollyknot_state import Outcome, Reason, Verdict
 
-WAITED_SHARE = 0.5
+WAITED_FRACTION = 0.5
 """Part of a request's budget spent before its dispatch from which a missed
 target is not the upstream's fault."""
 
@@ -41,7 +41,7 @@
 ) -> None:
     """Takes in the time from dispatch to first byte."""
     upstream.waiting.pop(flight.request.request_id, None)
-    upstream.good_s = now_s
+    upstream.last_good_s = now_s
     ratio = usual.ratio(now_s - flight.chosen_s)
     upstream.slowness.note(ratio, now_s)
     if upstream.slowness.is_straggler(now_s):
@@ -70,12 +70,12 @@
 def _note_complete(
     upstream: Upstream, flight: Flight, met_target: bool, now_s: float
 ) -> None:
-    upstream.good_s = now_s
-    upstream.losses = 0
+    upstream.last_good_s = now_s
+    upstream.consecutive_losses = 0
     if met_target:
         upstream.limit.on_good(upstream.in_flight)
         return
     request = flight.request
     waited_s = flight.chosen_s - request.arrived_s
-    if waited_s < WAITED_SHARE * request.budget_s:
+    if waited_s < WAITED_FRACTION * request.budget_s:
         upstream.limit.on_late(now_s)
--- a/packages/coordination/src/hollyknot_coordination/routing/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_health.py
@@ -15,10 +15,10 @@
 NEVER_S = float("inf")
 """The time of a probe that is not planned."""
 
-OUT = frozenset({UpstreamState.EJECTED, UpstreamState.DRAINING})
+OUT_OF_SERVICE = frozenset({UpstreamState.EJECTED, UpstreamState.DRAINING})
 """States that only a good probe ends."""
 
-PROBE_TIMEOUT_S = 2.0
+PROBE_EXPIRY_S = 2.0
 """When a probe that was handed out is due again if nothing came of it."""
 
 
@@ -28,12 +28,12 @@
     upstream.last_sign_s = now_s
 
 
-def check(upstream: Upstream, now_s: float) -> bool:
+def require_probe(upstream: Upstream, now_s: float) -> bool:
     """Withholds new work until a probe; tells whether that is a change."""
     if not upstream.is_usable:
         return False
     upstream.state = UpstreamState.CHECKING
-    upstream.bad_since_s = now_s
+    upstream.unusable_since_s = now_s
     upstream.probe_at_s = now_s
     return True
 
@@ -49,8 +49,8 @@
     if upstream.state is UpstreamState.LEAVING:
         return False
     was_usable = upstream.is_usable
-    if upstream.state not in OUT:
-        upstream.bad_since_s = now_s
+    if upstream.state not in OUT_OF_SERVICE:
+        upstream.unusable_since_s = now_s
         upstream.limit.restart()
         upstream.probe_delay_s = options.probe_first_s
         _plan_probe(upstream, options, now_s, rng)
@@ -71,22 +71,24 @@
     if is_ok and not upstream.is_draining:
         _restore(upstream, now_s)
         return
-    was_out = upstream.state in OUT
+    was_out_of_service = upstream.state in OUT_OF_SERVICE
     state = UpstreamState.DRAINING if is_ok else UpstreamState.EJECTED
     eject(upstream, state, options, now_s, rng)
-    if was_out:
+    if was_out_of_service:
         _plan_probe(upstream, options, now_s, rng)
 
 
 def _restore(upstream: Upstream, now_s: float) -> None:
-    upstream.good_s = now_s
-    upstream.losses = 0
+    upstream.last_good_s = now_s
+    upstream.consecutive_losses = 0
     upstream.probe_at_s = NEVER_S
     if upstream.is_usable:
         return
     note_sign(upstream, SignKind.HEALTHY, now_s)
-    is_back = upstream.limit.is_restarting
-    upstream.state = UpstreamState.RECOVERING if is_back else UpstreamState.LIVE
+    is_limit_low = upstream.limit.is_restarting
+    upstream.state = (
+        UpstreamState.RECOVERING if is_limit_low else UpstreamState.LIVE
+    )
 
 
 def _plan_probe(
--- a/packages/coordination/src/hollyknot_coordination/routing/_options.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_options.py
@@ -36,18 +36,18 @@
     """
 
     subset_size: int = 8
-    sharers_min: int = 2
+    min_sharers: int = 2
     choices: int = 2
     default_slots: int = 8
     report_half_life_s: float = 1.0
     locality: bool = True
     locality_tries: int = 2
-    locality_free: float = 0.5
-    locality_bound: float = 1.25
+    locality_min_bound: float = 0.5
+    locality_bound_factor: float = 1.25
     probe_first_s: float = 0.5
     probe_max_s: float = 5.0
     report_fresh_s: float = 1.0
     sign_memory_s: float = 10.0
-    self_suspect_share: float = 0.5
-    self_suspect_window_s: float = 5.0
+    self_suspicion_fraction: float = 0.5
+    self_suspicion_window_s: float = 5.0
     limits: LimitOptions = attrs.Factory(LimitOptions)
--- a/packages/coordination/src/hollyknot_coordination/routing/_pick.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_pick.py
@@ -31,18 +31,24 @@
         return candidates[0]
     half_life_s = options.report_half_life_s
     if prefix and options.locality:
-        uses = [c.use(pool_mean, half_life_s, now_s) for c in candidates]
-        mean = sum(uses) / len(uses)
-        bound = max(options.locality_free, mean * options.locality_bound)
+        utilisations = [
+            c.utilisation(pool_mean, half_life_s, now_s) for c in candidates
+        ]
+        mean = sum(utilisations) / len(utilisations)
+        bound = max(
+            options.locality_min_bound, mean * options.locality_bound_factor
+        )
         order = _by_prefix(candidates, prefix)
         for index in order[: options.locality_tries]:
-            if uses[index] <= bound:
+            if utilisations[index] <= bound:
                 return candidates[index]
     # The least loaded of all would draw every host that sees the same late
     # report to one upstream; of a few at random it draws only a part of them.
     count = min(options.choices, len(candidates))
     drawn = rng.sample(candidates, count)
-    return min(drawn, key=lambda c: c.use(pool_mean, half_life_s, now_s))
+    return min(
+        drawn, key=lambda c: c.utilisation(pool_mean, half_life_s, now_s)
+    )
 
 
 def _by_prefix(candidates: Sequence[Upstream], prefix: int) -> list[int]:
--- a/packages/coordination/src/hollyknot_coordination/routing/_pools.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_pools.py
@@ -32,10 +32,10 @@
     def on_report(self, half_life_s: float, now_s: float) -> None:
         """Follows the reports, once one of its upstreams has a new one."""
         members = self.here or self.elsewhere
-        trusts = [u.trust(half_life_s, now_s) for u in members]
-        total = sum(trusts)
+        weights = [u.report_weight(half_life_s, now_s) for u in members]
+        total = sum(weights)
         if total > 0.0:
-            loads = zip(trusts, members, strict=True)
+            loads = zip(weights, members, strict=True)
             self.mean_others = sum(t * u.others for t, u in loads) / total
 
 
@@ -101,12 +101,12 @@
 ) -> Members:
     near = tuple(here)
     size = options.subset_size
-    chosen = subset(host, hosts, near, pool, size, options.sharers_min)
+    chosen = subset(host, hosts, near, pool, size, options.min_sharers)
     # Not all upstreams elsewhere need to be reached from here: their own data
     # centre does that, and this one uses them only in need.
     far = subset(host, hosts, tuple(elsewhere), pool, size, 0)
-    uses = max(1, len(hosts)) * len(chosen)
-    return Members(chosen, far, -(-uses // max(1, len(near))))
+    pairs = max(1, len(hosts)) * len(chosen)
+    return Members(chosen, far, -(-pairs // max(1, len(near))))
 
 
 def _names_by_pool(
--- a/packages/coordination/src/hollyknot_coordination/routing/_self_suspicion.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_self_suspicion.py
@@ -13,10 +13,10 @@
 from hollyknot_coordination.routing._pools import Pool
 from hollyknot_coordination.routing._upstream import Upstream
 
-NEWLY_BAD_MIN = 2
+MIN_NEWLY_FAILING = 2
 """Upstreams that must be newly bad: one alone is as likely at fault."""
 
-_BAD = frozenset({UpstreamState.CHECKING, UpstreamState.EJECTED})
+_FAILING = frozenset({UpstreamState.CHECKING, UpstreamState.EJECTED})
 """Draining is left out: upstreams of a pool may well drain together."""
 
 
@@ -32,16 +32,18 @@
         """Whether the host suspects itself."""
         return now_s < self._until_s
 
-    def on_bad(self, pools: Iterable[Pool], now_s: float) -> None:
+    def on_failing(self, pools: Iterable[Pool], now_s: float) -> None:
         """Takes in that an upstream of these pools has just gone bad."""
-        window_s = self._options.self_suspect_window_s
+        window_s = self._options.self_suspicion_window_s
         for pool in pools:
             members = pool.members
-            bad = sum(_is_newly_bad(u, now_s - window_s) for u in members)
-            most = self._options.self_suspect_share * len(members)
-            if bad >= NEWLY_BAD_MIN and bad > most:
+            failing = sum(
+                _is_newly_failing(u, now_s - window_s) for u in members
+            )
+            threshold = self._options.self_suspicion_fraction * len(members)
+            if failing >= MIN_NEWLY_FAILING and failing > threshold:
                 self._until_s = now_s + window_s
 
 
-def _is_newly_bad(upstream: Upstream, since_s: float) -> bool:
-    return upstream.state in _BAD and upstream.bad_since_s >= since_s
+def _is_newly_failing(upstream: Upstream, since_s: float) -> bool:
+    return upstream.state in _FAILING and upstream.unusable_since_s >= since_s
--- a/packages/coordination/src/hollyknot_coordination/routing/_subset.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_subset.py
@@ -18,7 +18,7 @@
     upstreams: Sequence[str],
     salt: str,
     size: int,
-    sharers_min: int,
+    min_sharers: int,
 ) -> tuple[str, ...]:
     """Returns the upstreams that a host uses.
 
@@ -36,7 +36,7 @@
     """
     count = len(upstreams)
     names = set(hosts) | {host}
-    wanted = max(size, -(-sharers_min * count // len(names)))
+    wanted = max(size, -(-min_sharers * count // len(names)))
     if count <= wanted:
         return tuple(upstreams)
     ranks = sorted(_rank(salt, name) for name in names)
--- a/packages/coordination/src/hollyknot_coordination/routing/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_table.py
@@ -91,7 +91,7 @@
         )
         self._members.clear()
         self._pools = {
-            name: self._pool(name, members, live, now_s)
+            name: self._build_pool(name, members, live, now_s)
             for name, members in pools.items()
         }
         for name, upstream in list(self._upstreams.items()):
@@ -137,7 +137,7 @@
         self, upstream: str, request_id: str, now_s: float
     ) -> None:
         """Notes the first byte of an answer."""
-        known, flight = self._flight(upstream, request_id)
+        known, flight = self._find_flight(upstream, request_id)
         key = (flight.request.pool, flight.request.request_class)
         usual = self._usual.get(key)
         if usual is None:
@@ -166,7 +166,7 @@
         Raises:
             ValueError: The request is not in flight there.
         """
-        known, flight = self._flight(upstream, request_id)
+        known, flight = self._find_flight(upstream, request_id)
         effect = note_end(known, flight, verdict, met_target, now_s)
         known.remove(request_id)
         if known.state is UpstreamState.LEAVING:
@@ -204,9 +204,9 @@
             if known is None or now_s - seen_s > self._options.sign_memory_s:
                 continue
             if sign.kind is not SignKind.HEALTHY:
-                if seen_s > known.good_s:
-                    _health.check(known, now_s)
-            elif not known.is_usable and seen_s > known.bad_since_s:
+                if seen_s > known.last_good_s:
+                    _health.require_probe(known, now_s)
+            elif not known.is_usable and seen_s > known.unusable_since_s:
                 known.probe_at_s = min(known.probe_at_s, now_s)
 
     def local_signs(self, now_s: float) -> tuple[UpstreamSign, ...]:
@@ -239,7 +239,7 @@
         """Returns all upstreams in use, for status pages."""
         return tuple(view_of(u, now_s) for u in self._upstreams.values())
 
-    def knows(self, pool: str) -> bool:
+    def has_pool(self, pool: str) -> bool:
         """Whether the host list in force has an upstream of a pool."""
         return pool in self._pools
 
@@ -255,7 +255,7 @@
         """Returns the upstreams to probe now; each is then in hand."""
         due = [u for u in self._upstreams.values() if u.probe_at_s <= now_s]
         for upstream in due:
-            upstream.probe_at_s = now_s + _health.PROBE_TIMEOUT_S
+            upstream.probe_at_s = now_s + _health.PROBE_EXPIRY_S
         return tuple(probe_of(u) for u in due)
 
     def on_probe(self, upstream: str, ok: bool, now_s: float) -> None:
@@ -274,9 +274,9 @@
         _health.on_probe(known, ok, self._options, now_s, self._rng)
         if was_checking and not ok:
             _health.note_sign(known, SignKind.SILENT, now_s)
-            self._note_bad(known, now_s)
+            self._note_failing(known, now_s)
 
-    def _pool(
+    def _build_pool(
         self,
         name: str,
         members: Members,
@@ -284,11 +284,13 @@
         now_s: float,
     ) -> Pool:
         before = self._pools.get(name, Pool())
-        here = self._member(members.here, live, members.sharers, now_s)
-        far = self._member(members.elsewhere, live, members.sharers, now_s)
+        here = self._resolve_members(members.here, live, members.sharers, now_s)
+        far = self._resolve_members(
+            members.elsewhere, live, members.sharers, now_s
+        )
         return Pool(here, far, before.mean_others)
 
-    def _member(
+    def _resolve_members(
         self,
         names: tuple[str, ...],
         live: dict[str, HostListEntry],
@@ -304,14 +306,14 @@
             elif known.state is UpstreamState.LEAVING:
                 # A list that names it as live again may itself be late.
                 known.state = UpstreamState.LIVE
-                _health.check(known, now_s)
+                _health.require_probe(known, now_s)
             known.entry = live[name]
             known.sharers = sharers
             self._members.add(name)
             members.append(known)
         return tuple(members)
 
-    def _flight(
+    def _find_flight(
         self, upstream: str, request_id: str
     ) -> tuple[Upstream, Flight]:
         known = self._upstreams.get(upstream)
@@ -339,7 +341,7 @@
                 self._on_lost(upstream, now_s)
             case Effect.SILENT:
                 # The connection may have died alone: the probe decides.
-                self._check(upstream, now_s)
+                self._require_probe(upstream, now_s)
             case Effect.REFUSED_REQUEST:
                 self._on_refused(upstream, now_s)
             case Effect.NONE:
@@ -347,11 +349,11 @@
 
     def _on_lost(self, upstream: Upstream, now_s: float) -> None:
         _health.note_sign(upstream, SignKind.LOST, now_s)
-        upstream.losses += 1
-        if upstream.losses >= CRASH_LOSSES:
+        upstream.consecutive_losses += 1
+        if upstream.consecutive_losses >= CRASH_LOSSES:
             self._eject(upstream, UpstreamState.EJECTED, now_s)
         else:
-            self._check(upstream, now_s)
+            self._require_probe(upstream, now_s)
 
     def _on_refused(self, upstream: Upstream, now_s: float) -> None:
         age_s = now_s - upstream.report_s
@@ -360,11 +362,11 @@
         )
         if not is_known_full:
             _health.note_sign(upstream, SignKind.DRAINING, now_s)
-            _health.check(upstream, now_s)
+            _health.require_probe(upstream, now_s)
 
-    def _check(self, upstream: Upstream, now_s: float) -> None:
-        if _health.check(upstream, now_s):
-            self._note_bad(upstream, now_s)
+    def _require_probe(self, upstream: Upstream, now_s: float) -> None:
+        if _health.require_probe(upstream, now_s):
+            self._note_failing(upstream, now_s)
 
     def _eject(
         self, upstream: Upstream, state: UpstreamState, now_s: float
@@ -373,10 +375,10 @@
             upstream, state, self._options, now_s, self._rng
         )
         if was_usable and state is UpstreamState.EJECTED:
-            self._note_bad(upstream, now_s)
+            self._note_failing(upstream, now_s)
 
-    def _note_bad(self, upstream: Upstream, now_s: float) -> None:
-        self._self_suspicion.on_bad(self._pools_of(upstream), now_s)
+    def _note_failing(self, upstream: Upstream, now_s: float) -> None:
+        self._self_suspicion.on_failing(self._pools_of(upstream), now_s)
 
     def _pools_of(self, upstream: Upstream) -> Iterator[Pool]:
         for name in upstream.entry.pools:
--- a/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
@@ -10,25 +10,25 @@
 
 from hollyknot_state import Nature, Target
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """To connect within a region; packets lost once are sent again by then."""
 
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 """For a probe by a new connection, from connecting to the whole answer."""
 
 FIRST_BYTE_FACTOR = 4.0
 FIRST_BYTE_MIN_S = 2.0
 FIRST_BYTE_MAX_S = 60.0
 
-WHOLE_FACTOR = 2.0
-WHOLE_MIN_S = 10.0
-WHOLE_MAX_S = 900.0
+WHOLE_ANSWER_FACTOR = 2.0
+WHOLE_ANSWER_MIN_S = 10.0
+WHOLE_ANSWER_MAX_S = 900.0
 
-NO_TARGET_S = 120.0
+NO_TARGET_FIRST_BYTE_S = 120.0
 
-BETWEEN_FACTOR = 40.0
-BETWEEN_MIN_S = 2.0
-BETWEEN_MAX_S = 30.0
+BETWEEN_BYTES_FACTOR = 40.0
+BETWEEN_BYTES_MIN_S = 2.0
+BETWEEN_BYTES_MAX_S = 30.0
 
 NON_IDEMPOTENT_FACTOR = 2.0
 
@@ -52,7 +52,7 @@
     """Returns the bounds for a class's target and a request's nature."""
     factor = NON_IDEMPOTENT_FACTOR if nature is Nature.NON_IDEMPOTENT else 1.0
     return Timeouts(
-        connect_s=CONNECT_S,
+        connect_s=CONNECT_TIMEOUT_S,
         first_byte_s=factor * _first_byte_s(target),
         between_bytes_s=factor * _between_bytes_s(target),
     )
@@ -61,19 +61,19 @@
 def _first_byte_s(target: Target) -> float:
     if target.first_token_ms:
         wanted = FIRST_BYTE_FACTOR * target.first_token_ms / 1000
-        return _between(FIRST_BYTE_MIN_S, wanted, FIRST_BYTE_MAX_S)
+        return _clamp(FIRST_BYTE_MIN_S, wanted, FIRST_BYTE_MAX_S)
     if target.whole_answer_ms:
-        wanted = WHOLE_FACTOR * target.whole_answer_ms / 1000
-        return _between(WHOLE_MIN_S, wanted, WHOLE_MAX_S)
-    return NO_TARGET_S
+        wanted = WHOLE_ANSWER_FACTOR * target.whole_answer_ms / 1000
+        return _clamp(WHOLE_ANSWER_MIN_S, wanted, WHOLE_ANSWER_MAX_S)
+    return NO_TARGET_FIRST_BYTE_S
 
 
 def _between_bytes_s(target: Target) -> float:
     if not target.between_tokens_ms:
-        return BETWEEN_MAX_S
-    wanted = BETWEEN_FACTOR * target.between_tokens_ms / 1000
-    return _between(BETWEEN_MIN_S, wanted, BETWEEN_MAX_S)
+        return BETWEEN_BYTES_MAX_S
+    wanted = BETWEEN_BYTES_FACTOR * target.between_tokens_ms / 1000
+    return _clamp(BETWEEN_BYTES_MIN_S, wanted, BETWEEN_BYTES_MAX_S)
 
 
-def _between(least: float, value: float, most: float) -> float:
-    return min(max(least, value), most)
+def _clamp(lower: float, value: float, upper: float) -> float:
+    return min(max(lower, value), upper)
--- a/packages/coordination/src/hollyknot_coordination/routing/_upstream.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_upstream.py
@@ -21,11 +21,11 @@
 """States in which an upstream is given work up to its limit."""
 
 
-OVERDUE = 3.0
+OVERDUE_FACTOR = 3.0
 """A first byte's wait over the usual one from which it tells of slowness."""
 
 
-REPORT_HALF_LIVES = 8.0
+MAX_REPORT_HALF_LIVES = 8.0
 """Half-lives after which a report counts for nothing at all."""
 
 
@@ -76,11 +76,11 @@
     state: UpstreamState = UpstreamState.LIVE
     flights: dict[str, Flight] = attrs.Factory(dict)
     waiting: dict[str, Flight] = attrs.Factory(dict)
-    bad_since_s: float = float("-inf")
+    unusable_since_s: float = float("-inf")
     last_sign: SignKind = SignKind.HEALTHY
     last_sign_s: float = float("-inf")
-    good_s: float = float("-inf")
-    losses: int = 0
+    last_good_s: float = float("-inf")
+    consecutive_losses: int = 0
     probe_at_s: float = float("inf")
     probe_delay_s: float = 0.0
     is_draining: bool = False
@@ -107,10 +107,12 @@
     def has_trial(self) -> bool:
         """Whether a request went there since it left `USABLE`."""
         return any(
-            f.chosen_s >= self.bad_since_s for f in self.flights.values()
+            f.chosen_s >= self.unusable_since_s for f in self.flights.values()
         )
 
-    def use(self, pool_mean: float, half_life_s: float, now_s: float) -> float:
+    def utilisation(
+        self, pool_mean: float, half_life_s: float, now_s: float
+    ) -> float:
         """Returns the part of its slots in use if given one more, by slowness.
 
         Args:
@@ -118,19 +120,19 @@
             half_life_s: Age at which a report counts for half.
             now_s: The time.
         """
-        trust = self.trust(half_life_s, now_s)
-        others = pool_mean + (self.others - pool_mean) * trust
+        report_weight = self.report_weight(half_life_s, now_s)
+        others = pool_mean + (self.others - pool_mean) * report_weight
         load = len(self.flights) + others + 1.0
-        return load / self.slots * self.slow_at(now_s)
+        return load / self.slots * self.current_slowness(now_s)
 
-    def trust(self, half_life_s: float, now_s: float) -> float:
+    def report_weight(self, half_life_s: float, now_s: float) -> float:
         """Returns what its last report counts for, 1 if new, 0 if none."""
         age_s = max(0.0, now_s - self.report_s)
-        if age_s > REPORT_HALF_LIVES * half_life_s:
+        if age_s > MAX_REPORT_HALF_LIVES * half_life_s:
             return 0.0
         return math.exp2(-age_s / half_life_s)
 
-    def slow_at(self, now_s: float) -> float:
+    def current_slowness(self, now_s: float) -> float:
         """Returns the slowness, with that of an answer that does not come.
 
         Without it an upstream that answers very late tells nothing of that
@@ -140,7 +142,7 @@
         for oldest in self.waiting.values():
             if oldest.usual_s:
                 overdue = (now_s - oldest.chosen_s) / oldest.usual_s
-                if overdue >= OVERDUE:
+                if overdue >= OVERDUE_FACTOR:
                     return max(slowness, overdue)
             break
         return slowness
@@ -187,7 +189,7 @@
         state=upstream.state,
         in_flight=upstream.in_flight,
         limit=upstream.limit.value,
-        slowness=upstream.slow_at(now_s),
+        slowness=upstream.current_slowness(now_s),
         last_sign=upstream.last_sign,
         last_sign_s=upstream.last_sign_s,
     )
--- a/packages/coordination/src/hollyknot_coordination/routing/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/tests/test_machine.py
@@ -211,7 +211,7 @@
 class TestHealth:
     """What ejects an upstream, and what brings it back."""
 
-    def test_draining_gets_nothing_though_it_is_alone(self) -> None:
+    def test_draining_upstream_gets_no_request_even_if_alone(self) -> None:
         """Symptom: an upstream that is leaving gets new work.
 
         Sequence: it says that it drains, the host list lags, no other one is
@@ -231,7 +231,7 @@
         table.on_probe("e0", True, 2.0)
         assert isinstance(table.choose(sent, 2.0), Choice)
 
-    def test_ejected_comes_back_by_a_probe_with_a_small_limit(self) -> None:
+    def test_good_probe_restores_ejected_upstream_with_limit_one(self) -> None:
         table = UpstreamTable(
             RoutingOptions(), "h1", "hall-a", random.Random(1)
         )
--- a/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
@@ -39,7 +39,7 @@
 SILENT = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT)
 
 
-class Bench:
+class Harness:
     """A table with upstreams of one pool, and shorthand for its events."""
 
     def __init__(self, here: int, elsewhere: int = 0) -> None:
@@ -93,51 +93,51 @@
 class TestHealthSigns:
     """Own signs count at once, and probes by new connections decide."""
 
-    def test_silent_connection_is_told_from_a_dead_upstream(self) -> None:
+    def test_silent_connection_does_not_eject_a_live_upstream(self) -> None:
         """Symptom: a healthy upstream gets no work for seconds.
 
         Sequence: a connection that something forgot goes silent; the upstream
         answers a new one. Cause: blaming the upstream without a probe.
         """
-        bench = Bench(2)
-        limit = bench.view("e0").limit
-        bench.end("e0", SILENT)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        assert {bench.choose()[0] for _ in range(6)} == {"e1"}
-        (probe,) = bench.table.probes_due(0.0)
-        bench.table.on_probe(probe.upstream, True, 0.1)
-        view = bench.view("e0")
+        harness = Harness(2)
+        limit = harness.view("e0").limit
+        harness.end("e0", SILENT)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        assert {harness.choose()[0] for _ in range(6)} == {"e1"}
+        (probe,) = harness.table.probes_due(0.0)
+        harness.table.on_probe(probe.upstream, True, 0.1)
+        view = harness.view("e0")
         assert (view.state, view.limit) == (UpstreamState.LIVE, limit)
 
     def test_dead_upstream_is_ejected_by_the_probe(self) -> None:
-        bench = Bench(2)
-        bench.end("e0", SILENT)
-        bench.table.on_probe("e0", False, 0.1)
-        assert bench.state("e0") is UpstreamState.EJECTED
+        harness = Harness(2)
+        harness.end("e0", SILENT)
+        harness.table.on_probe("e0", False, 0.1)
+        assert harness.state("e0") is UpstreamState.EJECTED
 
-    def test_two_losses_in_a_row_are_a_crash(self) -> None:
+    def test_two_consecutive_losses_eject(self) -> None:
         """Symptom: a crashed engine comes back to its full load at once.
 
         Sequence: it loses its whole batch, restarts before the probe.
         Cause: each loss treated as that of one connection.
         """
-        bench = Bench(3)
-        ids = [bench.choose(only="e0")[1] for _ in range(3)]
-        bench.table.on_finished("e0", ids[0], LOST, 1.0, False)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        bench.table.on_finished("e0", ids[1], LOST, 1.0, False)
-        view = bench.view("e0")
+        harness = Harness(3)
+        ids = [harness.choose(only="e0")[1] for _ in range(3)]
+        harness.table.on_finished("e0", ids[0], LOST, 1.0, False)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        harness.table.on_finished("e0", ids[1], LOST, 1.0, False)
+        view = harness.view("e0")
         assert (view.state, view.limit) == (UpstreamState.EJECTED, 1)
 
-    def test_full_upstream_that_refuses_keeps_its_state(self) -> None:
-        bench = Bench(2)
-        bench.table.on_load_report("e0", LoadReport(8, 3, 8, False, 0), 0.0)
-        before = bench.view("e0").limit
-        bench.end("e0", REFUSED)
-        assert bench.state("e0") is UpstreamState.LIVE
-        assert bench.view("e0").limit < before
-        bench.end("e1", REFUSED)
-        assert bench.state("e1") is UpstreamState.CHECKING
+    def test_refusal_by_a_full_upstream_keeps_its_state(self) -> None:
+        harness = Harness(2)
+        harness.table.on_load_report("e0", LoadReport(8, 3, 8, False, 0), 0.0)
+        before = harness.view("e0").limit
+        harness.end("e0", REFUSED)
+        assert harness.state("e0") is UpstreamState.LIVE
+        assert harness.view("e0").limit < before
+        harness.end("e1", REFUSED)
+        assert harness.state("e1") is UpstreamState.CHECKING
 
     def test_peers_sign_older_than_own_evidence_is_ignored(self) -> None:
         """Symptom: one loss withholds an upstream for as long as it is told.
@@ -145,34 +145,36 @@
         Sequence: a peer's sign is repeated for seconds after a good probe.
         Cause: signs taken in without comparing their times.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         signs = (UpstreamSign("e0", SignKind.LOST, 1000),)
-        bench.table.on_signs(signs, 1.5)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        bench.table.on_probe("e0", True, 1.6)
-        bench.table.on_signs(signs, 2.5)
-        assert bench.state("e0") is UpstreamState.LIVE
+        harness.table.on_signs(signs, 1.5)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        harness.table.on_probe("e0", True, 1.6)
+        harness.table.on_signs(signs, 2.5)
+        assert harness.state("e0") is UpstreamState.LIVE
 
-    def test_host_that_loses_most_suspects_itself(self) -> None:
+    def test_host_that_fails_to_reach_most_upstreams_suspects_itself(
+        self,
+    ) -> None:
         """Symptom: a host with a broken link makes all peers distrust a pool.
 
         Sequence: it fails to reach three of four upstreams within a second
         and says so. Cause: no doubt of its own sight.
         """
-        bench = Bench(4)
+        harness = Harness(4)
         for name in ("e0", "e1"):
-            bench.end(name, CONNECT_FAILED, 1.0)
-        assert len(bench.table.local_signs(1.0)) == 2
-        bench.end("e2", CONNECT_FAILED, 1.5)
-        assert bench.table.suspects_itself(1.5)
-        assert bench.table.local_signs(1.5) == ()
-        found = [bench.choose(2.0)[0] for _ in range(8)]
-        assert bench.table.free_slots("m", 2.0) == 3
-        found += [bench.choose(2.0)[0] for _ in range(3)]
+            harness.end(name, CONNECT_FAILED, 1.0)
+        assert len(harness.table.local_signs(1.0)) == 2
+        harness.end("e2", CONNECT_FAILED, 1.5)
+        assert harness.table.suspects_itself(1.5)
+        assert harness.table.local_signs(1.5) == ()
+        found = [harness.choose(2.0)[0] for _ in range(8)]
+        assert harness.table.free_slots("m", 2.0) == 3
+        found += [harness.choose(2.0)[0] for _ in range(3)]
         assert found.count("e3") == 8
         assert set(found[8:]) == {"e0", "e1", "e2"}
-        assert bench.choose(2.0)[0] == NoChoiceReason.ALL_FULL.value
-        assert not bench.table.suspects_itself(7.0)
+        assert harness.choose(2.0)[0] == NoChoiceReason.ALL_FULL.value
+        assert not harness.table.suspects_itself(7.0)
 
     def test_trials_count_as_free_slots(self) -> None:
         """Symptom: requests wait though rule 3 or 4 would send them.
@@ -180,18 +182,18 @@
         Sequence: all upstreams are ejected, the queue waits for a free slot.
         Cause: free slots counted over usable upstreams only.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         for name in ("e0", "e1"):
-            bench.end(name, CONNECT_FAILED)
-        assert bench.table.free_slots("m", 9.0) == 2
-        bench.choose(9.0)
-        assert bench.table.free_slots("m", 9.0) == 1
-        bench.choose(9.0)
-        assert bench.table.free_slots("m", 9.0) == 0
-
-    def test_leaving_upstream_keeps_its_requests_and_then_goes(self) -> None:
-        bench = Bench(2)
-        _, name = bench.choose(only="e0")
+            harness.end(name, CONNECT_FAILED)
+        assert harness.table.free_slots("m", 9.0) == 2
+        harness.choose(9.0)
+        assert harness.table.free_slots("m", 9.0) == 1
+        harness.choose(9.0)
+        assert harness.table.free_slots("m", 9.0) == 0
+
+    def test_leaving_upstream_is_dropped_after_its_last_request(self) -> None:
+        harness = Harness(2)
+        _, name = harness.choose(only="e0")
         leaving = HostListEntry(
             "e0",
             Role.ENGINE,
@@ -201,28 +203,30 @@
             ("m",),
             EntryState.LEAVING,
         )
-        host_list = HostList(2, (leaving, bench.entries[1]))
-        bench.table.on_host_list(host_list, 1.0)
-        assert bench.state("e0") is UpstreamState.LEAVING
-        bench.table.on_finished("e0", name, COMPLETE, 2.0, True)
-        assert [v.name for v in bench.table.view(2.0)] == ["e1"]
-
-    def test_an_end_without_a_choice_is_an_error(self) -> None:
-        bench = Bench(1)
+        host_list = HostList(2, (leaving, harness.entries[1]))
+        harness.table.on_host_list(host_list, 1.0)
+        assert harness.state("e0") is UpstreamState.LEAVING
+        harness.table.on_finished("e0", name, COMPLETE, 2.0, True)
+        assert [v.name for v in harness.table.view(2.0)] == ["e1"]
+
+    def test_end_of_a_request_not_in_flight_is_an_error(self) -> None:
+        harness = Harness(1)
         with pytest.raises(ValueError, match="not in flight"):
-            bench.table.on_finished("e0", "r9", COMPLETE, 0.0, True)
+            harness.table.on_finished("e0", "r9", COMPLETE, 0.0, True)
 
 
 class TestDataCentres:
     """Other data centres only when none here is usable."""
 
-    def test_rule(self) -> None:
-        bench = Bench(1, 1)
-        here = [bench.choose()[0] for _ in range(9)]
+    def test_other_data_centre_is_used_only_if_none_here_is_usable(
+        self,
+    ) -> None:
+        harness = Harness(1, 1)
+        here = [harness.choose()[0] for _ in range(9)]
         assert here == ["e0"] * 8 + [NoChoiceReason.ALL_FULL.value]
-        bench.table.on_load_report("e0", LoadReport(0, 0, 8, True, 0), 0.0)
-        assert bench.choose()[0] == "f0"
-        assert bench.table.free_slots("m", 0.0) == 7
+        harness.table.on_load_report("e0", LoadReport(0, 0, 8, True, 0), 0.0)
+        assert harness.choose()[0] == "f0"
+        assert harness.table.free_slots("m", 0.0) == 7
 
 
 class TestLoad:
@@ -242,62 +246,62 @@
         Sequence: its last report is old, the others' are new and busy.
         Cause: an old report discounted to nothing, not to the pool's mean.
         """
-        bench = Bench(4)
+        harness = Harness(4)
         old = LoadReport(running, 0, 8, False, 0)
-        bench.table.on_load_report("e0", old, 0.0)
+        harness.table.on_load_report("e0", old, 0.0)
         for name in ("e1", "e2", "e3"):
             report = LoadReport(6, 0, 8, False, 0)
-            bench.table.on_load_report(name, report, 20.0)
+            harness.table.on_load_report(name, report, 20.0)
         found = []
         for _ in range(400):
-            upstream, name = bench.choose(20.0)
+            upstream, name = harness.choose(20.0)
             found.append(upstream)
-            bench.table.on_finished(upstream, name, COMPLETE, 20.0, True)
+            harness.table.on_finished(upstream, name, COMPLETE, 20.0, True)
         assert found.count("e0") <= 140
 
-    def test_late_first_byte_tells_before_it_comes(self) -> None:
+    def test_overdue_first_byte_counts_as_slowness(self) -> None:
         """Symptom: each host sends one more request to a stuck engine.
 
         Sequence: the engine takes requests and answers none for long; its
         slowness is known only once it answers. Cause: counting answers only.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         for _ in range(10):
-            upstream, name = bench.choose(0.0)
-            bench.table.on_first_byte(upstream, name, 0.1)
-            bench.table.on_finished(upstream, name, COMPLETE, 0.1, True)
-        bench.choose(1.0, only="e0")
+            upstream, name = harness.choose(0.0)
+            harness.table.on_first_byte(upstream, name, 0.1)
+            harness.table.on_finished(upstream, name, COMPLETE, 0.1, True)
+        harness.choose(1.0, only="e0")
         for _ in range(4):
-            upstream, name = bench.choose(2.0)
+            upstream, name = harness.choose(2.0)
             assert upstream == "e1"
-        assert bench.view("e0", 2.0).slowness > 5
+        assert harness.view("e0", 2.0).slowness > 5
 
-    def test_upstream_that_fails_fast_does_not_draw_all(self) -> None:
+    def test_upstream_that_fails_fast_does_not_attract_requests(self) -> None:
         """Symptom: one broken upstream fails most requests.
 
         Sequence: it answers 500 at once, so it looks idle and quick. Cause:
         an error counted as a quick answer.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         failed = Verdict(
             Outcome.FAILED, Reason.UPSTREAM_ERROR, upstream_status=500
         )
         found = []
         for step in range(100):
             now_s = step * 0.1
-            upstream, name = bench.choose(now_s)
+            upstream, name = harness.choose(now_s)
             found.append(upstream)
             verdict = failed if upstream == "e0" else COMPLETE
-            bench.table.on_finished(upstream, name, verdict, now_s, True)
+            harness.table.on_finished(upstream, name, verdict, now_s, True)
         assert found.count("e0") <= 20
 
-    def test_prefix_stays_until_its_upstream_is_hot(self) -> None:
+    def test_shared_prefix_does_not_overload_one_upstream(self) -> None:
         """Symptom: one prompt's requests overload one engine.
 
         Sequence: most requests share a prefix. Cause: a hash without bound.
         """
-        bench = Bench(4)
-        found = [bench.choose(prefix=7)[0] for _ in range(16)]
+        harness = Harness(4)
+        found = [harness.choose(prefix=7)[0] for _ in range(16)]
         assert len(set(found[:4])) == 1
         counts = sorted(found.count(f"e{i}") for i in range(4))
         assert counts[-1] <= 6
@@ -316,7 +320,7 @@
         return set(subset(host, hosts, upstreams, "m", 8, 2))
 
     @pytest.mark.parametrize("count", [53, 1111])
-    def test_is_balanced(self, count: int) -> None:
+    def test_hosts_are_balanced_over_upstreams(self, count: int) -> None:
         upstreams = self.UPSTREAMS[:count]
         shares = dict.fromkeys(upstreams, 0)
         for host in self.HOSTS:
@@ -325,7 +329,7 @@
         assert max(shares.values()) - min(shares.values()) <= 1
         assert min(shares.values()) >= 2
 
-    def test_changes_little_when_one_comes_or_goes(self) -> None:
+    def test_replaced_host_or_upstream_moves_few_windows(self) -> None:
         """Symptom: each replaced host makes all others reconnect.
 
         Sequence: one of 278 hosts, then one of 1,111 upstreams is replaced.
@@ -340,7 +344,7 @@
             changes += len(after - before)
         assert changes / 277 < 2
 
-    def test_whatever_the_order_and_for_a_host_not_listed_yet(self) -> None:
+    def test_is_independent_of_order_and_covers_unlisted_hosts(self) -> None:
         assert self.chosen("h0", self.HOSTS, self.UPSTREAMS[:8]) == set(
             self.UPSTREAMS[:8]
         )
@@ -376,26 +380,26 @@
 class TestProbes:
     """Probes are handed out once and spaced out."""
 
-    def test_repeats_are_spaced(self) -> None:
-        bench = Bench(2)
-        bench.end("e0", CONNECT_FAILED)
+    def test_repeated_probes_back_off(self) -> None:
+        harness = Harness(2)
+        harness.end("e0", CONNECT_FAILED)
         times = []
         for tenth in range(300):
             now_s = tenth / 10
-            for probe in bench.table.probes_due(now_s):
+            for probe in harness.table.probes_due(now_s):
                 times.append(now_s)
-                bench.table.on_probe(probe.upstream, False, now_s)
+                harness.table.on_probe(probe.upstream, False, now_s)
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert 0.3 <= times[0] <= 0.8
         assert max(gaps) <= 6.4
         assert gaps[-1] >= 3.7
         assert len(times) <= 12
 
-    def test_good_probe_lets_choose_again(self) -> None:
-        bench = Bench(1)
-        bench.end("e0", CONNECT_FAILED)
-        refused = bench.choose(nature=Nature.NON_IDEMPOTENT)[0]
+    def test_good_probe_makes_upstream_usable_again(self) -> None:
+        harness = Harness(1)
+        harness.end("e0", CONNECT_FAILED)
+        refused = harness.choose(nature=Nature.NON_IDEMPOTENT)[0]
         assert refused == NoChoiceReason.ALL_EJECTED.value
-        bench.table.on_probe("e0", True, 1.0)
-        choice = bench.choose(1.0, nature=Nature.NON_IDEMPOTENT)[0]
+        harness.table.on_probe("e0", True, 1.0)
+        choice = harness.choose(1.0, nature=Nature.NON_IDEMPOTENT)[0]
         assert choice == "e0"
--- a/packages/coordination/src/hollyknot_coordination/signals/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/__init__.py
@@ -1,6 +1,6 @@
 """Soft signals between the hosts of a data centre."""
 
-from hollyknot_coordination.signals._aged_table import Aged, AgedTable
+from hollyknot_coordination.signals._aged_table import AgedTable, AgedValue
 from hollyknot_coordination.signals._store import (
     HEALTHY_MARGIN_S,
     PRESSURE_TTL_S,
@@ -14,7 +14,7 @@
     "PRESSURE_TTL_S",
     "SIGN_TTL_S",
     "SUSPECT_TTL_S",
-    "Aged",
+    "AgedValue",
     "AgedTable",
     "SignalStore",
 ]
--- a/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Aged(Generic[V]):
+class AgedValue(Generic[V]):
     """A value with the time of its observation.
 
     Attributes:
@@ -45,7 +45,7 @@
         self,
         ttl_s: float,
         capacity: int,
-        is_same_news: Callable[[V, V], bool],
+        is_repeat: Callable[[V, V], bool],
     ) -> None:
         """Makes an empty table.
 
@@ -57,17 +57,17 @@
         """
         self._ttl_s = ttl_s
         self._capacity = capacity
-        self._is_same_news = is_same_news
-        self._entries: dict[K, Aged[V]] = {}
-        self._news: TransmitQueue[K] = TransmitQueue()
-        self._news_rank_s: dict[K, float] = {}
+        self._is_repeat = is_repeat
+        self._entries: dict[K, AgedValue[V]] = {}
+        self._unsent: TransmitQueue[K] = TransmitQueue()
+        self._queued_rank_s: dict[K, float] = {}
 
     @property
     def has_news(self) -> bool:
         """Whether values wait to be told."""
-        return bool(self._news)
+        return bool(self._unsent)
 
-    def merge(self, key: K, entry: Aged[V], now_s: float) -> bool:
+    def merge(self, key: K, entry: AgedValue[V], now_s: float) -> bool:
         """Takes a value; tells whether it is news."""
         if now_s - entry.observed_s >= self._ttl_s:
             return False
@@ -75,13 +75,13 @@
         if known is not None and known.rank_s >= entry.rank_s:
             return False
         self._entries[key] = entry
-        is_same = known is not None and self._is_same_news(
+        is_same = known is not None and self._is_repeat(
             known.value, entry.value
         )
-        if is_same and entry.rank_s - self._news_rank_s[key] < REFRESH_S:
+        if is_same and entry.rank_s - self._queued_rank_s[key] < REFRESH_S:
             return False
-        self._news.add(key)
-        self._news_rank_s[key] = entry.rank_s
+        self._unsent.add(key)
+        self._queued_rank_s[key] = entry.rank_s
         if len(self._entries) > self._capacity:
             self._drop_oldest()
         return True
@@ -93,36 +93,38 @@
         for key in old:
             self._drop(key)
 
-    def entries(self, now_s: float) -> list[Aged[V]]:
+    def entries(self, now_s: float) -> list[AgedValue[V]]:
         """Returns what is not too old."""
         limit_s = now_s - self._ttl_s
         return [e for e in self._entries.values() if e.observed_s > limit_s]
 
-    def get(self, key: K, default: V, now_s: float) -> Aged[V]:
+    def get(self, key: K, default: V, now_s: float) -> AgedValue[V]:
         """Returns a key's value, or a default of infinite age."""
         entry = self._entries.get(key)
         if entry is None or now_s - entry.observed_s >= self._ttl_s:
-            return Aged(default, float("-inf"), float("-inf"))
+            return AgedValue(default, float("-inf"), float("-inf"))
         return entry
 
-    def take_news(self, limit: int, hosts: int, now_s: float) -> list[Aged[V]]:
+    def next_updates(
+        self, limit: int, hosts: int, now_s: float
+    ) -> list[AgedValue[V]]:
         """Returns news for one message, most recent first, and counts it."""
         self.expire(now_s)
         entries = self._entries
-        keys = self._news.take(limit, hosts, lambda k: entries[k].observed_s)
+        keys = self._unsent.take(limit, hosts, lambda k: entries[k].observed_s)
         return [entries[k] for k in keys]
 
     def sample(
         self, limit: int, rng: random.Random, now_s: float
-    ) -> list[Aged[V]]:
+    ) -> list[AgedValue[V]]:
         """Returns a few values at random, for hosts that missed the news."""
         entries = self.entries(now_s)
         return rng.sample(entries, min(limit, len(entries)))
 
     def _drop(self, key: K) -> None:
         del self._entries[key]
-        del self._news_rank_s[key]
-        self._news.discard(key)
+        del self._queued_rank_s[key]
+        self._unsent.discard(key)
 
     def _drop_oldest(self) -> None:
         entries = self._entries
--- a/packages/coordination/src/hollyknot_coordination/signals/_store.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_store.py
@@ -13,7 +13,7 @@
 import attrs
 
 from hollyknot_coordination._peer_commands import ReportSignals
-from hollyknot_coordination.signals._aged_table import Aged, AgedTable
+from hollyknot_coordination.signals._aged_table import AgedTable, AgedValue
 from hollyknot_state import (
     Gossip,
     SignKind,
@@ -42,7 +42,7 @@
 MAX_SIGNS = 4_096
 MAX_SUSPECTS = 1_024
 
-MESSAGE_ENTRIES = 16
+MAX_MESSAGE_ENTRIES = 16
 """Entries of all kinds in one message; about 600 bytes at the most."""
 
 SAMPLE_ENTRIES = 2
@@ -57,7 +57,7 @@
 
     def __init__(self, rng: random.Random, now_s: float) -> None:
         self._rng = rng
-        self._heard_s = now_s
+        self._last_gossip_s = now_s
         self._pressures: AgedTable[tuple[str, int], TierPressure] = AgedTable(
             PRESSURE_TTL_S, MAX_PRESSURES, lambda _old, _new: True
         )
@@ -81,11 +81,13 @@
 
     def silence_s(self, now_s: float) -> float:
         """Returns the seconds since a peer's gossip came."""
-        return now_s - self._heard_s
+        return now_s - self._last_gossip_s
 
     def pressures(self, now_s: float) -> tuple[TierPressure, ...]:
         """Returns the pressures with their ages at this moment."""
-        return tuple(_at_age(e, now_s) for e in self._pressures.entries(now_s))
+        return tuple(
+            _with_current_age(e, now_s) for e in self._pressures.entries(now_s)
+        )
 
     def pressure_age_s(self, pool: str, tier: int, now_s: float) -> float:
         """Returns how long ago a tier was short; infinite if unknown."""
@@ -95,16 +97,20 @@
 
     def signs(self, now_s: float) -> tuple[UpstreamSign, ...]:
         """Returns the signs with their ages at this moment."""
-        return tuple(_at_age(e, now_s) for e in self._signs.entries(now_s))
+        return tuple(
+            _with_current_age(e, now_s) for e in self._signs.entries(now_s)
+        )
 
     def suspects(self, now_s: float) -> tuple[SuspectRecord, ...]:
         """Returns the suspect records with their ages at this moment."""
-        return tuple(_at_age(e, now_s) for e in self._suspects.entries(now_s))
+        return tuple(
+            _with_current_age(e, now_s) for e in self._suspects.entries(now_s)
+        )
 
     def note_pressure(self, pressure: TierPressure, now_s: float) -> bool:
         """Takes a pressure; tells whether it is news."""
         observed_s = now_s - pressure.age_ms / _MS
-        entry = Aged(pressure, observed_s, observed_s)
+        entry = AgedValue(pressure, observed_s, observed_s)
         return self._pressures.merge(
             (pressure.pool, pressure.tier), entry, now_s
         )
@@ -114,13 +120,13 @@
         observed_s = now_s - sign.age_ms / _MS
         margin_s = 0.0 if _is_healthy(sign) else HEALTHY_MARGIN_S
         rank_s = observed_s + margin_s
-        entry = Aged(sign, observed_s, rank_s)
+        entry = AgedValue(sign, observed_s, rank_s)
         return self._signs.merge(sign.upstream, entry, now_s)
 
     def note_suspect(self, record: SuspectRecord, now_s: float) -> bool:
         """Takes a suspect record; tells whether it is news."""
         observed_s = now_s - record.age_ms / _MS
-        entry = Aged(record, observed_s, observed_s)
+        entry = AgedValue(record, observed_s, observed_s)
         return self._suspects.merge(
             (record.fingerprint, record.upstream), entry, now_s
         )
@@ -135,13 +141,15 @@
             delay_s: How long it may have lain unread in this process.
             now_s: Monotonic seconds.
         """
-        self._heard_s = now_s
+        self._last_gossip_s = now_s
         transit_ms = math.ceil(TRANSIT_S * _MS)
         extra_ms = transit_ms + math.ceil(delay_s * _MS)
         report = ReportSignals(
             tuple(
                 p
-                for p in (_older(p, extra_ms) for p in gossip.pressures)
+                for p in (
+                    _with_added_age(p, extra_ms) for p in gossip.pressures
+                )
                 if self.note_pressure(p, now_s)
             ),
             tuple(
@@ -149,39 +157,41 @@
                 for s in (
                     # An adverse sign made too old could lose to an earlier
                     # healthy one; made too young it costs a probe.
-                    _older(s, extra_ms if _is_healthy(s) else transit_ms)
+                    _with_added_age(
+                        s, extra_ms if _is_healthy(s) else transit_ms
+                    )
                     for s in gossip.signs
                 )
                 if self.note_sign(s, now_s)
             ),
             tuple(
                 r
-                for r in (_older(r, extra_ms) for r in gossip.suspects)
+                for r in (_with_added_age(r, extra_ms) for r in gossip.suspects)
                 if self.note_suspect(r, now_s)
             ),
         )
         return [] if report == ReportSignals() else [report]
 
-    def take_news(self, hosts: int, now_s: float) -> ReportSignals:
+    def next_updates(self, hosts: int, now_s: float) -> ReportSignals:
         """Returns what to tell in one message and counts it as told.
 
         Args:
             hosts: How many hosts are to hear of it.
             now_s: Monotonic seconds.
         """
-        left = MESSAGE_ENTRIES
-        signs = self._signs.take_news(left, hosts, now_s)
-        left -= len(signs)
-        pressures = self._pressures.take_news(left, hosts, now_s)
-        left -= len(pressures)
-        suspects = self._suspects.take_news(left, hosts, now_s)
+        remaining = MAX_MESSAGE_ENTRIES
+        signs = self._signs.next_updates(remaining, hosts, now_s)
+        remaining -= len(signs)
+        pressures = self._pressures.next_updates(remaining, hosts, now_s)
+        remaining -= len(pressures)
+        suspects = self._suspects.next_updates(remaining, hosts, now_s)
         if not signs and not suspects:
             signs = self._signs.sample(SAMPLE_ENTRIES, self._rng, now_s)
             suspects = self._suspects.sample(SAMPLE_ENTRIES, self._rng, now_s)
         return ReportSignals(
-            tuple(_at_age(e, now_s) for e in pressures),
-            tuple(_at_age(e, now_s) for e in signs),
-            tuple(_at_age(e, now_s) for e in suspects),
+            tuple(_with_current_age(e, now_s) for e in pressures),
+            tuple(_with_current_age(e, now_s) for e in signs),
+            tuple(_with_current_age(e, now_s) for e in suspects),
         )
 
 
@@ -189,10 +199,10 @@
     return sign.kind is SignKind.HEALTHY
 
 
-def _older(signal: S, extra_ms: int) -> S:
+def _with_added_age(signal: S, extra_ms: int) -> S:
     return attrs.evolve(signal, age_ms=signal.age_ms + extra_ms)
 
 
-def _at_age(entry: Aged[S], now_s: float) -> S:
+def _with_current_age(entry: AgedValue[S], now_s: float) -> S:
     age_ms = math.ceil((now_s - entry.observed_s) * _MS)
     return attrs.evolve(entry.value, age_ms=max(0, age_ms))
--- a/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollyknot_coordination.signals import SignalStore
-from hollyknot_coordination.signals._store import MESSAGE_ENTRIES
+from hollyknot_coordination.signals._store import MAX_MESSAGE_ENTRIES
 from hollyknot_coordination.spread.tests.network import Network
 from hollyknot_state import (
     Gossip,
@@ -42,7 +42,7 @@
             (1_000, 1_000, LOST),
         ],
     )
-    def test_a_healthy_sign_must_be_clearly_younger(
+    def test_stale_healthy_sign_does_not_replace_a_loss(
         self, healthy_ms: int, lost_ms: int, kind: SignKind
     ) -> None:
         """Symptom: work is sent to an upstream that was just lost.
@@ -60,7 +60,7 @@
                 store.note_sign(sign, 100.0)
             assert kinds(store, 100.0) == [kind]
 
-    def test_what_lay_unread_in_a_pause_is_as_old_as_the_pause(self) -> None:
+    def test_pause_of_the_receiver_ages_healthy_signs(self) -> None:
         """Symptom: a lost upstream counts as healthy after a pause.
 
         A healthy sign waits for eight seconds in this host's own socket while
@@ -72,13 +72,13 @@
         store.on_gossip(gossip, 8.0, 100.0)
         assert kinds(store, 100.0) == [LOST]
 
-    def test_a_sign_expires(self) -> None:
+    def test_sign_expires(self) -> None:
         store = make_store()
         store.note_sign(UpstreamSign("u", LOST, 0), 100.0)
         assert kinds(store, 129.0) == [LOST]
         assert kinds(store, 131.0) == []
         assert store.has_news
-        assert store.take_news(278, 131.0).signs == ()
+        assert store.next_updates(278, 131.0).signs == ()
         assert not store.has_news
         assert not store.note_sign(UpstreamSign("u", LOST, 40_000), 131.0)
 
@@ -86,14 +86,14 @@
 class TestPressures:
     """Pressures of tiers."""
 
-    def test_the_least_age_wins(self) -> None:
+    def test_youngest_pressure_wins(self) -> None:
         store = make_store()
         for age_ms in (4_000, 1_000, 2_000):
             store.note_pressure(TierPressure("p", 1, age_ms), 100.0)
         assert store.pressure_age_s("p", 1, 100.0) == 1.0
         assert store.pressure_age_s("p", 2, 100.0) == float("inf")
 
-    def test_ages_never_shrink_by_hops(self) -> None:
+    def test_relayed_pressure_expires(self) -> None:
         """Symptom: a pressure that is over never ends.
 
         Hosts tell it to each other in turn. Cause: ages that are rounded down
@@ -103,36 +103,36 @@
         stores = [make_store(), make_store()]
         stores[0].note_pressure(TierPressure("p", 1, 0), now_s)
         for hop in range(300):
-            teller, hearer = stores[hop % 2], stores[1 - hop % 2]
-            gossip = Gossip(pressures=teller.pressures(now_s))
+            sender, receiver = stores[hop % 2], stores[1 - hop % 2]
+            gossip = Gossip(pressures=sender.pressures(now_s))
             now_s += 0.0499
-            hearer.on_gossip(gossip, 0.0, now_s)
+            receiver.on_gossip(gossip, 0.0, now_s)
         assert now_s > 100.0 + 10.0
         assert [s.pressures(now_s) for s in stores] == [(), ()]
 
-    def test_lasting_pressure_is_told_once_a_second(self) -> None:
+    def test_lasting_pressure_is_sent_once_a_second(self) -> None:
         store = make_store()
-        told = 0
+        sent_count = 0
         for step in range(100):
             now_s = 100.0 + step / 10
-            told += store.note_pressure(TierPressure("p", 1, 0), now_s)
-        assert 9 <= told <= 11
+            sent_count += store.note_pressure(TierPressure("p", 1, 0), now_s)
+        assert 9 <= sent_count <= 11
 
 
 class TestMessages:
     """What one message carries."""
 
-    def test_a_message_is_bounded_and_takes_the_most_recent_first(self) -> None:
+    def test_message_is_bounded_and_holds_the_most_recent(self) -> None:
         store = make_store()
         for i in range(100):
             store.note_pressure(TierPressure(f"p{i}", 1, 50 * i), 100.0)
-        news = store.take_news(278, 100.0)
-        assert len(news.pressures) == MESSAGE_ENTRIES
+        news = store.next_updates(278, 100.0)
+        assert len(news.pressures) == MAX_MESSAGE_ENTRIES
         assert max(p.age_ms for p in news.pressures) == 50 * 15
-        following = store.take_news(278, 100.0)
+        following = store.next_updates(278, 100.0)
         assert not set(following.pressures) & set(news.pressures)
 
-    def test_news_reaches_all_hosts_and_dies_out(self) -> None:
+    def test_signals_reach_all_hosts_and_expire(self) -> None:
         """Symptom: a poison request crashes an upstream in each host's hands.
 
         One host saw the crash. Cause: a record that is told too few times.
@@ -158,7 +158,7 @@
         for node in network.nodes.values():
             assert not node.state.signals.pressures(network.now_s)
 
-    def test_a_cut_off_host_sees_nothing_rather_than_old_signals(self) -> None:
+    def test_signals_expire_on_a_partitioned_host(self) -> None:
         """Symptom: a cut-off host sheds work for a pressure long past.
 
         It heard of the pressure, then no more. Cause: signals that stay.
--- a/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
@@ -316,7 +316,7 @@
         if peer not in self._topology.own_ranked:
             return Gossip(reply=reply, versions=self.versions)
         hosts = len(self._topology.own_ranked)
-        news = self._signals.take_news(hosts, now_s)
+        news = self._signals.next_updates(hosts, now_s)
         return Gossip(
             reply=reply,
             versions=self.versions,
--- a/packages/daemon/src/hollyknot_daemon/_dispatch.py
+++ b/packages/daemon/src/hollyknot_daemon/_dispatch.py
@@ -107,7 +107,7 @@
             `finished`; or the verdict by which it is refused. Cancelling
             takes the request out of the queue.
         """
-        if not self._table.knows(info.pool):
+        if not self._table.has_pool(info.pool):
             return self._no_upstream(info)
         gate = self._suspects.gate(info.fingerprint, self._clock())
         if isinstance(gate, RefuseSuspect):
--- a/packages/daemon/src/hollyknot_daemon/_probes.py
+++ b/packages/daemon/src/hollyknot_daemon/_probes.py
@@ -7,7 +7,7 @@
 import orjson
 
 from hollyknot_coordination.routing import (
-    PROBE_S,
+    PROBE_TIMEOUT_S,
     Probe,
     UpstreamTable,
 )
@@ -37,7 +37,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
-            timeout=aiohttp.ClientTimeout(total=PROBE_S),
+            timeout=aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S),
             skip_auto_headers=("User-Agent", "Accept-Encoding"),
         )
 
