--- a/packages/coordination/src/hollyknot_coordination/checks/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/__init__.py
@@ -1,4 +1,4 @@
-"""Checks of newer documents before they are in force."""
+"""Validates new versions of shared documents before they take effect."""
 
 from hollyknot_coordination.checks._declarations import check_declarations
 from hollyknot_coordination.checks._hosts import check_hosts
--- a/packages/coordination/src/hollyknot_coordination/checks/_declarations.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/_declarations.py
@@ -1,8 +1,8 @@
-"""Checks declarations, at the cost of what changed.
+"""Validates new declarations at a cost proportional to the change.
 
-A change touches a customer or two of 18,000. Checking the whole document for
-each of 19,000 changes a day would alone spend more processor time than a host
-has for control.
+A change touches one or two of 18,000 customers. Validating the whole document
+for each of 19,000 changes a day would alone use more processor time than a
+host has for coordination.
 """
 
 from hollyknot_coordination.checks._problems import invalid
@@ -16,10 +16,10 @@
 
 
 def check_declarations(candidate: Candidate) -> Declarations | Invalid:
-    """Returns the declarations, or why they are refused.
+    """Returns the declarations, or why they are rejected.
 
-    Whichever way the check goes, it takes and refuses the same documents as
-    `parse_declarations` of the whole.
+    Both the incremental and the full check accept and reject exactly the
+    documents that `parse_declarations` of the whole document does.
     """
     parsed = _parse(candidate)
     return invalid(parsed) if isinstance(parsed, Problems) else parsed
--- a/packages/coordination/src/hollyknot_coordination/checks/_hosts.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/_hosts.py
@@ -1,6 +1,6 @@
-"""Checks a host list, at the cost of what changed.
+"""Validates a new host list at a cost proportional to the change.
 
-A list names some 12,500 processes; one or two of them change at a time, every
+A list names some 12,500 processes. One or two of them change at a time, every
 few seconds.
 """
 
@@ -15,10 +15,11 @@
 
 
 def check_hosts(candidate: Candidate) -> HostList | Invalid:
-    """Returns the host list, or why it is refused.
+    """Returns the host list, or why it is rejected.
 
-    Whichever way the check goes, it takes and refuses the same lists as
-    `parse_host_list` of the whole; entries may come in another order.
+    Both the incremental and the full check accept and reject exactly the lists
+    that `parse_host_list` of the whole list does. The order of the entries may
+    differ.
     """
     parsed = _parse(candidate)
     return invalid(parsed) if isinstance(parsed, Problems) else parsed
@@ -41,7 +42,7 @@
 
 
 def _changed_part(candidate: Candidate) -> bytes:
-    """Returns a list with the changed entries alone."""
+    """Returns a host list document that holds only the changed entries."""
     return orjson.dumps(
         {
             "revision": candidate.version,
--- a/packages/coordination/src/hollyknot_coordination/checks/_problems.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/_problems.py
@@ -1,4 +1,4 @@
-"""Turns problems into the text by which a document is refused."""
+"""Formats the problems of a rejected document."""
 
 from hollyknot_coordination.spread import Invalid
 from hollyknot_state import Problems
@@ -7,7 +7,7 @@
 
 
 def invalid(problems: Problems) -> Invalid:
-    """Returns the refusal, with the first few problems told."""
+    """Returns a rejection that lists the first few problems."""
     listed = [str(p) for p in problems.problems[:_MAX_LISTED]]
     rest = len(problems.problems) + problems.more - len(listed)
     if rest:
--- a/packages/coordination/src/hollyknot_coordination/checks/tests/test_declarations.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""Tests that the check by parts is the check of the whole."""
+"""Tests that the incremental check agrees with the full check."""
 
 import hashlib
 from typing import Any
@@ -90,7 +90,7 @@
 
 
 class TestCheckDeclarations:
-    """The same verdict and the same value as the check of the whole."""
+    """Verdict and value equal those of the full check."""
 
     @pytest.mark.parametrize("after", _CASES.values(), ids=_CASES.keys())
     def test_agrees_with_the_full_check(self, after: dict[str, Any]) -> None:
--- a/packages/coordination/src/hollyknot_coordination/checks/tests/test_hosts.py
+++ b/packages/coordination/src/hollyknot_coordination/checks/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Tests that the check of changed entries is the check of the whole list."""
+"""Tests that the check of changed entries agrees with the full check."""
 
 import copy
 from typing import Any
@@ -73,18 +73,18 @@
 
 
 class TestCheckHosts:
-    """The same verdict and the same entries as the check of the whole."""
+    """Verdict and entries equal those of the full check."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=300)
     @given(edits=_EDITS)
     def test_agrees_with_the_full_check(
         self, edits: list[tuple[str, Any]]
     ) -> None:
-        """A host that learns by changes has the list of one that reads all.
+        """Hosts that apply changes hold the same list as a full read.
 
-        Symptom: hosts with the same revision send to different upstreams.
-        Sequence: an entry goes and one comes; one host learns by the change.
-        Cause: a removed entry that was kept, or a bad one that was taken.
+        Otherwise hosts at the same revision send to different upstreams. The
+        faults are a removed entry that is kept, or an invalid entry that is
+        accepted, when one host applies a change and another reads the list.
         """
         after = _edited(edits)
         old = read_records(_KIND, orjson.dumps(_BEFORE))
--- a/packages/coordination/src/hollyknot_coordination/outcomes/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""What became of requests: targets met, goodput and wasted work."""
+"""Counts how requests ended: targets met, goodput and wasted work."""
 
 from hollyknot_coordination.outcomes._tally import ClassTally, Tallies
 from hollyknot_coordination.outcomes._targets import Timing, met_target
--- a/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
@@ -1,4 +1,4 @@
-"""Counts of what became of requests, by class."""
+"""Counts how requests ended, by request class."""
 
 import attrs
 
@@ -7,17 +7,17 @@
 
 @attrs.frozen
 class ClassTally:
-    """What became of the requests of one class since the host started.
+    """How the requests of one class ended since the host started.
 
     Attributes:
-        ended: All that ended.
-        complete: Those whose caller has the whole answer.
-        within_target: Complete ones that met the class's target.
-        not_run: Refused, proved not run.
-        may_have_run: Those that may have run.
-        failed: Those that an upstream failed.
-        good_bytes: Answer bytes of those within target.
-        wasted_tries: Tries at upstreams whose work was thrown away.
+        ended: Number of requests that ended, however they did.
+        complete: Number of requests whose caller has the whole answer.
+        within_target: Number of complete requests that met the class's target.
+        not_run: Number of refused requests that are proved not to have run.
+        may_have_run: Number of requests that may have run, with no proof either way.
+        failed: Number of requests that an upstream answered with an error.
+        good_bytes: Answer bytes of the requests within target.
+        wasted_tries: Number of tries at upstreams whose work was discarded.
     """
 
     ended: int = 0
@@ -31,7 +31,7 @@
 
     @property
     def attainment(self) -> float:
-        """The share of ended requests that met their target, 1 if none."""
+        """Fraction of the ended requests that met their target; 1 if none."""
         return self.within_target / self.ended if self.ended else 1.0
 
 
@@ -44,7 +44,7 @@
 
 
 class Tallies:
-    """The tallies of every class that a host has served."""
+    """Tallies of all request classes that a host has served."""
 
     def __init__(self) -> None:
         self._by_class: dict[str, ClassTally] = {}
@@ -60,11 +60,13 @@
         """Counts one ended request.
 
         Args:
-            request_class: Its class.
-            verdict: How it ended.
-            met: Whether it met its target.
-            size: Bytes of its answer.
-            wasted_tries: Tries before the last that had begun to run.
+            request_class: Class of the request.
+            verdict: How the request ended.
+            met_target: Whether the request met its target. Only counted if
+                the verdict is complete.
+            size: Size of the answer in bytes.
+            wasted_tries: Number of tries before the last one that had begun
+                to run.
         """
         old = self._by_class.get(request_class, ClassTally())
         field = _FIELDS[verdict.outcome]
@@ -81,5 +83,5 @@
         )
 
     def view(self) -> dict[str, ClassTally]:
-        """Returns the tallies by class."""
+        """Returns the tallies by request class."""
         return dict(self._by_class)
--- a/packages/coordination/src/hollyknot_coordination/outcomes/_targets.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/_targets.py
@@ -1,4 +1,4 @@
-"""Whether an answer met its class's target."""
+"""Decides whether an answer met the latency target of its class."""
 
 import attrs
 
@@ -7,14 +7,17 @@
 
 @attrs.frozen
 class Timing:
-    """When the parts of an answer came, in seconds on one clock.
+    """When a request and its answer came, in seconds on one clock.
 
     Attributes:
-        arrived_s: When the request arrived.
-        first_byte_s: When the first byte of the answer was relayed or read.
-        ended_s: When the last byte was.
-        tokens: Tokens generated; 0 if not known.
-        is_streamed: Whether the caller saw the tokens as they came.
+        arrived_s: Time at which the request arrived.
+        first_byte_s: Time at which the first byte of the answer was relayed
+            or read.
+        ended_s: Time at which the last byte of the answer was relayed or
+            read.
+        tokens: Number of generated tokens; 0 if not known.
+        is_streamed: Whether the answer was streamed to the caller token by
+            token.
     """
 
     arrived_s: float
@@ -25,14 +28,15 @@
 
 
 def met_target(target: Target, timing: Timing) -> bool:
-    """Tells whether a complete answer met every part of its target.
+    """Returns whether a complete answer met every part of its target.
 
-    The caller of a whole answer sees no first token. Its answer is in time if
-    it came no later than a streamed one within target would have ended.
+    A caller whose answer is not streamed sees no first token. Such an answer
+    is in time if it came no later than a streamed answer within target would
+    have ended.
 
     Args:
-        target: The class's target.
-        timing: When the parts came.
+        target: Target of the request's class.
+        timing: When the request and its answer came.
     """
     answer_ms = (timing.ended_s - timing.arrived_s) * 1000
     if target.whole_answer_ms and answer_ms > target.whole_answer_ms:
--- a/packages/coordination/src/hollyknot_coordination/outcomes/tests/test_outcomes.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of targets and tallies."""
+"""Tests of latency targets and of the tallies by class."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class TestMetTarget:
-    """The target of each kind, at its edge."""
+    """Answers just within and just beyond each kind of target."""
 
     @pytest.mark.parametrize(
         ("target", "first", "end", "tokens", "is_streamed", "expected"),
@@ -39,7 +39,7 @@
 
 
 class TestTallies:
-    """Counts by class."""
+    """Counts of ended requests by class."""
 
     def test_refused_requests_lower_attainment(self) -> None:
         tallies = Tallies()
