--- a/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
+++ b/packages/coordination/src/hollyknot_coordination/outcomes/_tally.py
@@ -14,7 +14,8 @@
         complete: Number of requests whose caller has the whole answer.
         within_target: Number of complete requests that met the class's target.
         not_run: Number of refused requests that are proved not to have run.
-        may_have_run: Number of requests that may have run, with no proof either way.
+        may_have_run: Number of requests that may have run, without proof of
+            how they ended.
         failed: Number of requests that an upstream answered with an error.
         good_bytes: Answer bytes of the requests within target.
         wasted_tries: Number of tries at upstreams whose work was discarded.
--- a/packages/coordination/src/hollyknot_coordination/signals/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/__init__.py
@@ -1,4 +1,4 @@
-"""Soft signals between the hosts of a data centre."""
+"""Stores the advisory signals that hosts of a data centre gossip."""
 
 from hollyknot_coordination.signals._aged_table import AgedTable, AgedValue
 from hollyknot_coordination.signals._store import (
--- a/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
@@ -1,7 +1,8 @@
-"""Values that age by this host's monotonic clock and expire.
+"""A table of gossiped values that age by the monotonic clock and expire.
 
-A table is merged by the greater rank alone, so that the order of arrival and
-duplicates do not matter: hosts that have heard the same hold the same.
+Of two values with one key the one with the greater rank wins, so that the
+order of arrival and duplicates do not matter: hosts that received the same
+values hold the same table.
 """
 
 import random
@@ -16,10 +17,10 @@
 V = TypeVar("V")
 
 REFRESH_S = 1.0
-"""A value younger by less than this is not told again.
+"""How much younger a repeated value must be to be sent again.
 
-Pressure is noted many times a second while it lasts; telling each would fill
-the messages with what all peers know.
+Pressure is observed many times a second while it lasts. Sending each
+observation would fill the messages with what all peers know already.
 """
 
 
@@ -28,9 +29,11 @@
     """A value with the time of its observation.
 
     Attributes:
-        value: As it was observed; its own age is not looked at.
-        observed_s: On this host's monotonic clock.
-        rank_s: Which value wins: the time, shifted by the value's kind.
+        value: The value as it was observed. Its own age field is ignored.
+        observed_s: Time of the observation on this host's monotonic clock.
+        rank_s: Rank by which a value replaces another: the time of the
+            observation, shifted by an amount that depends on the value's
+            kind.
     """
 
     value: V
@@ -39,7 +42,7 @@
 
 
 class AgedTable(Generic[K, V]):
-    """Values by key, at most one each, with what is still to be told."""
+    """Holds at most one value per key and queues changes for gossip."""
 
     def __init__(
         self,
@@ -47,13 +50,14 @@
         capacity: int,
         is_repeat: Callable[[V, V], bool],
     ) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            ttl_s: Seconds after which a value is forgotten.
-            capacity: The most values; above it the oldest go.
-            is_same_news: Whether a value tells no more than an earlier one
-                but that it was observed again.
+            ttl_s: Age in seconds at which a value expires.
+            capacity: Maximum number of values; above it the oldest is
+                dropped.
+            is_repeat: Returns whether the second value adds nothing to the
+                first one but a later time of observation.
         """
         self._ttl_s = ttl_s
         self._capacity = capacity
@@ -64,11 +68,11 @@
 
     @property
     def has_news(self) -> bool:
-        """Whether values wait to be told."""
+        """Whether values wait to be sent to peers."""
         return bool(self._unsent)
 
     def merge(self, key: K, entry: AgedValue[V], now_s: float) -> bool:
-        """Takes a value; tells whether it is news."""
+        """Merges a value; returns whether it is queued to be sent to peers."""
         if now_s - entry.observed_s >= self._ttl_s:
             return False
         known = self._entries.get(key)
@@ -87,19 +91,19 @@
         return True
 
     def expire(self, now_s: float) -> None:
-        """Forgets what is too old."""
+        """Drops the expired values."""
         limit_s = now_s - self._ttl_s
         old = [k for k, e in self._entries.items() if e.observed_s <= limit_s]
         for key in old:
             self._drop(key)
 
     def entries(self, now_s: float) -> list[AgedValue[V]]:
-        """Returns what is not too old."""
+        """Returns the values that have not expired."""
         limit_s = now_s - self._ttl_s
         return [e for e in self._entries.values() if e.observed_s > limit_s]
 
     def get(self, key: K, default: V, now_s: float) -> AgedValue[V]:
-        """Returns a key's value, or a default of infinite age."""
+        """Returns a key's value, or the default with an infinite age."""
         entry = self._entries.get(key)
         if entry is None or now_s - entry.observed_s >= self._ttl_s:
             return AgedValue(default, float("-inf"), float("-inf"))
@@ -108,7 +112,11 @@
     def next_updates(
         self, limit: int, hosts: int, now_s: float
     ) -> list[AgedValue[V]]:
-        """Returns news for one message, most recent first, and counts it."""
+        """Returns queued values for one message and counts their sending.
+
+        The values that were sent least often come first; of these the most
+        recently observed come first.
+        """
         self.expire(now_s)
         entries = self._entries
         keys = self._unsent.take(limit, hosts, lambda k: entries[k].observed_s)
@@ -117,7 +125,7 @@
     def sample(
         self, limit: int, rng: random.Random, now_s: float
     ) -> list[AgedValue[V]]:
-        """Returns a few values at random, for hosts that missed the news."""
+        """Returns random values, for hosts that missed them when new."""
         entries = self.entries(now_s)
         return rng.sample(entries, min(limit, len(entries)))
 
--- a/packages/coordination/src/hollyknot_coordination/signals/_store.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_store.py
@@ -1,9 +1,10 @@
-"""The soft signals that a host has seen itself or heard from its peers.
+"""Stores the signals that a host observed itself or received by gossip.
 
-What a reader sees while the host is cut off: entries grow older and go after
-their time to live. No pressure, no sign and no suspect then means "nothing
-known", never "all is well"; `silence_s` tells how long no peer was heard, so
-that a reader can go by its own host's evidence alone.
+Signals are advisory. While the host is partitioned from its peers, entries
+grow older and expire after their time to live. The absence of pressures,
+health signs or suspects then means "nothing known", never "all is well".
+`silence_s` returns how long no peer was heard, so that a caller can rely on
+its own host's evidence alone.
 """
 
 import math
@@ -27,15 +28,19 @@
 SUSPECT_TTL_S = 600.0
 
 TRANSIT_S = 0.05
-"""Added to an age on receipt, for the way. Ages thus never shrink by hops."""
+"""Added to an age on receipt, for the time of the transmission.
+
+Without it a signal would grow younger at each hop.
+"""
 
 HEALTHY_MARGIN_S = 2.0
-"""A healthy sign must be younger by this than an adverse one to replace it.
+"""How much younger a healthy sign must be to replace an adverse one.
 
-A message may lie in a paused process's socket; the ages in it stand still, and
-a healthy sign from before a loss then looks younger than the loss. One would
-notice work sent to a lost upstream again. Two seconds cover the pauses between
-which gossip still counts as live; longer ones are added by the receiver.
+A message may wait in the socket of a paused process, where the ages in it
+stand still. A healthy sign from before a loss then looks younger than the
+loss, and requests would be sent to a lost upstream again. Two seconds
+cover the pauses that are short enough for gossip to count as live. The
+receiver adds longer pauses to the ages.
 """
 
 MAX_PRESSURES = 256
@@ -43,7 +48,7 @@
 MAX_SUSPECTS = 1_024
 
 MAX_MESSAGE_ENTRIES = 16
-"""Entries of all kinds in one message; about 600 bytes at the most."""
+"""Maximum number of entries of all kinds in a message: about 600 bytes."""
 
 SAMPLE_ENTRIES = 2
 
@@ -53,7 +58,7 @@
 
 
 class SignalStore:
-    """All signals of one host."""
+    """Holds all signals that are known to one host."""
 
     def __init__(self, rng: random.Random, now_s: float) -> None:
         self._rng = rng
@@ -72,7 +77,7 @@
 
     @property
     def has_news(self) -> bool:
-        """Whether signals wait to be told."""
+        """Whether signals wait to be sent to peers."""
         return (
             self._pressures.has_news
             or self._signs.has_news
@@ -80,35 +85,35 @@
         )
 
     def silence_s(self, now_s: float) -> float:
-        """Returns the seconds since a peer's gossip came."""
+        """Returns the seconds since gossip of any peer was received."""
         return now_s - self._last_gossip_s
 
     def pressures(self, now_s: float) -> tuple[TierPressure, ...]:
-        """Returns the pressures with their ages at this moment."""
+        """Returns the pressures with their current ages."""
         return tuple(
             _with_current_age(e, now_s) for e in self._pressures.entries(now_s)
         )
 
     def pressure_age_s(self, pool: str, tier: int, now_s: float) -> float:
-        """Returns how long ago a tier was short; infinite if unknown."""
+        """Returns the seconds since a tier was short; infinite if unknown."""
         default = TierPressure(pool, tier, 0)
         entry = self._pressures.get((pool, tier), default, now_s)
         return now_s - entry.observed_s
 
     def signs(self, now_s: float) -> tuple[UpstreamSign, ...]:
-        """Returns the signs with their ages at this moment."""
+        """Returns the health signs with their current ages."""
         return tuple(
             _with_current_age(e, now_s) for e in self._signs.entries(now_s)
         )
 
     def suspects(self, now_s: float) -> tuple[SuspectRecord, ...]:
-        """Returns the suspect records with their ages at this moment."""
+        """Returns the suspect records with their current ages."""
         return tuple(
             _with_current_age(e, now_s) for e in self._suspects.entries(now_s)
         )
 
     def note_pressure(self, pressure: TierPressure, now_s: float) -> bool:
-        """Takes a pressure; tells whether it is news."""
+        """Merges a pressure; returns whether it is queued for gossip."""
         observed_s = now_s - pressure.age_ms / _MS
         entry = AgedValue(pressure, observed_s, observed_s)
         return self._pressures.merge(
@@ -116,7 +121,7 @@
         )
 
     def note_sign(self, sign: UpstreamSign, now_s: float) -> bool:
-        """Takes a sign; tells whether it is news."""
+        """Merges a health sign; returns whether it is queued for gossip."""
         observed_s = now_s - sign.age_ms / _MS
         margin_s = 0.0 if _is_healthy(sign) else HEALTHY_MARGIN_S
         rank_s = observed_s + margin_s
@@ -124,7 +129,7 @@
         return self._signs.merge(sign.upstream, entry, now_s)
 
     def note_suspect(self, record: SuspectRecord, now_s: float) -> bool:
-        """Takes a suspect record; tells whether it is news."""
+        """Merges a suspect record; returns whether it is queued for gossip."""
         observed_s = now_s - record.age_ms / _MS
         entry = AgedValue(record, observed_s, observed_s)
         return self._suspects.merge(
@@ -134,12 +139,13 @@
     def on_gossip(
         self, gossip: Gossip, delay_s: float, now_s: float
     ) -> list[ReportSignals]:
-        """Takes a peer's signals.
+        """Merges a peer's signals; returns those that were new here.
 
         Args:
-            gossip: The message.
-            delay_s: How long it may have lain unread in this process.
-            now_s: Monotonic seconds.
+            gossip: The received message.
+            delay_s: Longest time in seconds for which the message may have
+                waited unread in this process.
+            now_s: Current time in monotonic seconds.
         """
         self._last_gossip_s = now_s
         transit_ms = math.ceil(TRANSIT_S * _MS)
@@ -155,8 +161,9 @@
             tuple(
                 s
                 for s in (
-                    # An adverse sign made too old could lose to an earlier
-                    # healthy one; made too young it costs a probe.
+                    # An adverse sign that is aged too much could lose to an
+                    # earlier healthy one. Aged too little it only costs a
+                    # probe.
                     _with_added_age(
                         s, extra_ms if _is_healthy(s) else transit_ms
                     )
@@ -173,11 +180,14 @@
         return [] if report == ReportSignals() else [report]
 
     def next_updates(self, hosts: int, now_s: float) -> ReportSignals:
-        """Returns what to tell in one message and counts it as told.
+        """Returns the signals for one message and counts their sending.
+
+        If no health signs and no suspect records are queued, a random sample
+        of both is sent, for hosts that missed them when new.
 
         Args:
-            hosts: How many hosts are to hear of it.
-            now_s: Monotonic seconds.
+            hosts: Number of hosts that the signals are to reach.
+            now_s: Current time in monotonic seconds.
         """
         remaining = MAX_MESSAGE_ENTRIES
         signs = self._signs.next_updates(remaining, hosts, now_s)
--- a/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Soft signals: which one wins, how they age, how they spread."""
+"""Tests of how signals are merged, aged, expired and gossiped."""
 
 import itertools
 import random
@@ -26,12 +26,12 @@
 
 
 def kinds(store: SignalStore, now_s: float) -> list[SignKind]:
-    """Returns the kinds of all signs."""
+    """Returns the kinds of all health signs."""
     return [s.kind for s in store.signs(now_s)]
 
 
 class TestSigns:
-    """Signs of upstreams."""
+    """Merging and ageing of health signs of upstreams."""
 
     @pytest.mark.parametrize(
         ("healthy_ms", "lost_ms", "kind"),
@@ -45,10 +45,11 @@
     def test_stale_healthy_sign_does_not_replace_a_loss(
         self, healthy_ms: int, lost_ms: int, kind: SignKind
     ) -> None:
-        """Symptom: work is sent to an upstream that was just lost.
+        """A healthy sign from before a loss must not replace the loss.
 
-        A healthy sign from before the loss lay in a paused host's socket and
-        arrives with an age that is too small. Cause: the youngest wins.
+        The sign may have waited in a paused host's socket and arrive with too
+        small an age. If the youngest sign always won, requests would be sent
+        to an upstream that was just lost.
         """
         signs = (
             UpstreamSign("u", HEALTHY, healthy_ms),
@@ -61,10 +62,10 @@
             assert kinds(store, 100.0) == [kind]
 
     def test_pause_of_the_receiver_ages_healthy_signs(self) -> None:
-        """Symptom: a lost upstream counts as healthy after a pause.
+        """A lost upstream must not count as healthy after a pause.
 
         A healthy sign waits for eight seconds in this host's own socket while
-        the host is paused. Cause: ages that stand still there.
+        the host is paused; its age stands still unless the pause is added.
         """
         store = make_store()
         store.note_sign(UpstreamSign("u", LOST, 3_000), 100.0)
@@ -84,7 +85,7 @@
 
 
 class TestPressures:
-    """Pressures of tiers."""
+    """Merging and ageing of the pressures of tiers."""
 
     def test_youngest_pressure_wins(self) -> None:
         store = make_store()
@@ -94,10 +95,10 @@
         assert store.pressure_age_s("p", 2, 100.0) == float("inf")
 
     def test_relayed_pressure_expires(self) -> None:
-        """Symptom: a pressure that is over never ends.
+        """A pressure that hosts send to each other in turn must expire.
 
-        Hosts tell it to each other in turn. Cause: ages that are rounded down
-        or that leave out the way, so that it grows younger at each hop.
+        It never would if ages were rounded down or left out the time of the
+        transmission, as it would then grow younger at each hop.
         """
         now_s = 100.0
         stores = [make_store(), make_store()]
@@ -120,7 +121,7 @@
 
 
 class TestMessages:
-    """What one message carries."""
+    """Contents of a gossip message, and how far signals spread."""
 
     def test_message_is_bounded_and_holds_the_most_recent(self) -> None:
         store = make_store()
@@ -133,9 +134,10 @@
         assert not set(following.pressures) & set(news.pressures)
 
     def test_signals_reach_all_hosts_and_expire(self) -> None:
-        """Symptom: a poison request crashes an upstream in each host's hands.
+        """Each host must learn of a crash that only one host observed.
 
-        One host saw the crash. Cause: a record that is told too few times.
+        If the suspect record were sent too few times, a request that crashes
+        upstreams could crash one through each host that was not reached.
         """
         network = Network()
         hosts = {f"h{i}": "a" for i in range(24)}
@@ -159,9 +161,10 @@
             assert not node.state.signals.pressures(network.now_s)
 
     def test_signals_expire_on_a_partitioned_host(self) -> None:
-        """Symptom: a cut-off host sheds work for a pressure long past.
+        """A partitioned host must not shed load for a pressure long past.
 
-        It heard of the pressure, then no more. Cause: signals that stay.
+        It received the pressure and no gossip after that, so the pressure has
+        to expire by itself.
         """
         store = make_store()
         store.on_gossip(
