--- a/packages/coordination/src/hollyknot_coordination/routing/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request, and which upstreams are fit to."""
+"""Chooses an upstream for each request and tracks their health."""
 
 from hollyknot_coordination.routing._messages import (
     Choice,
--- a/packages/coordination/src/hollyknot_coordination/routing/_candidates.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_candidates.py
@@ -1,16 +1,22 @@
-"""Who may be chosen for a request: the rule of what is used when.
-
-1. Usable upstreams of this data centre, below their limits. As long as one of
-   them exists, full or excluded, no other group is used, but for rule 5.
-2. Else usable upstreams of other data centres, below their limits.
-3. Else upstreams that wait for a probe, here and then elsewhere, one request
-   each.
-4. Else ejected upstreams, here and then elsewhere, one request each: a host
-   that ejected all is more likely wrong than all upstreams are.
-5. A host that suspects itself adds groups 3 and 4 where group 1 or 2 is full.
-
-Requests that may not run twice are never sent by rules 3 to 5: they could end
-as "may have run" for nothing. Draining and leaving upstreams never get work.
+"""Determines which upstreams may be chosen for a request.
+
+The first of these groups that has upstreams is used:
+
+1. Usable upstreams of this data centre, below their limits. As long as one
+   usable upstream exists here, even if it is full or excluded, no other group
+   is used, except by rule 5.
+2. Usable upstreams of other data centres, below their limits.
+3. Upstreams that wait for a probe, first here and then elsewhere, with one
+   request each.
+4. Ejected upstreams, first here and then elsewhere, with one request each: if
+   a host has ejected all upstreams, the host is more likely to be at fault
+   than all upstreams are.
+5. A host that suspects itself also uses groups 3 and 4 if group 1 or 2 is
+   full.
+
+Requests that may not run twice are never sent by rules 3 to 5: they could
+needlessly end as "may have run". Draining and leaving upstreams never get
+requests.
 """
 
 from collections.abc import Iterable, Set
@@ -29,7 +35,7 @@
 def candidates(
     pool: Pool, request: RequestInfo, exclude: Set[str], suspects_itself: bool
 ) -> Candidates | NoChoiceReason:
-    """Returns upstreams that may take the request, or why there are none."""
+    """Returns the upstreams that may be chosen, or why there are none."""
     usable = usable_group(pool)
     available = [
         u for u in usable if u.has_room and _allows(u, request, exclude)
@@ -47,7 +53,7 @@
 
 
 def usable_group(pool: Pool) -> Candidates:
-    """Returns the usable upstreams here, or else elsewhere."""
+    """Returns the usable upstreams of this data centre, or of the others."""
     here = [u for u in pool.here if u.is_usable]
     return here or [u for u in pool.elsewhere if u.is_usable]
 
@@ -55,8 +61,8 @@
 def free_slots(pool: Pool, suspects_itself: bool) -> int:
     """Returns how many requests that may run twice could be sent now.
 
-    Trials count: a queue that waits for a free slot would else never send the
-    request by which rules 3 to 5 are followed.
+    Trials of upstreams by rules 3 to 5 count as free slots. Otherwise a queue
+    that waits for a free slot would never send the trial request.
     """
     usable = usable_group(pool)
     free = sum(max(0, u.limit.value - u.in_flight) for u in usable)
--- a/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
@@ -1,4 +1,4 @@
-"""What a first byte and the end of a try teach of an upstream."""
+"""Updates an upstream's state by the first byte and the end of a try."""
 
 import enum
 
@@ -7,18 +7,18 @@
 from hollyknot_state import Outcome, Reason, Verdict
 
 WAITED_FRACTION = 0.5
-"""Part of a request's budget spent before its dispatch from which a missed
-target is not the upstream's fault."""
+"""Fraction of a request's time budget that it waited before its dispatch, from
+which a missed target is not attributed to the upstream."""
 
 ERROR_RATIO = 4.0
-"""The slowness that an error of the upstream's own counts for: an upstream
-that fails at once would else look the fastest and draw all requests."""
+"""The slowness that a server error counts as. Otherwise an upstream that fails
+at once would look the fastest and attract all requests."""
 
 SERVER_ERROR = 500
 
 
 class Effect(enum.Enum):
-    """What the end of a try says of the upstream's health."""
+    """What the end of a try indicates about the upstream's health."""
 
     NONE = enum.auto()
     REFUSED_CONNECTION = enum.auto()
@@ -39,7 +39,7 @@
 def note_first_byte(
     upstream: Upstream, flight: Flight, usual: UsualLatency, now_s: float
 ) -> None:
-    """Takes in the time from dispatch to first byte."""
+    """Records the time from dispatch to first byte."""
     upstream.waiting.pop(flight.request.request_id, None)
     upstream.last_good_s = now_s
     ratio = usual.ratio(now_s - flight.chosen_s)
@@ -55,7 +55,7 @@
     met_target: bool,
     now_s: float,
 ) -> Effect:
-    """Moves the limit by the end of a try, whose flight is still counted."""
+    """Adjusts the limit by the end of a try that still counts as in flight."""
     effect = _EFFECTS.get(verdict.reason, Effect.NONE)
     if effect is Effect.REFUSED_REQUEST:
         upstream.limit.on_refused(now_s)
--- a/packages/coordination/src/hollyknot_coordination/routing/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_health.py
@@ -1,8 +1,10 @@
-"""How an upstream leaves and regains the state of being usable.
+"""Transitions of an upstream out of and back into the usable states.
 
-A refused connection ejects at once. A lost or silent connection, a refusal or
-a peer's sign makes it wait for a probe by a new connection, which tells a dead
-upstream from a dead connection. Only such a probe brings one back.
+A refused connection ejects an upstream at once. After a lost or silent
+connection, a refused request or an adverse sign from a peer, the upstream gets
+no requests until it is probed over a new connection, which distinguishes a
+dead upstream from a dead connection. Only a successful probe makes an
+upstream usable again.
 """
 
 import random
@@ -13,23 +15,24 @@
 from hollyknot_state import SignKind
 
 NEVER_S = float("inf")
-"""The time of a probe that is not planned."""
+"""The time of the next probe if none is scheduled."""
 
 OUT_OF_SERVICE = frozenset({UpstreamState.EJECTED, UpstreamState.DRAINING})
-"""States that only a good probe ends."""
+"""States out of service, which only a successful probe ends."""
 
 PROBE_EXPIRY_S = 2.0
-"""When a probe that was handed out is due again if nothing came of it."""
+"""Seconds after which a probe that was handed out is due again if its outcome
+was not reported."""
 
 
 def note_sign(upstream: Upstream, kind: SignKind, now_s: float) -> None:
-    """Records what this host saw itself."""
+    """Records a sign that this host observed itself."""
     upstream.last_sign = kind
     upstream.last_sign_s = now_s
 
 
 def require_probe(upstream: Upstream, now_s: float) -> bool:
-    """Withholds new work until a probe; tells whether that is a change."""
+    """Withholds new requests until a probe; returns whether it was usable."""
     if not upstream.is_usable:
         return False
     upstream.state = UpstreamState.CHECKING
@@ -45,7 +48,7 @@
     now_s: float,
     rng: random.Random,
 ) -> bool:
-    """Ejects; tells whether that is a change from a usable state."""
+    """Ejects an upstream; returns whether it was usable before."""
     if upstream.state is UpstreamState.LEAVING:
         return False
     was_usable = upstream.is_usable
@@ -65,7 +68,7 @@
     now_s: float,
     rng: random.Random,
 ) -> None:
-    """Takes in the outcome of a probe by a new connection."""
+    """Applies the outcome of a probe over a new connection."""
     if upstream.state is UpstreamState.LEAVING:
         return
     if is_ok and not upstream.is_draining:
@@ -98,7 +101,7 @@
     rng: random.Random,
 ) -> None:
     # Hosts that lost an upstream at the same moment would all probe it at the
-    # same later ones; the random part spreads them.
+    # same later moments. The jitter spreads their probes.
     upstream.probe_at_s = now_s + upstream.probe_delay_s * rng.uniform(
         0.75, 1.25
     )
--- a/packages/coordination/src/hollyknot_coordination/routing/_messages.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_messages.py
@@ -1,4 +1,4 @@
-"""What routing answers: a choice or why there is none, and views."""
+"""Result types of routing: choices, probes and status views."""
 
 import enum
 
@@ -14,20 +14,20 @@
     """The host list has no live upstream of the pool."""
 
     ALL_FULL = "all-full"
-    """Each upstream that may be used is at its limit; one may free up soon."""
+    """Each upstream that may be used is at its limit; one may be free soon."""
 
     ALL_EJECTED = "all-ejected"
-    """Each upstream is ejected and already has its one trial, or drains."""
+    """Each upstream drains, or is ejected and has its one trial request."""
 
 
 @attrs.frozen
 class Choice:
-    """An upstream, with the request counted as in flight there.
+    """The chosen upstream, at which the request now counts as in flight.
 
     Attributes:
-        upstream: Its name in the host list.
-        ip: Its IP address.
-        port: Its HTTP port.
+        upstream: Name of the upstream in the host list.
+        ip: IP address of the upstream.
+        port: HTTP port of the upstream.
     """
 
     upstream: str
@@ -37,43 +37,44 @@
 
 @attrs.frozen
 class NoChoice:
-    """That no upstream can take the request now.
+    """The result if no upstream can take the request now.
 
     Attributes:
-        reason: Why.
+        reason: Why no upstream can take it.
     """
 
     reason: NoChoiceReason
 
 
 class UpstreamState(enum.Enum):
-    """What this host holds of an upstream."""
+    """Health of an upstream in the judgement of this host."""
 
     LIVE = "live"
     RECOVERING = "recovering"
-    """Live since a probe; its limit grows again."""
+    """Usable again after a successful probe; its limit is still growing."""
 
     CHECKING = "checking"
-    """A sign against it waits for a probe by a new connection."""
+    """Gets no requests until a probe over a new connection confirms or refutes
+    a sign against it."""
 
     EJECTED = "ejected"
     DRAINING = "draining"
     LEAVING = "leaving"
-    """Named as leaving by the host list, or gone from it."""
+    """Marked as leaving in the host list, or no longer listed."""
 
 
 @attrs.frozen
 class UpstreamView:
-    """One upstream, for status pages.
+    """The state of one upstream, for status pages.
 
     Attributes:
-        name: Its name in the host list.
-        state: What this host holds of it.
-        in_flight: This host's requests there.
-        limit: How many of them this host allows.
-        slowness: Its first-byte latency over its pool's usual one.
-        last_sign: The last sign seen of it here.
-        last_sign_s: When, on the host's monotonic clock.
+        name: Name of the upstream in the host list.
+        state: Health in the judgement of this host.
+        in_flight: Number of this host's requests in flight there.
+        limit: Maximum number of this host's requests in flight there.
+        slowness: First-byte latency divided by the usual one of its pool.
+        last_sign: The last sign that this host observed itself.
+        last_sign_s: Time of that sign on the host's monotonic clock.
     """
 
     name: str
@@ -90,9 +91,9 @@
     """An upstream to probe by `GET /v1/load` over a new connection.
 
     Attributes:
-        upstream: Its name in the host list.
-        ip: Its IP address.
-        port: Its HTTP port.
+        upstream: Name of the upstream in the host list.
+        ip: IP address of the upstream.
+        port: HTTP port of the upstream.
     """
 
     upstream: str
--- a/packages/coordination/src/hollyknot_coordination/routing/_options.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_options.py
@@ -1,4 +1,4 @@
-"""Constants of routing, in one place, with their units and reasons."""
+"""Options of routing, with their units and reasons."""
 
 import attrs
 
@@ -7,32 +7,42 @@
 
 @attrs.frozen
 class RoutingOptions:
-    """How an `UpstreamTable` decides.
+    """Options by which an `UpstreamTable` decides.
 
     Attributes:
-        subset_size: Upstreams of a pool that a host uses in its own data
-            centre, and again in all others together. A pool that is not
+        subset_size: Number of a pool's upstreams that a host uses in its own
+            data centre, and again in all others together. A pool that is not
             larger is used whole.
-        sharers_min: Hosts that must share an upstream; the subset grows where
-            there are too few hosts to reach each upstream this often.
-        choices: Candidates that are compared for the least load.
-        default_slots: Slots of an upstream that does not say.
-        report_half_life_s: Age at which a load report counts for half; the
-            rest is taken from the pool's mean, not from zero, or an upstream
-            with an old report would look idle.
-        locality: Whether a request's prefix has a say.
-        locality_tries: Upstreams in the prefix's order that are considered.
-        locality_free: Use of slots below which an upstream is never too busy.
-        locality_bound: How far above the mean use a prefix may push one.
-        probe_first_s: Delay to a repeated probe after a failed one.
-        probe_max_s: The longest such delay.
-        report_fresh_s: Age below which a report shows that a refusal was for
-            fullness and not for draining.
-        sign_memory_s: How long a sign is told to peers, and heeded.
-        self_suspect_share: Share of a pool's upstreams that, newly bad within
-            `self_suspect_window_s`, makes the host suspect itself.
-        self_suspect_window_s: See above.
-        limits: Limits for each upstream.
+        min_sharers: Minimum number of hosts that use an upstream. The subset
+            is larger than `subset_size` where there are too few hosts to
+            reach each upstream this often.
+        choices: Number of random candidates whose load is compared.
+        default_slots: Number of slots of an upstream that does not report it.
+        report_half_life_s: Age in seconds at which a load report counts for
+            half. The mean load of the pool counts for the rest: with zero
+            instead, an upstream with an old report would look idle.
+        locality: Whether requests with the same prompt prefix prefer the same
+            upstreams.
+        locality_tries: Number of preferred upstreams of a prefix that are
+            considered.
+        locality_min_bound: Utilisation (load over slots, times slowness) up
+            to which a preferred upstream is never too busy.
+        locality_bound_factor: Factor of the candidates' mean utilisation up
+            to which a preferred upstream is not too busy.
+        probe_first_s: Delay in seconds of the probe after the first failure.
+            It doubles with each further failure.
+        probe_max_s: Upper bound of that delay in seconds, before jitter.
+        report_fresh_s: Age in seconds up to which a load report shows that an
+            upstream refused a request because it was full, and not because it
+            was draining.
+        sign_memory_s: Time in seconds for which a sign is sent to peers, and
+            for which a peer's sign is considered.
+        self_suspicion_fraction: Fraction of a pool's upstreams. If more than
+            that fail within `self_suspicion_window_s`, the host suspects
+            itself.
+        self_suspicion_window_s: Time in seconds within which failures count
+            for self-suspicion, and for which self-suspicion then lasts.
+        limits: Options of the concurrency limit of each upstream.
     """
 
     subset_size: int = 8
--- a/packages/coordination/src/hollyknot_coordination/routing/_pick.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_pick.py
@@ -1,4 +1,4 @@
-"""Which of several usable upstreams gets a request."""
+"""Picks one of several candidate upstreams for a request."""
 
 import random
 from collections.abc import Sequence
@@ -20,11 +20,11 @@
     """Returns the upstream for a request.
 
     Args:
-        candidates: At least one upstream with room.
-        prefix: Hash of the prompt's head, 0 for none.
-        pool_mean: Others' load at the pool's usual upstream.
-        options: Constants.
-        now_s: The time.
+        candidates: Upstreams that may be chosen; at least one.
+        prefix: Hash of the start of the prompt, 0 for none.
+        pool_mean: Mean load of other hosts at an upstream of the pool.
+        options: Options of routing.
+        now_s: Current time in monotonic seconds.
         rng: Source of randomness.
     """
     if len(candidates) == 1:
@@ -42,8 +42,9 @@
         for index in order[: options.locality_tries]:
             if utilisations[index] <= bound:
                 return candidates[index]
-    # The least loaded of all would draw every host that sees the same late
-    # report to one upstream; of a few at random it draws only a part of them.
+    # If each host chose the least loaded of all upstreams, all hosts with the
+    # same outdated report would choose the same one. Among a few random
+    # candidates only some of the hosts do.
     count = min(options.choices, len(candidates))
     drawn = rng.sample(candidates, count)
     return min(
