--- a/packages/coordination/src/hollyknot_coordination/routing/_pools.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_pools.py
@@ -1,4 +1,4 @@
-"""Which upstreams serve each pool for this host, after a host list."""
+"""Selects the upstreams of each pool that this host uses."""
 
 from collections.abc import Iterable, Mapping
 
@@ -15,9 +15,10 @@
     """The upstreams of a pool that this host uses.
 
     Attributes:
-        here: In this host's data centre.
-        elsewhere: In all other data centres.
-        mean_others: Others' load at a usual upstream of the pool.
+        here: Upstreams in this host's data centre.
+        elsewhere: Upstreams in all other data centres.
+        mean_others: Mean load of other hosts at an upstream of the pool,
+            weighted by the age of the load reports.
     """
 
     here: tuple[Upstream, ...] = ()
@@ -26,11 +27,11 @@
 
     @property
     def members(self) -> tuple[Upstream, ...]:
-        """All of them."""
+        """The upstreams of all data centres."""
         return self.here + self.elsewhere
 
     def on_report(self, half_life_s: float, now_s: float) -> None:
-        """Follows the reports, once one of its upstreams has a new one."""
+        """Updates the mean load after a new report of one of the upstreams."""
         members = self.here or self.elsewhere
         weights = [u.report_weight(half_life_s, now_s) for u in members]
         total = sum(weights)
@@ -41,12 +42,12 @@
 
 @attrs.frozen
 class Members:
-    """What a host uses of one pool.
+    """Names of the upstreams of one pool that a host uses.
 
     Attributes:
-        here: Names in its data centre.
-        elsewhere: Names in other data centres.
-        sharers: Hosts that use an upstream here, about.
+        here: Names of upstreams in the host's data centre.
+        elsewhere: Names of upstreams in other data centres.
+        sharers: Approximate number of hosts that use an upstream of `here`.
     """
 
     here: tuple[str, ...]
@@ -55,7 +56,7 @@
 
 
 def live_upstreams(host_list: HostList) -> dict[str, HostListEntry]:
-    """Returns the live upstreams by name."""
+    """Returns the entries of the live upstreams by name."""
     return {
         e.name: e
         for e in host_list.entries
@@ -70,7 +71,7 @@
     data_centre: str,
     options: RoutingOptions,
 ) -> dict[str, Members]:
-    """Chooses what this host uses of each pool."""
+    """Chooses the upstreams of each pool that this host uses."""
     hosts = tuple(e.name for e in host_list.hosts(data_centre))
     here = _names_by_pool(
         e for e in live.values() if e.data_centre == data_centre
@@ -102,8 +103,9 @@
     near = tuple(here)
     size = options.subset_size
     chosen = subset(host, hosts, near, pool, size, options.min_sharers)
-    # Not all upstreams elsewhere need to be reached from here: their own data
-    # centre does that, and this one uses them only in need.
+    # Upstreams elsewhere need no minimum number of hosts from here: the hosts
+    # of their own data centre use them, and this one does so only if it has
+    # no usable upstream itself.
     far = subset(host, hosts, tuple(elsewhere), pool, size, 0)
     pairs = max(1, len(hosts)) * len(chosen)
     return Members(chosen, far, -(-pairs // max(1, len(near))))
--- a/packages/coordination/src/hollyknot_coordination/routing/_self_suspicion.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_self_suspicion.py
@@ -1,9 +1,10 @@
-"""When a host holds itself, and not its upstreams, to be at fault.
+"""Detects that a host itself, and not its upstreams, is likely to be at fault.
 
-A host whose own network fails sees all upstreams fail. Were it to believe
-that, it would serve nobody and tell its peers to distrust the whole pool. So
-when more than a share of a pool's upstreams go bad within a short time, it
-tells peers nothing for that time and tries ejected upstreams as well.
+A host whose own network fails sees all upstreams fail. If it relied on that,
+it would serve no requests and make its peers distrust the whole pool. So when
+more than a fraction of a pool's upstreams fail within a short window, the host
+sends no signs to peers for the length of that window and tries upstreams that
+it ejected as well.
 """
 
 from collections.abc import Iterable
@@ -14,26 +15,27 @@
 from hollyknot_coordination.routing._upstream import Upstream
 
 MIN_NEWLY_FAILING = 2
-"""Upstreams that must be newly bad: one alone is as likely at fault."""
+"""Minimum number of newly failing upstreams. If only one fails, it is as
+likely to be at fault as the host."""
 
 _FAILING = frozenset({UpstreamState.CHECKING, UpstreamState.EJECTED})
-"""Draining is left out: upstreams of a pool may well drain together."""
+"""Excludes draining, as upstreams of a pool may well drain together."""
 
 
 class SelfSuspicion:
-    """Whether the host suspects itself, and until when."""
+    """Tracks whether the host suspects itself, and until when."""
 
     def __init__(self, options: RoutingOptions) -> None:
-        """Does not at first."""
+        """Creates the state of a host that does not suspect itself."""
         self._options = options
         self._until_s = float("-inf")
 
     def is_on(self, now_s: float) -> bool:
-        """Whether the host suspects itself."""
+        """Returns whether the host suspects itself."""
         return now_s < self._until_s
 
     def on_failing(self, pools: Iterable[Pool], now_s: float) -> None:
-        """Takes in that an upstream of these pools has just gone bad."""
+        """Handles that an upstream of these pools has just begun to fail."""
         window_s = self._options.self_suspicion_window_s
         for pool in pools:
             members = pool.members
--- a/packages/coordination/src/hollyknot_coordination/routing/_subset.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_subset.py
@@ -1,9 +1,10 @@
-"""Which upstreams of a pool a host uses, when there are many.
+"""Selects the subset of a large pool's upstreams that a host uses.
 
-Hosts and upstreams are each ordered by a hash; host number i of H starts at
-upstream i * U / H and takes the next ones. Each upstream then has the same
-number of hosts, give or take one, which independent draws do not give, and a
-host or upstream that comes or goes moves each window by a few places only.
+Hosts and upstreams are each ordered by a hash. With H hosts and U upstreams,
+the window of host number i starts at upstream i * U / H. Each upstream is then
+in the windows of the same number of hosts, give or take one, which independent
+random subsets would not achieve. A host or upstream that is added or removed
+moves each window by a few places only.
 """
 
 import bisect
@@ -23,16 +24,17 @@
     """Returns the upstreams that a host uses.
 
     Args:
-        host: The host that asks; counted even if `hosts` lags and lacks it.
-        hosts: All hosts that choose among these upstreams.
-        upstreams: The pool's upstreams.
-        salt: Varies the order by pool, so that two hosts that share one
-            window do not share all.
-        size: The number of upstreams, unless the pool has fewer.
-        sharers_min: The number of hosts that must reach each upstream.
+        host: Name of the host. It counts even if `hosts` is outdated and
+            lacks it.
+        hosts: Names of all hosts that choose among these upstreams.
+        upstreams: Names of the pool's upstreams.
+        salt: Varies the order between pools, so that two hosts with the same
+            window in one pool have different ones in others.
+        size: Number of upstreams to select, unless the pool has fewer.
+        min_sharers: Minimum number of hosts that must use each upstream.
 
     Returns:
-        Names of upstreams, each once.
+        Names of the selected upstreams, each once.
     """
     count = len(upstreams)
     names = set(hosts) | {host}
--- a/packages/coordination/src/hollyknot_coordination/routing/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_table.py
@@ -1,4 +1,4 @@
-"""The upstreams of one host: what it knows of them and where it sends."""
+"""The table of the upstreams of a host: their load, health and choice."""
 
 import random
 from collections.abc import Iterator, Set
@@ -50,14 +50,16 @@
 )
 
 CRASH_LOSSES = 2
-"""Requests lost in a row that show a crash and not one lost connection."""
+"""Consecutive lost requests that indicate a crash of the upstream, and not the
+loss of a single connection."""
 
 
 class UpstreamTable:
-    """Chooses upstreams, counts requests in flight and follows health.
+    """Chooses upstreams, counts requests in flight and tracks health.
 
-    It is pure: the time and the randomness are passed in, and the caller
-    does what it answers. All times are seconds on one monotonic clock.
+    The table does no I/O: the time and the randomness are passed in, and the
+    caller carries out what the table returns. All times are seconds on one
+    monotonic clock.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         data_centre: str,
         rng: random.Random,
     ) -> None:
-        """Knows no upstream until the first host list."""
+        """Creates a table without upstreams, until the first host list."""
         self._options = options
         self._host = host
         self._data_centre = data_centre
@@ -81,7 +83,7 @@
         self._self_suspicion = SelfSuspicion(options)
 
     def on_host_list(self, host_list: HostList, now_s: float) -> None:
-        """Applies a host list, unless it is older than the one in force."""
+        """Applies a host list, unless it is older than the current one."""
         if host_list.revision < self._revision:
             return
         self._revision = host_list.revision
@@ -109,8 +111,9 @@
         """Chooses an upstream and counts the request as in flight there.
 
         Args:
-            request: The request; `on_finished` must follow once.
-            now_s: The time.
+            request: The request. `on_finished` must be called once for each
+                choice.
+            now_s: Current time in monotonic seconds.
             exclude: Names of upstreams not to choose, as on a retry.
         """
         pool = self._pools.get(request.pool)
@@ -136,7 +139,7 @@
     def on_first_byte(
         self, upstream: str, request_id: str, now_s: float
     ) -> None:
-        """Notes the first byte of an answer."""
+        """Records the first byte of an answer."""
         known, flight = self._find_flight(upstream, request_id)
         key = (flight.request.pool, flight.request.request_class)
         usual = self._usual.get(key)
@@ -153,15 +156,15 @@
         now_s: float,
         met_target: bool,
     ) -> None:
-        """Ends a request that was chosen for an upstream, exactly once.
+        """Ends a request at its chosen upstream; called once per choice.
 
         Args:
-            upstream: The choice's upstream.
-            request_id: The request.
-            verdict: The end of this try.
-            now_s: The time.
-            met_target: Whether the class's target was met; heeded for
-                complete answers only.
+            upstream: Name of the chosen upstream.
+            request_id: Id of the request.
+            verdict: How this try ended.
+            now_s: Current time in monotonic seconds.
+            met_target: Whether the class's target was met; used for complete
+                answers only.
 
         Raises:
             ValueError: The request is not in flight there.
@@ -180,7 +183,7 @@
     def on_load_report(
         self, upstream: str, report: LoadReport, now_s: float
     ) -> None:
-        """Takes in a load report, also that of a probe, before `on_probe`."""
+        """Applies a load report; that of a probe comes before `on_probe`."""
         known = self._upstreams.get(upstream)
         if known is None:
             return
@@ -192,11 +195,11 @@
             self._eject(known, UpstreamState.DRAINING, now_s)
 
     def on_signs(self, signs: tuple[UpstreamSign, ...], now_s: float) -> None:
-        """Takes in peers' signs.
+        """Applies health signs that peers reported.
 
-        A bad sign makes this host probe for itself and withhold work until
-        then. It never ejects: a host that is cut off from upstreams would
-        else eject them for all.
+        An adverse sign makes this host probe the upstream itself and send it
+        no requests until then. It never ejects the upstream: otherwise a host
+        that is partitioned from upstreams would eject them on all hosts.
         """
         for sign in signs:
             known = self._upstreams.get(sign.upstream)
@@ -210,9 +213,9 @@
                 known.probe_at_s = min(known.probe_at_s, now_s)
 
     def local_signs(self, now_s: float) -> tuple[UpstreamSign, ...]:
-        """Returns what this host saw itself, to tell its peers.
+        """Returns the signs that this host observed itself, for its peers.
 
-        Nothing while the host suspects itself.
+        There are none while the host suspects itself.
         """
         if self.suspects_itself(now_s):
             return ()
@@ -225,7 +228,10 @@
         )
 
     def suspects_itself(self, now_s: float) -> bool:
-        """Whether so much of a pool went bad at once that the host may be."""
+        """Returns whether the host itself is likely to be at fault.
+
+        That is so after many upstreams of a pool failed at once.
+        """
         return self._self_suspicion.is_on(now_s)
 
     def free_slots(self, pool: str, now_s: float) -> int:
@@ -236,15 +242,15 @@
         return free_slots(known, self.suspects_itself(now_s))
 
     def view(self, now_s: float) -> tuple[UpstreamView, ...]:
-        """Returns all upstreams in use, for status pages."""
+        """Returns the state of all upstreams in use, for status pages."""
         return tuple(view_of(u, now_s) for u in self._upstreams.values())
 
     def has_pool(self, pool: str) -> bool:
-        """Whether the host list in force has an upstream of a pool."""
+        """Returns whether the current host list has an upstream of a pool."""
         return pool in self._pools
 
     def report_targets(self) -> tuple[Probe, ...]:
-        """Returns the engines in use, which can be asked for their load."""
+        """Returns the usable engines, which can be queried for their load."""
         return tuple(
             probe_of(u)
             for u in self._upstreams.values()
@@ -252,20 +258,20 @@
         )
 
     def probes_due(self, now_s: float) -> tuple[Probe, ...]:
-        """Returns the upstreams to probe now; each is then in hand."""
+        """Returns the upstreams to probe now; their probes count as begun."""
         due = [u for u in self._upstreams.values() if u.probe_at_s <= now_s]
         for upstream in due:
             upstream.probe_at_s = now_s + _health.PROBE_EXPIRY_S
         return tuple(probe_of(u) for u in due)
 
     def on_probe(self, upstream: str, ok: bool, now_s: float) -> None:
-        """Takes in a probe by a new connection.
+        """Applies the outcome of a probe over a new connection.
 
         Args:
-            upstream: Its name.
-            ok: Whether `GET /v1/load` was answered in time. Its report goes
-                to `on_load_report` first.
-            now_s: The time.
+            upstream: Name of the probed upstream.
+            ok: Whether `GET /v1/load` was answered in time. The report in the
+                answer must be passed to `on_load_report` first.
+            now_s: Current time in monotonic seconds.
         """
         known = self._upstreams.get(upstream)
         if known is None:
@@ -304,7 +310,7 @@
                 known = new_upstream(live[name], self._options)
                 self._upstreams[name] = known
             elif known.state is UpstreamState.LEAVING:
-                # A list that names it as live again may itself be late.
+                # The list that names it as live again may be outdated.
                 known.state = UpstreamState.LIVE
                 _health.require_probe(known, now_s)
             known.entry = live[name]
@@ -340,7 +346,7 @@
             case Effect.LOST:
                 self._on_lost(upstream, now_s)
             case Effect.SILENT:
-                # The connection may have died alone: the probe decides.
+                # Only the connection may be dead; the probe decides.
                 self._require_probe(upstream, now_s)
             case Effect.REFUSED_REQUEST:
                 self._on_refused(upstream, now_s)
--- a/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
@@ -1,9 +1,9 @@
-"""How long to wait for an upstream, by class and nature.
+"""Computes the timeouts for an upstream by request class and nature.
 
-A connection can go silent for good while its two ends believe in it, so each
-wait is bounded. A bound is generous against the target: giving up wastes what
-the upstream did, and for a call that may not run twice it ends in "may have
-run", which nothing can repair.
+A connection can go silent for good while both ends consider it open, so each
+wait is bounded. The bounds are generous compared with the target: a timeout
+wastes the work of the upstream, and a request that may not run twice then ends
+as "may have run", which cannot be repaired.
 """
 
 import attrs
@@ -11,10 +11,12 @@
 from hollyknot_state import Nature, Target
 
 CONNECT_TIMEOUT_S = 1.0
-"""To connect within a region; packets lost once are sent again by then."""
+"""Timeout for connecting within a region; packets that were lost once are sent
+again by then."""
 
 PROBE_TIMEOUT_S = 1.0
-"""For a probe by a new connection, from connecting to the whole answer."""
+"""Timeout for a probe over a new connection, from connecting to the end of the
+answer."""
 
 FIRST_BYTE_FACTOR = 4.0
 FIRST_BYTE_MIN_S = 2.0
@@ -35,12 +37,13 @@
 
 @attrs.frozen
 class Timeouts:
-    """Bounds of waiting for one try at an upstream, in seconds.
+    """Timeouts of one try at an upstream, in seconds.
 
     Attributes:
-        connect_s: Until the connection stands.
-        first_byte_s: From the request's last byte to the answer's first.
-        between_bytes_s: From one piece of the answer to the next.
+        connect_s: Longest wait until the connection is established.
+        first_byte_s: Longest wait from the last byte of the request to the
+            first byte of the answer.
+        between_bytes_s: Longest wait from one part of the answer to the next.
     """
 
     connect_s: float
@@ -49,7 +52,7 @@
 
 
 def timeouts(target: Target, nature: Nature) -> Timeouts:
-    """Returns the bounds for a class's target and a request's nature."""
+    """Returns the timeouts for a class's target and a request's nature."""
     factor = NON_IDEMPOTENT_FACTOR if nature is Nature.NON_IDEMPOTENT else 1.0
     return Timeouts(
         connect_s=CONNECT_TIMEOUT_S,
--- a/packages/coordination/src/hollyknot_coordination/routing/_upstream.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_upstream.py
@@ -1,4 +1,4 @@
-"""One upstream as this host sees it: requests in flight, load and health."""
+"""State that a host keeps of one upstream: requests, load and health."""
 
 import math
 
@@ -18,15 +18,16 @@
 from hollyknot_state import HostListEntry, LoadReport, RequestInfo, SignKind
 
 USABLE = frozenset({UpstreamState.LIVE, UpstreamState.RECOVERING})
-"""States in which an upstream is given work up to its limit."""
+"""States in which an upstream gets requests up to its limit."""
 
 
 OVERDUE_FACTOR = 3.0
-"""A first byte's wait over the usual one from which it tells of slowness."""
+"""Multiple of the usual time to a first byte from which a wait that has not
+ended counts as slowness."""
 
 
 MAX_REPORT_HALF_LIVES = 8.0
-"""Half-lives after which a report counts for nothing at all."""
+"""Number of half-lives after which a load report is ignored."""
 
 
 @attrs.define
@@ -35,8 +36,9 @@
 
     Attributes:
         request: The request.
-        chosen_s: When it was sent there.
-        usual_s: The usual time to a first byte then, 0 if not known.
+        chosen_s: Time at which the upstream was chosen for the request.
+        usual_s: Usual time to a first byte in seconds when the upstream was
+            chosen; 0 if not known.
     """
 
     request: RequestInfo
@@ -46,27 +48,33 @@
 
 @attrs.define
 class Upstream:
-    """What is known of one upstream.
+    """What this host knows of one upstream.
 
     Attributes:
-        entry: Its entry in the host list.
-        limit: Its concurrency limit.
-        slowness: Its latency over the usual one.
-        sharers: Hosts that use it, as far as the host list tells.
-        state: What this host holds of it.
+        entry: Entry of the upstream in the host list.
+        limit: Limit of this host's requests in flight.
+        slowness: First-byte latency divided by the usual one.
+        sharers: Approximate number of hosts that use the upstream, by the
+            host list.
+        state: Health in the judgement of this host.
         flights: Requests in flight, by request id.
-        waiting: Those of them without a first byte, the oldest first.
-        bad_since_s: When it left `USABLE`.
-        last_sign: The last sign seen by this host itself.
-        last_sign_s: When; minus infinity for never.
-        good_s: When it last gave a byte of an answer or a good probe.
-        losses: Requests lost in a row.
-        probe_at_s: When to probe next; infinity for never.
-        probe_delay_s: Delay after the next failed probe.
-        is_draining: What its last report said.
-        slots: From its last report, or the constant.
-        others: Load by others at the last report.
-        report_s: When the last report's figures were measured.
+        waiting: Requests in flight without a first byte, the oldest first, by
+            request id.
+        unusable_since_s: Time at which the upstream last left `USABLE` or was
+            ejected; minus infinity if it never was.
+        last_sign: The last sign that this host observed itself.
+        last_sign_s: Time of that sign; minus infinity if there was none.
+        last_good_s: Time of the last first byte, complete answer or
+            successful probe; minus infinity if there was none.
+        consecutive_losses: Number of requests lost since the last complete
+            answer or successful probe.
+        probe_at_s: Time of the next probe; infinity if none is scheduled.
+        probe_delay_s: Delay in seconds of the probe after the next failure.
+        is_draining: Whether the last load report said that it is draining.
+        slots: Number of slots by the last load report, or the default.
+        others: Number of requests of other hosts at the last load report.
+        report_s: Time at which the last load report was measured; minus
+            infinity if there was none.
     """
 
     entry: HostListEntry
@@ -90,22 +98,22 @@
 
     @property
     def in_flight(self) -> int:
-        """This host's requests there."""
+        """Number of this host's requests in flight there."""
         return len(self.flights)
 
     @property
     def is_usable(self) -> bool:
-        """Whether it is given work up to its limit."""
+        """Whether it gets requests up to its limit."""
         return self.state in USABLE
 
     @property
     def has_room(self) -> bool:
-        """Whether it is below its limit."""
+        """Whether fewer requests than its limit are in flight."""
         return len(self.flights) < self.limit.value
 
     @property
     def has_trial(self) -> bool:
-        """Whether a request went there since it left `USABLE`."""
+        """Whether a request in flight was sent while it was not usable."""
         return any(
             f.chosen_s >= self.unusable_since_s for f in self.flights.values()
         )
@@ -113,12 +121,12 @@
     def utilisation(
         self, pool_mean: float, half_life_s: float, now_s: float
     ) -> float:
-        """Returns the part of its slots in use if given one more, by slowness.
+        """Returns the load with one more request over the slots, by slowness.
 
         Args:
-            pool_mean: Others' load at the pool's usual upstream.
-            half_life_s: Age at which a report counts for half.
-            now_s: The time.
+            pool_mean: Mean load of other hosts at an upstream of the pool.
+            half_life_s: Age in seconds at which a load report counts for half.
+            now_s: Current time in monotonic seconds.
         """
         report_weight = self.report_weight(half_life_s, now_s)
         others = pool_mean + (self.others - pool_mean) * report_weight
@@ -126,17 +134,17 @@
         return load / self.slots * self.current_slowness(now_s)
 
     def report_weight(self, half_life_s: float, now_s: float) -> float:
-        """Returns what its last report counts for, 1 if new, 0 if none."""
+        """Returns the weight of the last report, from 0 (none) to 1 (new)."""
         age_s = max(0.0, now_s - self.report_s)
         if age_s > MAX_REPORT_HALF_LIVES * half_life_s:
             return 0.0
         return math.exp2(-age_s / half_life_s)
 
     def current_slowness(self, now_s: float) -> float:
-        """Returns the slowness, with that of an answer that does not come.
+        """Returns the slowness, including that of an overdue first byte.
 
-        Without it an upstream that answers very late tells nothing of that
-        until it answers, and gets a request of each host meanwhile.
+        Otherwise an upstream that is very late would not count as slow until
+        it answers, and each host would send it a request meanwhile.
         """
         slowness = self.slowness.at(now_s)
         for oldest in self.waiting.values():
@@ -148,20 +156,20 @@
         return slowness
 
     def add(self, flight: Flight) -> None:
-        """Counts a request in."""
+        """Adds a request in flight."""
         request_id = flight.request.request_id
         self.flights[request_id] = flight
         self.waiting[request_id] = flight
 
     def remove(self, request_id: str) -> None:
-        """Counts a request out."""
+        """Removes a request in flight."""
         del self.flights[request_id]
         self.waiting.pop(request_id, None)
 
     def on_report(
         self, report: LoadReport, options: RoutingOptions, now_s: float
     ) -> None:
-        """Takes in what the upstream says of itself."""
+        """Applies a load report of the upstream."""
         own = len(self.flights)
         self.others = float(max(0, report.running + report.queued - own))
         self.report_s = now_s - report.measured_ms_ago / 1000
@@ -173,7 +181,7 @@
 
 
 def new_upstream(entry: HostListEntry, options: RoutingOptions) -> Upstream:
-    """Returns an upstream of which nothing is known yet."""
+    """Returns a new upstream without requests, reports or signs."""
     return Upstream(
         entry=entry,
         limit=ConcurrencyLimit(options.limits),
@@ -183,7 +191,7 @@
 
 
 def view_of(upstream: Upstream, now_s: float) -> UpstreamView:
-    """Returns an upstream for status pages."""
+    """Returns the state of an upstream for status pages."""
     return UpstreamView(
         name=upstream.entry.name,
         state=upstream.state,
@@ -196,6 +204,6 @@
 
 
 def probe_of(upstream: Upstream) -> Probe:
-    """Returns where to probe an upstream."""
+    """Returns the address at which to probe an upstream."""
     entry = upstream.entry
     return Probe(entry.name, entry.ip, entry.port)
