--- a/packages/coordination/src/hollyknot_coordination/routing/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over a table: counts, choices and limits hold throughout."""
+"""State machine tests of counts, choices and limits of an `UpstreamTable`."""
 
 import random
 
@@ -51,7 +51,7 @@
 
 
 def entry(name: str, state: EntryState = EntryState.LIVE) -> HostListEntry:
-    """Returns an upstream's entry."""
+    """Returns the host list entry of an upstream."""
     data_centre = "hall-a" if name in HERE else "hall-b"
     return HostListEntry(
         name, Role.ENGINE, data_centre, "127.0.0.1", 1, ("m",), state
@@ -64,7 +64,7 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Any order of events, against the rule of who may be chosen."""
+    """Applies events in any order and checks which upstreams are chosen."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed: int) -> None:
@@ -209,13 +209,14 @@
 
 
 class TestHealth:
-    """What ejects an upstream, and what brings it back."""
+    """What ejects an upstream, and what makes it usable again."""
 
     def test_draining_upstream_gets_no_request_even_if_alone(self) -> None:
-        """Symptom: an upstream that is leaving gets new work.
+        """A draining upstream must get no requests, not even trials.
 
-        Sequence: it says that it drains, the host list lags, no other one is
-        left. Cause: draining treated like an ejection, with trials.
+        It reports that it drains, the host list is outdated, and there is no
+        other upstream. If draining were treated like an ejection, it would get
+        new requests while it is leaving.
         """
         table = UpstreamTable(
             RoutingOptions(), "h1", "hall-a", random.Random(1)
--- a/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of single rules of routing."""
+"""Tests of the single rules of routing."""
 
 import itertools
 import random
@@ -40,10 +40,10 @@
 
 
 class Harness:
-    """A table with upstreams of one pool, and shorthand for its events."""
+    """Wraps a table with upstreams of one pool and drives its events."""
 
     def __init__(self, here: int, elsewhere: int = 0) -> None:
-        """Lists the upstreams as e0, e1... here and f0, f1... elsewhere."""
+        """Creates a table with e0, e1... here and f0, f1... elsewhere."""
         self.table = UpstreamTable(
             RoutingOptions(), "h1", "hall-a", random.Random(1)
         )
@@ -59,7 +59,11 @@
         nature: Nature = Nature.IDEMPOTENT,
         only: str = "",
     ) -> tuple[str, str]:
-        """Sends a request; returns the upstream, or the reason, and its id."""
+        """Chooses for a new request.
+
+        Returns:
+            The upstream, or the reason why there is none, and the request id.
+        """
         self.count += 1
         name = f"r{self.count}"
         request = RequestInfo(
@@ -72,7 +76,7 @@
         return choice.upstream, name
 
     def end(self, upstream: str, verdict: Verdict, now_s: float = 0.0) -> None:
-        """Sends a request to one upstream and ends it."""
+        """Sends a request to one upstream and ends it with a verdict."""
         found, name = self.choose(now_s, only=upstream)
         assert found == upstream
         self.table.on_finished(upstream, name, verdict, now_s, True)
@@ -91,13 +95,14 @@
 
 
 class TestHealthSigns:
-    """Own signs count at once, and probes by new connections decide."""
+    """Signs withhold requests at once; probes over new connections decide."""
 
     def test_silent_connection_does_not_eject_a_live_upstream(self) -> None:
-        """Symptom: a healthy upstream gets no work for seconds.
+        """A silent connection alone must not eject an upstream.
 
-        Sequence: a connection that something forgot goes silent; the upstream
-        answers a new one. Cause: blaming the upstream without a probe.
+        A middlebox may drop a connection's state while the upstream still
+        accepts new ones. Without a probe a healthy upstream would get no
+        requests for seconds.
         """
         harness = Harness(2)
         limit = harness.view("e0").limit
@@ -116,10 +121,10 @@
         assert harness.state("e0") is UpstreamState.EJECTED
 
     def test_two_consecutive_losses_eject(self) -> None:
-        """Symptom: a crashed engine comes back to its full load at once.
+        """An engine that restarts after a crash must not get its full load.
 
-        Sequence: it loses its whole batch, restarts before the probe.
-        Cause: each loss treated as that of one connection.
+        It loses its whole batch and is up again before the probe. If each
+        loss counted as that of one connection, its limit would not restart.
         """
         harness = Harness(3)
         ids = [harness.choose(only="e0")[1] for _ in range(3)]
@@ -140,10 +145,10 @@
         assert harness.state("e1") is UpstreamState.CHECKING
 
     def test_peers_sign_older_than_own_evidence_is_ignored(self) -> None:
-        """Symptom: one loss withholds an upstream for as long as it is told.
+        """A peer's sign must not override a later successful probe.
 
-        Sequence: a peer's sign is repeated for seconds after a good probe.
-        Cause: signs taken in without comparing their times.
+        Peers repeat a sign for seconds. If its time were not compared with
+        that of the probe, one loss would withhold the upstream for as long.
         """
         harness = Harness(2)
         signs = (UpstreamSign("e0", SignKind.LOST, 1000),)
@@ -156,10 +161,11 @@
     def test_host_that_fails_to_reach_most_upstreams_suspects_itself(
         self,
     ) -> None:
-        """Symptom: a host with a broken link makes all peers distrust a pool.
+        """A host with a broken link must not make peers distrust a pool.
 
-        Sequence: it fails to reach three of four upstreams within a second
-        and says so. Cause: no doubt of its own sight.
+        It fails to reach three of four upstreams within a second. It must
+        then suspect itself, send no signs to peers and try the ejected
+        upstreams with one request each.
         """
         harness = Harness(4)
         for name in ("e0", "e1"):
@@ -177,10 +183,10 @@
         assert not harness.table.suspects_itself(7.0)
 
     def test_trials_count_as_free_slots(self) -> None:
-        """Symptom: requests wait though rule 3 or 4 would send them.
+        """Requests must not wait if they could be sent as trials.
 
-        Sequence: all upstreams are ejected, the queue waits for a free slot.
-        Cause: free slots counted over usable upstreams only.
+        All upstreams are ejected and the queue waits for a free slot. If only
+        usable upstreams counted, no trial request would ever be sent.
         """
         harness = Harness(2)
         for name in ("e0", "e1"):
@@ -216,7 +222,7 @@
 
 
 class TestDataCentres:
-    """Other data centres only when none here is usable."""
+    """Choice between upstreams of this and of other data centres."""
 
     def test_other_data_centre_is_used_only_if_none_here_is_usable(
         self,
@@ -230,7 +236,7 @@
 
 
 class TestLoad:
-    """What is counted as load, and by how much."""
+    """Effect of load reports, latencies, errors and prefixes on the choice."""
 
     @pytest.mark.fault(
         fault="load reports late",
@@ -241,10 +247,11 @@
     def test_old_report_draws_no_more_than_a_usual_share(
         self, running: int
     ) -> None:
-        """Symptom: an engine whose reports stopped gets most requests.
+        """An engine whose load reports stopped must not get most requests.
 
-        Sequence: its last report is old, the others' are new and busy.
-        Cause: an old report discounted to nothing, not to the pool's mean.
+        Its last report is old, the others' are new and show a high load. It
+        would look idle if an old report counted as zero load instead of as
+        the pool's mean.
         """
         harness = Harness(4)
         old = LoadReport(running, 0, 8, False, 0)
@@ -260,10 +267,10 @@
         assert found.count("e0") <= 140
 
     def test_overdue_first_byte_counts_as_slowness(self) -> None:
-        """Symptom: each host sends one more request to a stuck engine.
+        """A stuck engine must count as slow before it answers.
 
-        Sequence: the engine takes requests and answers none for long; its
-        slowness is known only once it answers. Cause: counting answers only.
+        It accepts requests and does not answer them for long. If only answers
+        counted, each host would send it one more request.
         """
         harness = Harness(2)
         for _ in range(10):
@@ -277,10 +284,10 @@
         assert harness.view("e0", 2.0).slowness > 5
 
     def test_upstream_that_fails_fast_does_not_attract_requests(self) -> None:
-        """Symptom: one broken upstream fails most requests.
+        """A broken upstream must not fail most requests.
 
-        Sequence: it answers 500 at once, so it looks idle and quick. Cause:
-        an error counted as a quick answer.
+        It answers 500 at once. If errors counted as quick answers, it would
+        look idle and fast and be chosen most often.
         """
         harness = Harness(2)
         failed = Verdict(
@@ -296,9 +303,10 @@
         assert found.count("e0") <= 20
 
     def test_shared_prefix_does_not_overload_one_upstream(self) -> None:
-        """Symptom: one prompt's requests overload one engine.
+        """Requests with the same prompt prefix must not overload one engine.
 
-        Sequence: most requests share a prefix. Cause: a hash without bound.
+        Most requests share a prefix, and the choice by its hash needs a bound
+        on the load.
         """
         harness = Harness(4)
         found = [harness.choose(prefix=7)[0] for _ in range(16)]
@@ -309,7 +317,7 @@
 
 
 class TestSubset:
-    """A host's share of many upstreams."""
+    """The subset of a large pool's upstreams that a host uses."""
 
     HOSTS = tuple(f"h{i}" for i in range(278))
     UPSTREAMS = tuple(f"e{i}" for i in range(1111))
@@ -330,10 +338,10 @@
         assert min(shares.values()) >= 2
 
     def test_replaced_host_or_upstream_moves_few_windows(self) -> None:
-        """Symptom: each replaced host makes all others reconnect.
+        """A replaced host must not make all other hosts reconnect.
 
-        Sequence: one of 278 hosts, then one of 1,111 upstreams is replaced.
-        Cause: windows by number in a list and not by hash.
+        One of 278 hosts and one of 1,111 upstreams are replaced. If windows
+        went by the position in a list instead of by hash, most would move.
         """
         new_hosts = (*self.HOSTS[1:], "new")
         new_upstreams = (*self.UPSTREAMS[1:], "new")
@@ -357,7 +365,7 @@
 
 
 class TestTimeouts:
-    """Bounds follow the class's target and the request's nature."""
+    """Timeouts by the class's target and the request's nature."""
 
     @pytest.mark.parametrize(
         ("target", "nature", "first_s", "between_s"),
@@ -378,7 +386,7 @@
 
 
 class TestProbes:
-    """Probes are handed out once and spaced out."""
+    """Schedule and effect of probes of an ejected upstream."""
 
     def test_repeated_probes_back_off(self) -> None:
         harness = Harness(2)
