--- a/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
@@ -1,4 +1,4 @@
-"""What a first byte and the end of a try teach of an upstream."""
+"""Updates an upstream's state by the first byte and the end of a try."""
 
 import enum
 
@@ -6,19 +6,19 @@
 from hollyknot_coordination.routing._upstream import Flight, Upstream
 from hollyknot_state import Outcome, Reason, Verdict
 
-WAITED_SHARE = 0.5
-"""Part of a request's budget spent before its dispatch from which a missed
-target is not the upstream's fault."""
+WAITED_FRACTION = 0.5
+"""Fraction of a request's time budget that it waited before its dispatch, from
+which a missed target is not attributed to the upstream."""
 
 ERROR_RATIO = 4.0
-"""The slowness that an error of the upstream's own counts for: an upstream
-that fails at once would else look the fastest and draw all requests."""
+"""The slowness that a server error counts as. Otherwise an upstream that fails
+at once would look the fastest and attract all requests."""
 
 SERVER_ERROR = 500
 
 
 class Effect(enum.Enum):
-    """What the end of a try says of the upstream's health."""
+    """What the end of a try indicates about the upstream's health."""
 
     NONE = enum.auto()
     REFUSED_CONNECTION = enum.auto()
@@ -39,9 +39,9 @@
 def note_first_byte(
     upstream: Upstream, flight: Flight, usual: UsualLatency, now_s: float
 ) -> None:
-    """Takes in the time from dispatch to first byte."""
+    """Records the time from dispatch to first byte."""
     upstream.waiting.pop(flight.request.request_id, None)
-    upstream.good_s = now_s
+    upstream.last_good_s = now_s
     ratio = usual.ratio(now_s - flight.chosen_s)
     upstream.slowness.note(ratio, now_s)
     if upstream.slowness.is_straggler(now_s):
@@ -55,7 +55,7 @@
     met_target: bool,
     now_s: float,
 ) -> Effect:
-    """Moves the limit by the end of a try, whose flight is still counted."""
+    """Adjusts the limit by the end of a try that still counts as in flight."""
     effect = _EFFECTS.get(verdict.reason, Effect.NONE)
     if effect is Effect.REFUSED_REQUEST:
         upstream.limit.on_refused(now_s)
@@ -70,12 +70,12 @@
 def _note_complete(
     upstream: Upstream, flight: Flight, met_target: bool, now_s: float
 ) -> None:
-    upstream.good_s = now_s
-    upstream.losses = 0
+    upstream.last_good_s = now_s
+    upstream.consecutive_losses = 0
     if met_target:
         upstream.limit.on_good(upstream.in_flight)
         return
     request = flight.request
     waited_s = flight.chosen_s - request.arrived_s
-    if waited_s < WAITED_SHARE * request.budget_s:
+    if waited_s < WAITED_FRACTION * request.budget_s:
         upstream.limit.on_late(now_s)
--- a/packages/coordination/src/hollyknot_coordination/routing/_pick.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_pick.py
@@ -1,4 +1,4 @@
-"""Which of several usable upstreams gets a request."""
+"""Picks one of several candidate upstreams for a request."""
 
 import random
 from collections.abc import Sequence
@@ -20,29 +20,36 @@
     """Returns the upstream for a request.
 
     Args:
-        candidates: At least one upstream with room.
-        prefix: Hash of the prompt's head, 0 for none.
-        pool_mean: Others' load at the pool's usual upstream.
-        options: Constants.
-        now_s: The time.
+        candidates: Upstreams that may be chosen; at least one.
+        prefix: Hash of the start of the prompt, 0 for none.
+        pool_mean: Mean load of other hosts at an upstream of the pool.
+        options: Options of routing.
+        now_s: Current time in monotonic seconds.
         rng: Source of randomness.
     """
     if len(candidates) == 1:
         return candidates[0]
     half_life_s = options.report_half_life_s
     if prefix and options.locality:
-        uses = [c.use(pool_mean, half_life_s, now_s) for c in candidates]
-        mean = sum(uses) / len(uses)
-        bound = max(options.locality_free, mean * options.locality_bound)
+        utilisations = [
+            c.utilisation(pool_mean, half_life_s, now_s) for c in candidates
+        ]
+        mean = sum(utilisations) / len(utilisations)
+        bound = max(
+            options.locality_min_bound, mean * options.locality_bound_factor
+        )
         order = _by_prefix(candidates, prefix)
         for index in order[: options.locality_tries]:
-            if uses[index] <= bound:
+            if utilisations[index] <= bound:
                 return candidates[index]
-    # The least loaded of all would draw every host that sees the same late
-    # report to one upstream; of a few at random it draws only a part of them.
+    # If each host chose the least loaded of all upstreams, all hosts with the
+    # same outdated report would choose the same one. Among a few random
+    # candidates only some of the hosts do.
     count = min(options.choices, len(candidates))
     drawn = rng.sample(candidates, count)
-    return min(drawn, key=lambda c: c.use(pool_mean, half_life_s, now_s))
+    return min(
+        drawn, key=lambda c: c.utilisation(pool_mean, half_life_s, now_s)
+    )
 
 
 def _by_prefix(candidates: Sequence[Upstream], prefix: int) -> list[int]:
--- a/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_timeouts.py
@@ -1,46 +1,49 @@
-"""How long to wait for an upstream, by class and nature.
+"""Computes the timeouts for an upstream by request class and nature.
 
-A connection can go silent for good while its two ends believe in it, so each
-wait is bounded. A bound is generous against the target: giving up wastes what
-the upstream did, and for a call that may not run twice it ends in "may have
-run", which nothing can repair.
+A connection can go silent for good while both ends consider it open, so each
+wait is bounded. The bounds are generous compared with the target: a timeout
+wastes the work of the upstream, and a request that may not run twice then ends
+as "may have run", which cannot be repaired.
 """
 
 import attrs
 
 from hollyknot_state import Nature, Target
 
-CONNECT_S = 1.0
-"""To connect within a region; packets lost once are sent again by then."""
+CONNECT_TIMEOUT_S = 1.0
+"""Timeout for connecting within a region; packets that were lost once are sent
+again by then."""
 
-PROBE_S = 1.0
-"""For a probe by a new connection, from connecting to the whole answer."""
+PROBE_TIMEOUT_S = 1.0
+"""Timeout for a probe over a new connection, from connecting to the end of the
+answer."""
 
 FIRST_BYTE_FACTOR = 4.0
 FIRST_BYTE_MIN_S = 2.0
 FIRST_BYTE_MAX_S = 60.0
 
-WHOLE_FACTOR = 2.0
-WHOLE_MIN_S = 10.0
-WHOLE_MAX_S = 900.0
+WHOLE_ANSWER_FACTOR = 2.0
+WHOLE_ANSWER_MIN_S = 10.0
+WHOLE_ANSWER_MAX_S = 900.0
 
-NO_TARGET_S = 120.0
+NO_TARGET_FIRST_BYTE_S = 120.0
 
-BETWEEN_FACTOR = 40.0
-BETWEEN_MIN_S = 2.0
-BETWEEN_MAX_S = 30.0
+BETWEEN_BYTES_FACTOR = 40.0
+BETWEEN_BYTES_MIN_S = 2.0
+BETWEEN_BYTES_MAX_S = 30.0
 
 NON_IDEMPOTENT_FACTOR = 2.0
 
 
 @attrs.frozen
 class Timeouts:
-    """Bounds of waiting for one try at an upstream, in seconds.
+    """Timeouts of one try at an upstream, in seconds.
 
     Attributes:
-        connect_s: Until the connection stands.
-        first_byte_s: From the request's last byte to the answer's first.
-        between_bytes_s: From one piece of the answer to the next.
+        connect_s: Longest wait until the connection is established.
+        first_byte_s: Longest wait from the last byte of the request to the
+            first byte of the answer.
+        between_bytes_s: Longest wait from one part of the answer to the next.
     """
 
     connect_s: float
@@ -49,10 +52,10 @@
 
 
 def timeouts(target: Target, nature: Nature) -> Timeouts:
-    """Returns the bounds for a class's target and a request's nature."""
+    """Returns the timeouts for a class's target and a request's nature."""
     factor = NON_IDEMPOTENT_FACTOR if nature is Nature.NON_IDEMPOTENT else 1.0
     return Timeouts(
-        connect_s=CONNECT_S,
+        connect_s=CONNECT_TIMEOUT_S,
         first_byte_s=factor * _first_byte_s(target),
         between_bytes_s=factor * _between_bytes_s(target),
     )
@@ -61,19 +64,19 @@
 def _first_byte_s(target: Target) -> float:
     if target.first_token_ms:
         wanted = FIRST_BYTE_FACTOR * target.first_token_ms / 1000
-        return _between(FIRST_BYTE_MIN_S, wanted, FIRST_BYTE_MAX_S)
+        return _clamp(FIRST_BYTE_MIN_S, wanted, FIRST_BYTE_MAX_S)
     if target.whole_answer_ms:
-        wanted = WHOLE_FACTOR * target.whole_answer_ms / 1000
-        return _between(WHOLE_MIN_S, wanted, WHOLE_MAX_S)
-    return NO_TARGET_S
+        wanted = WHOLE_ANSWER_FACTOR * target.whole_answer_ms / 1000
+        return _clamp(WHOLE_ANSWER_MIN_S, wanted, WHOLE_ANSWER_MAX_S)
+    return NO_TARGET_FIRST_BYTE_S
 
 
 def _between_bytes_s(target: Target) -> float:
     if not target.between_tokens_ms:
-        return BETWEEN_MAX_S
-    wanted = BETWEEN_FACTOR * target.between_tokens_ms / 1000
-    return _between(BETWEEN_MIN_S, wanted, BETWEEN_MAX_S)
+        return BETWEEN_BYTES_MAX_S
+    wanted = BETWEEN_BYTES_FACTOR * target.between_tokens_ms / 1000
+    return _clamp(BETWEEN_BYTES_MIN_S, wanted, BETWEEN_BYTES_MAX_S)
 
 
-def _between(least: float, value: float, most: float) -> float:
-    return min(max(least, value), most)
+def _clamp(lower: float, value: float, upper: float) -> float:
+    return min(max(lower, value), upper)
--- a/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of single rules of routing."""
+"""Tests of the single rules of routing."""
 
 import itertools
 import random
@@ -39,11 +39,11 @@
 SILENT = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT)
 
 
-class Bench:
-    """A table with upstreams of one pool, and shorthand for its events."""
+class Harness:
+    """Wraps a table with upstreams of one pool and drives its events."""
 
     def __init__(self, here: int, elsewhere: int = 0) -> None:
-        """Lists the upstreams as e0, e1... here and f0, f1... elsewhere."""
+        """Creates a table with e0, e1... here and f0, f1... elsewhere."""
         self.table = UpstreamTable(
             RoutingOptions(), "h1", "hall-a", random.Random(1)
         )
@@ -59,7 +59,11 @@
         nature: Nature = Nature.IDEMPOTENT,
         only: str = "",
     ) -> tuple[str, str]:
-        """Sends a request; returns the upstream, or the reason, and its id."""
+        """Chooses for a new request.
+
+        Returns:
+            The upstream, or the reason why there is none, and the request id.
+        """
         self.count += 1
         name = f"r{self.count}"
         request = RequestInfo(
@@ -72,7 +76,7 @@
         return choice.upstream, name
 
     def end(self, upstream: str, verdict: Verdict, now_s: float = 0.0) -> None:
-        """Sends a request to one upstream and ends it."""
+        """Sends a request to one upstream and ends it with a verdict."""
         found, name = self.choose(now_s, only=upstream)
         assert found == upstream
         self.table.on_finished(upstream, name, verdict, now_s, True)
@@ -91,107 +95,111 @@
 
 
 class TestHealthSigns:
-    """Own signs count at once, and probes by new connections decide."""
+    """Signs withhold requests at once; probes over new connections decide."""
 
-    def test_silent_connection_is_told_from_a_dead_upstream(self) -> None:
-        """Symptom: a healthy upstream gets no work for seconds.
+    def test_silent_connection_does_not_eject_a_live_upstream(self) -> None:
+        """A silent connection alone must not eject an upstream.
 
-        Sequence: a connection that something forgot goes silent; the upstream
-        answers a new one. Cause: blaming the upstream without a probe.
+        A middlebox may drop a connection's state while the upstream still
+        accepts new ones. Without a probe a healthy upstream would get no
+        requests for seconds.
         """
-        bench = Bench(2)
-        limit = bench.view("e0").limit
-        bench.end("e0", SILENT)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        assert {bench.choose()[0] for _ in range(6)} == {"e1"}
-        (probe,) = bench.table.probes_due(0.0)
-        bench.table.on_probe(probe.upstream, True, 0.1)
-        view = bench.view("e0")
+        harness = Harness(2)
+        limit = harness.view("e0").limit
+        harness.end("e0", SILENT)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        assert {harness.choose()[0] for _ in range(6)} == {"e1"}
+        (probe,) = harness.table.probes_due(0.0)
+        harness.table.on_probe(probe.upstream, True, 0.1)
+        view = harness.view("e0")
         assert (view.state, view.limit) == (UpstreamState.LIVE, limit)
 
     def test_dead_upstream_is_ejected_by_the_probe(self) -> None:
-        bench = Bench(2)
-        bench.end("e0", SILENT)
-        bench.table.on_probe("e0", False, 0.1)
-        assert bench.state("e0") is UpstreamState.EJECTED
+        harness = Harness(2)
+        harness.end("e0", SILENT)
+        harness.table.on_probe("e0", False, 0.1)
+        assert harness.state("e0") is UpstreamState.EJECTED
 
-    def test_two_losses_in_a_row_are_a_crash(self) -> None:
-        """Symptom: a crashed engine comes back to its full load at once.
+    def test_two_consecutive_losses_eject(self) -> None:
+        """An engine that restarts after a crash must not get its full load.
 
-        Sequence: it loses its whole batch, restarts before the probe.
-        Cause: each loss treated as that of one connection.
+        It loses its whole batch and is up again before the probe. If each
+        loss counted as that of one connection, its limit would not restart.
         """
-        bench = Bench(3)
-        ids = [bench.choose(only="e0")[1] for _ in range(3)]
-        bench.table.on_finished("e0", ids[0], LOST, 1.0, False)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        bench.table.on_finished("e0", ids[1], LOST, 1.0, False)
-        view = bench.view("e0")
+        harness = Harness(3)
+        ids = [harness.choose(only="e0")[1] for _ in range(3)]
+        harness.table.on_finished("e0", ids[0], LOST, 1.0, False)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        harness.table.on_finished("e0", ids[1], LOST, 1.0, False)
+        view = harness.view("e0")
         assert (view.state, view.limit) == (UpstreamState.EJECTED, 1)
 
-    def test_full_upstream_that_refuses_keeps_its_state(self) -> None:
-        bench = Bench(2)
-        bench.table.on_load_report("e0", LoadReport(8, 3, 8, False, 0), 0.0)
-        before = bench.view("e0").limit
-        bench.end("e0", REFUSED)
-        assert bench.state("e0") is UpstreamState.LIVE
-        assert bench.view("e0").limit < before
-        bench.end("e1", REFUSED)
-        assert bench.state("e1") is UpstreamState.CHECKING
+    def test_refusal_by_a_full_upstream_keeps_its_state(self) -> None:
+        harness = Harness(2)
+        harness.table.on_load_report("e0", LoadReport(8, 3, 8, False, 0), 0.0)
+        before = harness.view("e0").limit
+        harness.end("e0", REFUSED)
+        assert harness.state("e0") is UpstreamState.LIVE
+        assert harness.view("e0").limit < before
+        harness.end("e1", REFUSED)
+        assert harness.state("e1") is UpstreamState.CHECKING
 
     def test_peers_sign_older_than_own_evidence_is_ignored(self) -> None:
-        """Symptom: one loss withholds an upstream for as long as it is told.
+        """A peer's sign must not override a later successful probe.
 
-        Sequence: a peer's sign is repeated for seconds after a good probe.
-        Cause: signs taken in without comparing their times.
+        Peers repeat a sign for seconds. If its time were not compared with
+        that of the probe, one loss would withhold the upstream for as long.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         signs = (UpstreamSign("e0", SignKind.LOST, 1000),)
-        bench.table.on_signs(signs, 1.5)
-        assert bench.state("e0") is UpstreamState.CHECKING
-        bench.table.on_probe("e0", True, 1.6)
-        bench.table.on_signs(signs, 2.5)
-        assert bench.state("e0") is UpstreamState.LIVE
+        harness.table.on_signs(signs, 1.5)
+        assert harness.state("e0") is UpstreamState.CHECKING
+        harness.table.on_probe("e0", True, 1.6)
+        harness.table.on_signs(signs, 2.5)
+        assert harness.state("e0") is UpstreamState.LIVE
 
-    def test_host_that_loses_most_suspects_itself(self) -> None:
-        """Symptom: a host with a broken link makes all peers distrust a pool.
+    def test_host_that_fails_to_reach_most_upstreams_suspects_itself(
+        self,
+    ) -> None:
+        """A host with a broken link must not make peers distrust a pool.
 
-        Sequence: it fails to reach three of four upstreams within a second
-        and says so. Cause: no doubt of its own sight.
+        It fails to reach three of four upstreams within a second. It must
+        then suspect itself, send no signs to peers and try the ejected
+        upstreams with one request each.
         """
-        bench = Bench(4)
+        harness = Harness(4)
         for name in ("e0", "e1"):
-            bench.end(name, CONNECT_FAILED, 1.0)
-        assert len(bench.table.local_signs(1.0)) == 2
-        bench.end("e2", CONNECT_FAILED, 1.5)
-        assert bench.table.suspects_itself(1.5)
-        assert bench.table.local_signs(1.5) == ()
-        found = [bench.choose(2.0)[0] for _ in range(8)]
-        assert bench.table.free_slots("m", 2.0) == 3
-        found += [bench.choose(2.0)[0] for _ in range(3)]
+            harness.end(name, CONNECT_FAILED, 1.0)
+        assert len(harness.table.local_signs(1.0)) == 2
+        harness.end("e2", CONNECT_FAILED, 1.5)
+        assert harness.table.suspects_itself(1.5)
+        assert harness.table.local_signs(1.5) == ()
+        found = [harness.choose(2.0)[0] for _ in range(8)]
+        assert harness.table.free_slots("m", 2.0) == 3
+        found += [harness.choose(2.0)[0] for _ in range(3)]
         assert found.count("e3") == 8
         assert set(found[8:]) == {"e0", "e1", "e2"}
-        assert bench.choose(2.0)[0] == NoChoiceReason.ALL_FULL.value
-        assert not bench.table.suspects_itself(7.0)
+        assert harness.choose(2.0)[0] == NoChoiceReason.ALL_FULL.value
+        assert not harness.table.suspects_itself(7.0)
 
     def test_trials_count_as_free_slots(self) -> None:
-        """Symptom: requests wait though rule 3 or 4 would send them.
+        """Requests must not wait if they could be sent as trials.
 
-        Sequence: all upstreams are ejected, the queue waits for a free slot.
-        Cause: free slots counted over usable upstreams only.
+        All upstreams are ejected and the queue waits for a free slot. If only
+        usable upstreams counted, no trial request would ever be sent.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         for name in ("e0", "e1"):
-            bench.end(name, CONNECT_FAILED)
-        assert bench.table.free_slots("m", 9.0) == 2
-        bench.choose(9.0)
-        assert bench.table.free_slots("m", 9.0) == 1
-        bench.choose(9.0)
-        assert bench.table.free_slots("m", 9.0) == 0
-
-    def test_leaving_upstream_keeps_its_requests_and_then_goes(self) -> None:
-        bench = Bench(2)
-        _, name = bench.choose(only="e0")
+            harness.end(name, CONNECT_FAILED)
+        assert harness.table.free_slots("m", 9.0) == 2
+        harness.choose(9.0)
+        assert harness.table.free_slots("m", 9.0) == 1
+        harness.choose(9.0)
+        assert harness.table.free_slots("m", 9.0) == 0
+
+    def test_leaving_upstream_is_dropped_after_its_last_request(self) -> None:
+        harness = Harness(2)
+        _, name = harness.choose(only="e0")
         leaving = HostListEntry(
             "e0",
             Role.ENGINE,
@@ -201,32 +209,34 @@
             ("m",),
             EntryState.LEAVING,
         )
-        host_list = HostList(2, (leaving, bench.entries[1]))
-        bench.table.on_host_list(host_list, 1.0)
-        assert bench.state("e0") is UpstreamState.LEAVING
-        bench.table.on_finished("e0", name, COMPLETE, 2.0, True)
-        assert [v.name for v in bench.table.view(2.0)] == ["e1"]
-
-    def test_an_end_without_a_choice_is_an_error(self) -> None:
-        bench = Bench(1)
+        host_list = HostList(2, (leaving, harness.entries[1]))
+        harness.table.on_host_list(host_list, 1.0)
+        assert harness.state("e0") is UpstreamState.LEAVING
+        harness.table.on_finished("e0", name, COMPLETE, 2.0, True)
+        assert [v.name for v in harness.table.view(2.0)] == ["e1"]
+
+    def test_end_of_a_request_not_in_flight_is_an_error(self) -> None:
+        harness = Harness(1)
         with pytest.raises(ValueError, match="not in flight"):
-            bench.table.on_finished("e0", "r9", COMPLETE, 0.0, True)
+            harness.table.on_finished("e0", "r9", COMPLETE, 0.0, True)
 
 
 class TestDataCentres:
-    """Other data centres only when none here is usable."""
+    """Choice between upstreams of this and of other data centres."""
 
-    def test_rule(self) -> None:
-        bench = Bench(1, 1)
-        here = [bench.choose()[0] for _ in range(9)]
+    def test_other_data_centre_is_used_only_if_none_here_is_usable(
+        self,
+    ) -> None:
+        harness = Harness(1, 1)
+        here = [harness.choose()[0] for _ in range(9)]
         assert here == ["e0"] * 8 + [NoChoiceReason.ALL_FULL.value]
-        bench.table.on_load_report("e0", LoadReport(0, 0, 8, True, 0), 0.0)
-        assert bench.choose()[0] == "f0"
-        assert bench.table.free_slots("m", 0.0) == 7
+        harness.table.on_load_report("e0", LoadReport(0, 0, 8, True, 0), 0.0)
+        assert harness.choose()[0] == "f0"
+        assert harness.table.free_slots("m", 0.0) == 7
 
 
 class TestLoad:
-    """What is counted as load, and by how much."""
+    """Effect of load reports, latencies, errors and prefixes on the choice."""
 
     @pytest.mark.fault(
         fault="load reports late",
@@ -237,67 +247,69 @@
     def test_old_report_draws_no_more_than_a_usual_share(
         self, running: int
     ) -> None:
-        """Symptom: an engine whose reports stopped gets most requests.
+        """An engine whose load reports stopped must not get most requests.
 
-        Sequence: its last report is old, the others' are new and busy.
-        Cause: an old report discounted to nothing, not to the pool's mean.
+        Its last report is old, the others' are new and show a high load. It
+        would look idle if an old report counted as zero load instead of as
+        the pool's mean.
         """
-        bench = Bench(4)
+        harness = Harness(4)
         old = LoadReport(running, 0, 8, False, 0)
-        bench.table.on_load_report("e0", old, 0.0)
+        harness.table.on_load_report("e0", old, 0.0)
         for name in ("e1", "e2", "e3"):
             report = LoadReport(6, 0, 8, False, 0)
-            bench.table.on_load_report(name, report, 20.0)
+            harness.table.on_load_report(name, report, 20.0)
         found = []
         for _ in range(400):
-            upstream, name = bench.choose(20.0)
+            upstream, name = harness.choose(20.0)
             found.append(upstream)
-            bench.table.on_finished(upstream, name, COMPLETE, 20.0, True)
+            harness.table.on_finished(upstream, name, COMPLETE, 20.0, True)
         assert found.count("e0") <= 140
 
-    def test_late_first_byte_tells_before_it_comes(self) -> None:
-        """Symptom: each host sends one more request to a stuck engine.
+    def test_overdue_first_byte_counts_as_slowness(self) -> None:
+        """A stuck engine must count as slow before it answers.
 
-        Sequence: the engine takes requests and answers none for long; its
-        slowness is known only once it answers. Cause: counting answers only.
+        It accepts requests and does not answer them for long. If only answers
+        counted, each host would send it one more request.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         for _ in range(10):
-            upstream, name = bench.choose(0.0)
-            bench.table.on_first_byte(upstream, name, 0.1)
-            bench.table.on_finished(upstream, name, COMPLETE, 0.1, True)
-        bench.choose(1.0, only="e0")
+            upstream, name = harness.choose(0.0)
+            harness.table.on_first_byte(upstream, name, 0.1)
+            harness.table.on_finished(upstream, name, COMPLETE, 0.1, True)
+        harness.choose(1.0, only="e0")
         for _ in range(4):
-            upstream, name = bench.choose(2.0)
+            upstream, name = harness.choose(2.0)
             assert upstream == "e1"
-        assert bench.view("e0", 2.0).slowness > 5
+        assert harness.view("e0", 2.0).slowness > 5
 
-    def test_upstream_that_fails_fast_does_not_draw_all(self) -> None:
-        """Symptom: one broken upstream fails most requests.
+    def test_upstream_that_fails_fast_does_not_attract_requests(self) -> None:
+        """A broken upstream must not fail most requests.
 
-        Sequence: it answers 500 at once, so it looks idle and quick. Cause:
-        an error counted as a quick answer.
+        It answers 500 at once. If errors counted as quick answers, it would
+        look idle and fast and be chosen most often.
         """
-        bench = Bench(2)
+        harness = Harness(2)
         failed = Verdict(
             Outcome.FAILED, Reason.UPSTREAM_ERROR, upstream_status=500
         )
         found = []
         for step in range(100):
             now_s = step * 0.1
-            upstream, name = bench.choose(now_s)
+            upstream, name = harness.choose(now_s)
             found.append(upstream)
             verdict = failed if upstream == "e0" else COMPLETE
-            bench.table.on_finished(upstream, name, verdict, now_s, True)
+            harness.table.on_finished(upstream, name, verdict, now_s, True)
         assert found.count("e0") <= 20
 
-    def test_prefix_stays_until_its_upstream_is_hot(self) -> None:
-        """Symptom: one prompt's requests overload one engine.
+    def test_shared_prefix_does_not_overload_one_upstream(self) -> None:
+        """Requests with the same prompt prefix must not overload one engine.
 
-        Sequence: most requests share a prefix. Cause: a hash without bound.
+        Most requests share a prefix, and the choice by its hash needs a bound
+        on the load.
         """
-        bench = Bench(4)
-        found = [bench.choose(prefix=7)[0] for _ in range(16)]
+        harness = Harness(4)
+        found = [harness.choose(prefix=7)[0] for _ in range(16)]
         assert len(set(found[:4])) == 1
         counts = sorted(found.count(f"e{i}") for i in range(4))
         assert counts[-1] <= 6
@@ -305,7 +317,7 @@
 
 
 class TestSubset:
-    """A host's share of many upstreams."""
+    """The subset of a large pool's upstreams that a host uses."""
 
     HOSTS = tuple(f"h{i}" for i in range(278))
     UPSTREAMS = tuple(f"e{i}" for i in range(1111))
@@ -316,7 +328,7 @@
         return set(subset(host, hosts, upstreams, "m", 8, 2))
 
     @pytest.mark.parametrize("count", [53, 1111])
-    def test_is_balanced(self, count: int) -> None:
+    def test_hosts_are_balanced_over_upstreams(self, count: int) -> None:
         upstreams = self.UPSTREAMS[:count]
         shares = dict.fromkeys(upstreams, 0)
         for host in self.HOSTS:
@@ -325,11 +337,11 @@
         assert max(shares.values()) - min(shares.values()) <= 1
         assert min(shares.values()) >= 2
 
-    def test_changes_little_when_one_comes_or_goes(self) -> None:
-        """Symptom: each replaced host makes all others reconnect.
+    def test_replaced_host_or_upstream_moves_few_windows(self) -> None:
+        """A replaced host must not make all other hosts reconnect.
 
-        Sequence: one of 278 hosts, then one of 1,111 upstreams is replaced.
-        Cause: windows by number in a list and not by hash.
+        One of 278 hosts and one of 1,111 upstreams are replaced. If windows
+        went by the position in a list instead of by hash, most would move.
         """
         new_hosts = (*self.HOSTS[1:], "new")
         new_upstreams = (*self.UPSTREAMS[1:], "new")
@@ -340,7 +352,7 @@
             changes += len(after - before)
         assert changes / 277 < 2
 
-    def test_whatever_the_order_and_for_a_host_not_listed_yet(self) -> None:
+    def test_is_independent_of_order_and_covers_unlisted_hosts(self) -> None:
         assert self.chosen("h0", self.HOSTS, self.UPSTREAMS[:8]) == set(
             self.UPSTREAMS[:8]
         )
@@ -353,7 +365,7 @@
 
 
 class TestTimeouts:
-    """Bounds follow the class's target and the request's nature."""
+    """Timeouts by the class's target and the request's nature."""
 
     @pytest.mark.parametrize(
         ("target", "nature", "first_s", "between_s"),
@@ -374,28 +386,28 @@
 
 
 class TestProbes:
-    """Probes are handed out once and spaced out."""
+    """Schedule and effect of probes of an ejected upstream."""
 
-    def test_repeats_are_spaced(self) -> None:
-        bench = Bench(2)
-        bench.end("e0", CONNECT_FAILED)
+    def test_repeated_probes_back_off(self) -> None:
+        harness = Harness(2)
+        harness.end("e0", CONNECT_FAILED)
         times = []
         for tenth in range(300):
             now_s = tenth / 10
-            for probe in bench.table.probes_due(now_s):
+            for probe in harness.table.probes_due(now_s):
                 times.append(now_s)
-                bench.table.on_probe(probe.upstream, False, now_s)
+                harness.table.on_probe(probe.upstream, False, now_s)
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert 0.3 <= times[0] <= 0.8
         assert max(gaps) <= 6.4
         assert gaps[-1] >= 3.7
         assert len(times) <= 12
 
-    def test_good_probe_lets_choose_again(self) -> None:
-        bench = Bench(1)
-        bench.end("e0", CONNECT_FAILED)
-        refused = bench.choose(nature=Nature.NON_IDEMPOTENT)[0]
+    def test_good_probe_makes_upstream_usable_again(self) -> None:
+        harness = Harness(1)
+        harness.end("e0", CONNECT_FAILED)
+        refused = harness.choose(nature=Nature.NON_IDEMPOTENT)[0]
         assert refused == NoChoiceReason.ALL_EJECTED.value
-        bench.table.on_probe("e0", True, 1.0)
-        choice = bench.choose(1.0, nature=Nature.NON_IDEMPOTENT)[0]
+        harness.table.on_probe("e0", True, 1.0)
+        choice = harness.choose(1.0, nature=Nature.NON_IDEMPOTENT)[0]
         assert choice == "e0"
--- a/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Soft signals: which one wins, how they age, how they spread."""
+"""Tests of how signals are merged, aged, expired and gossiped."""
 
 import itertools
 import random
@@ -7,7 +7,7 @@
 import pytest
 
 from hollyknot_coordination.signals import SignalStore
-from hollyknot_coordination.signals._store import MESSAGE_ENTRIES
+from hollyknot_coordination.signals._store import MAX_MESSAGE_ENTRIES
 from hollyknot_coordination.spread.tests.network import Network
 from hollyknot_state import (
     Gossip,
@@ -26,12 +26,12 @@
 
 
 def kinds(store: SignalStore, now_s: float) -> list[SignKind]:
-    """Returns the kinds of all signs."""
+    """Returns the kinds of all health signs."""
     return [s.kind for s in store.signs(now_s)]
 
 
 class TestSigns:
-    """Signs of upstreams."""
+    """Merging and ageing of health signs of upstreams."""
 
     @pytest.mark.parametrize(
         ("healthy_ms", "lost_ms", "kind"),
@@ -42,13 +42,14 @@
             (1_000, 1_000, LOST),
         ],
     )
-    def test_a_healthy_sign_must_be_clearly_younger(
+    def test_stale_healthy_sign_does_not_replace_a_loss(
         self, healthy_ms: int, lost_ms: int, kind: SignKind
     ) -> None:
-        """Symptom: work is sent to an upstream that was just lost.
+        """A healthy sign from before a loss must not replace the loss.
 
-        A healthy sign from before the loss lay in a paused host's socket and
-        arrives with an age that is too small. Cause: the youngest wins.
+        The sign may have waited in a paused host's socket and arrive with too
+        small an age. If the youngest sign always won, requests would be sent
+        to an upstream that was just lost.
         """
         signs = (
             UpstreamSign("u", HEALTHY, healthy_ms),
@@ -60,11 +61,11 @@
                 store.note_sign(sign, 100.0)
             assert kinds(store, 100.0) == [kind]
 
-    def test_what_lay_unread_in_a_pause_is_as_old_as_the_pause(self) -> None:
-        """Symptom: a lost upstream counts as healthy after a pause.
+    def test_pause_of_the_receiver_ages_healthy_signs(self) -> None:
+        """A lost upstream must not count as healthy after a pause.
 
         A healthy sign waits for eight seconds in this host's own socket while
-        the host is paused. Cause: ages that stand still there.
+        the host is paused; its age stands still unless the pause is added.
         """
         store = make_store()
         store.note_sign(UpstreamSign("u", LOST, 3_000), 100.0)
@@ -72,70 +73,71 @@
         store.on_gossip(gossip, 8.0, 100.0)
         assert kinds(store, 100.0) == [LOST]
 
-    def test_a_sign_expires(self) -> None:
+    def test_sign_expires(self) -> None:
         store = make_store()
         store.note_sign(UpstreamSign("u", LOST, 0), 100.0)
         assert kinds(store, 129.0) == [LOST]
         assert kinds(store, 131.0) == []
         assert store.has_news
-        assert store.take_news(278, 131.0).signs == ()
+        assert store.next_updates(278, 131.0).signs == ()
         assert not store.has_news
         assert not store.note_sign(UpstreamSign("u", LOST, 40_000), 131.0)
 
 
 class TestPressures:
-    """Pressures of tiers."""
+    """Merging and ageing of the pressures of tiers."""
 
-    def test_the_least_age_wins(self) -> None:
+    def test_youngest_pressure_wins(self) -> None:
         store = make_store()
         for age_ms in (4_000, 1_000, 2_000):
             store.note_pressure(TierPressure("p", 1, age_ms), 100.0)
         assert store.pressure_age_s("p", 1, 100.0) == 1.0
         assert store.pressure_age_s("p", 2, 100.0) == float("inf")
 
-    def test_ages_never_shrink_by_hops(self) -> None:
-        """Symptom: a pressure that is over never ends.
+    def test_relayed_pressure_expires(self) -> None:
+        """A pressure that hosts send to each other in turn must expire.
 
-        Hosts tell it to each other in turn. Cause: ages that are rounded down
-        or that leave out the way, so that it grows younger at each hop.
+        It never would if ages were rounded down or left out the time of the
+        transmission, as it would then grow younger at each hop.
         """
         now_s = 100.0
         stores = [make_store(), make_store()]
         stores[0].note_pressure(TierPressure("p", 1, 0), now_s)
         for hop in range(300):
-            teller, hearer = stores[hop % 2], stores[1 - hop % 2]
-            gossip = Gossip(pressures=teller.pressures(now_s))
+            sender, receiver = stores[hop % 2], stores[1 - hop % 2]
+            gossip = Gossip(pressures=sender.pressures(now_s))
             now_s += 0.0499
-            hearer.on_gossip(gossip, 0.0, now_s)
+            receiver.on_gossip(gossip, 0.0, now_s)
         assert now_s > 100.0 + 10.0
         assert [s.pressures(now_s) for s in stores] == [(), ()]
 
-    def test_lasting_pressure_is_told_once_a_second(self) -> None:
+    def test_lasting_pressure_is_sent_once_a_second(self) -> None:
         store = make_store()
-        told = 0
+        sent_count = 0
         for step in range(100):
             now_s = 100.0 + step / 10
-            told += store.note_pressure(TierPressure("p", 1, 0), now_s)
-        assert 9 <= told <= 11
+            sent_count += store.note_pressure(TierPressure("p", 1, 0), now_s)
+        assert 9 <= sent_count <= 11
 
 
 class TestMessages:
-    """What one message carries."""
+    """Contents of a gossip message, and how far signals spread."""
 
-    def test_a_message_is_bounded_and_takes_the_most_recent_first(self) -> None:
+    def test_message_is_bounded_and_holds_the_most_recent(self) -> None:
         store = make_store()
         for i in range(100):
             store.note_pressure(TierPressure(f"p{i}", 1, 50 * i), 100.0)
-        news = store.take_news(278, 100.0)
-        assert len(news.pressures) == MESSAGE_ENTRIES
+        news = store.next_updates(278, 100.0)
+        assert len(news.pressures) == MAX_MESSAGE_ENTRIES
         assert max(p.age_ms for p in news.pressures) == 50 * 15
-        following = store.take_news(278, 100.0)
+        following = store.next_updates(278, 100.0)
         assert not set(following.pressures) & set(news.pressures)
 
-    def test_news_reaches_all_hosts_and_dies_out(self) -> None:
-        """Symptom: a poison request crashes an upstream in each host's hands.
+    def test_signals_reach_all_hosts_and_expire(self) -> None:
+        """Each host must learn of a crash that only one host observed.
 
-        One host saw the crash. Cause: a record that is told too few times.
+        If the suspect record were sent too few times, a request that crashes
+        upstreams could crash one through each host that was not reached.
         """
         network = Network()
         hosts = {f"h{i}": "a" for i in range(24)}
@@ -158,10 +160,11 @@
         for node in network.nodes.values():
             assert not node.state.signals.pressures(network.now_s)
 
-    def test_a_cut_off_host_sees_nothing_rather_than_old_signals(self) -> None:
-        """Symptom: a cut-off host sheds work for a pressure long past.
+    def test_signals_expire_on_a_partitioned_host(self) -> None:
+        """A partitioned host must not shed load for a pressure long past.
 
-        It heard of the pressure, then no more. Cause: signals that stay.
+        It received the pressure and no gossip after that, so the pressure has
+        to expire by itself.
         """
         store = make_store()
         store.on_gossip(
