--- a/packages/bench/src/hollyknot_bench/experiment/_wire.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_wire.py
@@ -11,8 +11,8 @@
     number_of,
 )
 from hollyknot_coordination.forwarding import (
-    ANSWER_S,
-    ASK_FROM_S,
+    ANSWER_TIMEOUT_S,
+    MIN_INTERVAL_TO_QUERY_S,
     RENEW_S,
     Inquiries,
     Inquiry,
@@ -57,7 +57,7 @@
     def may_ask(self, number: int) -> bool:
         """Whether a host asks trackers now."""
         teller = self.tellers[number]
-        is_old = teller.peers.interval_s >= ASK_FROM_S
+        is_old = teller.peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
         return is_old and teller.rate.may_ask(self._clock.now_s)
 
     def ask(
@@ -83,7 +83,7 @@
             teller.spend(query)
             other = self.tellers[number_of(tracker.address)]
             self._send(self._answer, other, teller, query)
-        wait_s = ANSWER_S if inquiry.sent else 0.0
+        wait_s = ANSWER_TIMEOUT_S if inquiry.sent else 0.0
         self._later(now_s + wait_s, self._give_up, teller, inquiry)
 
     def _begin_notes(self, teller: Teller) -> None:
@@ -124,7 +124,7 @@
         self._send(self._take_answer, asker, answer)
 
     def _take_answer(self, asker: Teller, answer: LoadAnswer) -> None:
-        asker.inquiries.take_answer(answer, self._clock.now_s)
+        asker.inquiries.handle_answer(answer, self._clock.now_s)
 
     def _give_up(self, asker: Teller, inquiry: Inquiry) -> None:
         asker.inquiries.give_up(inquiry, self._clock.now_s)
@@ -138,7 +138,7 @@
             self._send(self._take_note, other.inquiries, note)
 
     def _take_note(self, inquiries: Inquiries, note: LoadNote) -> None:
-        inquiries.take_note(note, self._clock.now_s)
+        inquiries.handle_note(note, self._clock.now_s)
 
     def _send(self, take: Callable[..., None], *args: object) -> None:
         self._later(self._clock.now_s + HOSTS_S, take, *args)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -11,9 +11,9 @@
 from hollyknot_coordination.forwarding._forecasts import Forecasts
 from hollyknot_coordination.forwarding._health import Health
 from hollyknot_coordination.forwarding._inquiries import (
-    ANSWER_S,
-    ASK_FROM_S,
-    NOTE_FROM_S,
+    ANSWER_TIMEOUT_S,
+    MIN_INTERVAL_TO_NOTE_S,
+    MIN_INTERVAL_TO_QUERY_S,
     Inquiries,
     Inquiry,
 )
@@ -22,7 +22,7 @@
 from hollyknot_coordination.forwarding._named_limits import NamedLimits
 from hollyknot_coordination.forwarding._peers import Peers
 from hollyknot_coordination.forwarding._permits import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     PermitRequest,
     Permits,
     Queries,
@@ -65,9 +65,9 @@
 from hollyknot_coordination.forwarding._trackers import Tracker, Trackers
 
 __all__ = [
-    "ANSWER_S",
-    "ASK_FROM_S",
-    "NOTE_FROM_S",
+    "ANSWER_TIMEOUT_S",
+    "MIN_INTERVAL_TO_QUERY_S",
+    "MIN_INTERVAL_TO_NOTE_S",
     "Inquiries",
     "Inquiry",
     "COME_BACK_S",
@@ -96,7 +96,7 @@
     "NoOwner",
     "NoPlace",
     "NoRoute",
-    "PERMIT_ANSWER_S",
+    "PERMIT_ANSWER_TIMEOUT_S",
     "Peers",
     "PermitRequest",
     "Permits",
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -25,21 +25,21 @@
 )
 from hollyknot_state.routes import UpstreamEntry
 
-ASK_FROM_S = 0.4
+MIN_INTERVAL_TO_QUERY_S = 0.4
 """Usual time between two reports of a peer from which trackers are asked. What
 younger reports tell of all upstreams is worth more than what trackers tell of
 four. Some ten hosts hear each other several times a second, hundreds of them
 every few seconds."""
 
-NOTE_FROM_S = ASK_FROM_S / 2
+MIN_INTERVAL_TO_NOTE_S = MIN_INTERVAL_TO_QUERY_S / 2
 """The same from which trackers are told of work: hosts measure it unlike, and
 one that asks relies on the notes of all."""
 
-ANSWER_S = 0.01
+ANSWER_TIMEOUT_S = 0.01
 """The longest wait for answers: three round trips between data centres of a
 region. Callers accept some hundred milliseconds for a first event."""
 
-_MOST_NUMBERS = 2**31 - 1
+_MAX_QUERY_NUMBER = 2**31 - 1
 """Numbers of queries begin again after this one."""
 
 
@@ -85,7 +85,7 @@
         self._number = 0
         self._sequence = 0
         self._waiting: dict[int, tuple[Tracker, Inquiry]] = {}
-        self._renewed_s = float("-inf")
+        self._last_renewal_s = float("-inf")
 
     def ask(
         self,
@@ -105,10 +105,10 @@
         inquiry = Inquiry()
         for tracker, upstreams in self._by_tracker(entries, now_s):
             names = tuple(short_name(e.incarnation) for e in upstreams)
-            self._number = self._number % _MOST_NUMBERS + 1
+            self._number = self._number % _MAX_QUERY_NUMBER + 1
             query = LoadQuery(self._incarnation, self._number, names, runs)
             if tracker is None:
-                self._believe(self._tracked.answer(query, now_s), now_s)
+                self._apply(self._tracked.answer(query, now_s), now_s)
                 continue
             inquiry.sent.append((tracker, query))
             self._waiting[query.number] = (tracker, inquiry)
@@ -118,9 +118,9 @@
         """Answers as a tracker."""
         return self._tracked.answer(query, now_s)
 
-    def take_answer(self, answer: LoadAnswer, now_s: float) -> None:
+    def handle_answer(self, answer: LoadAnswer, now_s: float) -> None:
         """Takes an answer; a late one still counts for the next choices."""
-        self._believe(answer, now_s)
+        self._apply(answer, now_s)
         tracker, inquiry = self._waiting.pop(answer.number, (None, None))
         if tracker is None or inquiry is None:
             return
@@ -142,7 +142,7 @@
                 silent.append(tracker)
         return silent
 
-    def take_note(self, note: LoadNote, now_s: float) -> None:
+    def handle_note(self, note: LoadNote, now_s: float) -> None:
         """Takes a host's work, as a tracker."""
         self._tracked.take(note, now_s)
 
@@ -160,8 +160,8 @@
             now_s: The time.
         """
         names = self._loads.take_changed()
-        if now_s - self._renewed_s >= RENEW_S:
-            self._renewed_s = now_s
+        if now_s - self._last_renewal_s >= RENEW_S:
+            self._last_renewal_s = now_s
             names |= set(self._loads.busy)
             self._tracked.expire(now_s)
         found = (entry_of(name) for name in sorted(names))
@@ -205,7 +205,7 @@
             found.setdefault(key, (tracker, []))[1].append(entry)
         return found.values()
 
-    def _believe(self, answer: LoadAnswer, now_s: float) -> None:
+    def _apply(self, answer: LoadAnswer, now_s: float) -> None:
         self._loads.take_tracked(answer.uses, now_s)
         self._forecasts.take(answer.paces, now_s)
         self._cached.take(answer.held, now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -12,25 +12,25 @@
 from hollyknot_coordination.forwarding._trackers import Tracker, rank
 from hollyknot_state import IssuerClaim
 
-CLAIM_S = 10.0
+CLAIM_LIFETIME_S = 10.0
 """How long a claim counts after the host has made it."""
 
 ALL_HEARD_PART = 0.9
 """Of all hosts, the part from which on claims are needless: nearly all know the
 same host."""
 
-SOLE_S = 5.0
+SOLE_AFTER_S = 5.0
 """How long a host hears of no other issuer before it takes itself for the only
 one."""
 
-SOLE_CLAIMS = 10
+MIN_OWN_CLAIMS = 10
 """Its own claims that it must have been told in this time."""
 
 _MS = 1000
 
 
 @attrs.define
-class _Known:
+class _ClaimState:
     """What is known of the issuers of one upstream.
 
     Attributes:
@@ -42,8 +42,8 @@
 
     claim: IssuerClaim
     made_s: float
-    other_s: float
-    own_told: int = 0
+    last_other_s: float
+    own_claims_received: int = 0
 
 
 class IssuerClaims:
@@ -58,12 +58,12 @@
         """
         self._own = own
         self._size = size
-        self._known: dict[int, _Known] = {}
+        self._states: dict[int, _ClaimState] = {}
 
     def issuer(self, upstream: int, now_s: float) -> IssuerClaim | None:
         """Returns the first host that claims to issue an upstream's permits."""
-        known = self._known.get(upstream)
-        if known is None or now_s - known.made_s > CLAIM_S:
+        known = self._states.get(upstream)
+        if known is None or now_s - known.made_s > CLAIM_LIFETIME_S:
             return None
         return known.claim
 
@@ -77,17 +77,17 @@
         """
         own = self._own
         claim = IssuerClaim(own.incarnation, own.address, is_near)
-        self._note(upstream, claim, now_s, now_s)
+        self._merge(upstream, claim, now_s, now_s)
 
     def take(self, upstream: int, claim: IssuerClaim, now_s: float) -> None:
         """Takes a claim that another host has told."""
         made_s = now_s - max(0, claim.age_ms) / _MS
-        known = self._note(upstream, claim, made_s, now_s)
+        known = self._merge(upstream, claim, made_s, now_s)
         if claim.incarnation == self._own.incarnation:
-            known.own_told += 1
+            known.own_claims_received += 1
         else:
-            known.other_s = now_s
-            known.own_told = 0
+            known.last_other_s = now_s
+            known.own_claims_received = 0
 
     def told(self, upstream: int, now_s: float) -> IssuerClaim | None:
         """Returns the claim to tell others; None where none is needed."""
@@ -96,31 +96,31 @@
         claim = self.issuer(upstream, now_s)
         if claim is None:
             return None
-        age_s = now_s - self._known[upstream].made_s
+        age_s = now_s - self._states[upstream].made_s
         return attrs.evolve(claim, age_ms=max(0, round(age_s * _MS)))
 
     def is_sole(self, upstream: int, now_s: float) -> bool:
         """Whether this host is the only one that issues permits."""
-        known = self._known.get(upstream)
+        known = self._states.get(upstream)
         return (
             known is not None
-            and known.own_told >= SOLE_CLAIMS
-            and now_s - known.other_s >= SOLE_S
+            and known.own_claims_received >= MIN_OWN_CLAIMS
+            and now_s - known.last_other_s >= SOLE_AFTER_S
         )
 
     def forget(self, upstream: int) -> None:
         """Notes that an upstream has left for good."""
-        self._known.pop(upstream, None)
+        self._states.pop(upstream, None)
 
-    def _note(
+    def _merge(
         self, upstream: int, claim: IssuerClaim, made_s: float, now_s: float
-    ) -> _Known:
-        known = self._known.get(upstream)
+    ) -> _ClaimState:
+        known = self._states.get(upstream)
         if known is None:
-            known = _Known(claim, made_s, other_s=now_s)
-            self._known[upstream] = known
+            known = _ClaimState(claim, made_s, last_other_s=now_s)
+            self._states[upstream] = known
             return known
-        is_over = now_s - known.made_s > CLAIM_S
+        is_over = now_s - known.made_s > CLAIM_LIFETIME_S
         if known.claim.incarnation == claim.incarnation:
             known.made_s = max(known.made_s, made_s)
         elif is_over or _rank(upstream, claim) > _rank(upstream, known.claim):
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -12,24 +12,24 @@
 
 from hollyknot_state import NamedLimit, short_name
 
-NEWS_S = 5.0
+REPORT_CHANGE_S = 5.0
 """How long a changed limit is told in each report. Then it is told only in
 reports that tell all."""
 
-MOST_TOLD = 16
+MAX_REPORTED = 16
 """Limits in one report, some 12 bytes each."""
 
-REMEMBER_WITHDRAWN_S = 30.0
+WITHDRAWN_RETENTION_S = 30.0
 """How long a withdrawal is known, and goes before older words of a limit."""
 
-TELL_S = 60.0
+MAX_REPORTED_AGE_S = 60.0
 """How old a word may be that is still told. Hosts would else tell each other of
 upstreams that have long gone, which each of them forgets in turn."""
 
-REMEMBER_S = 600.0
+RETENTION_S = 600.0
 """After this long without an answer nothing is known of an upstream."""
 
-HOP_S = 0.05
+HOP_AGE_S = 0.05
 """By how much a word counts as older for each host that passes it on. Its time
 on the way is not known, and it must not grow younger by being told."""
 
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class _Word:
+class _KnownLimit:
     """The newest word of an upstream.
 
     Attributes:
@@ -48,7 +48,7 @@
     """
 
     rate: float | None
-    heard_s: float
+    observed_s: float
     changed_s: float
 
 
@@ -57,19 +57,22 @@
 
     def __init__(self) -> None:
         """No upstream has named any."""
-        self._words: dict[int, _Word] = {}
+        self._limits: dict[int, _KnownLimit] = {}
 
     @property
     def count(self) -> int:
         """How many upstreams have a limit."""
-        return sum(word.rate is not None for word in self._words.values())
+        return sum(
+            known_limit.rate is not None
+            for known_limit in self._limits.values()
+        )
 
     def rate(self, incarnation: str) -> float | None:
         """Returns an upstream's limit in requests a second; None for none."""
-        if not self._words:
+        if not self._limits:
             return None
-        word = self._words.get(short_name(incarnation))
-        return word.rate if word is not None else None
+        known_limit = self._limits.get(short_name(incarnation))
+        return known_limit.rate if known_limit is not None else None
 
     def hear(
         self,
@@ -92,9 +95,9 @@
             Whether it is news.
         """
         name = short_name(incarnation)
-        known = self._words.get(name)
+        known = self._limits.get(name)
         if rate is None and (
-            known is None or known.rate is None or sent_s <= known.heard_s
+            known is None or known.rate is None or sent_s <= known.observed_s
         ):
             return False
         return self._put(name, rate, now_s, now_s)
@@ -109,25 +112,25 @@
         """
         news = []
         for limit in told:
-            heard_s = now_s - max(0, limit.age_ms) / _MS - HOP_S
-            known = self._words.get(limit.upstream)
+            observed_s = now_s - max(0, limit.age_ms) / _MS - HOP_AGE_S
+            known = self._limits.get(limit.upstream)
             if limit.rate is None and known is None:
                 continue
             if limit.rate is not None and not _is_rate(limit.rate):
                 continue
-            if known is not None and heard_s <= known.heard_s:
+            if known is not None and observed_s <= known.observed_s:
                 continue
-            if self._put(limit.upstream, limit.rate, heard_s, now_s):
+            if self._put(limit.upstream, limit.rate, observed_s, now_s):
                 news.append(limit)
         return news
 
-    def word(self, incarnation: str, now_s: float) -> NamedLimit:
+    def known_limit(self, incarnation: str, now_s: float) -> NamedLimit:
         """Returns what is known of an upstream, for another host."""
         name = short_name(incarnation)
-        word = self._words.get(name)
-        if word is None:
+        known_limit = self._limits.get(name)
+        if known_limit is None:
             return NamedLimit(name, _UNKNOWN_AGE_MS)
-        return _told(name, word, now_s)
+        return _told(name, known_limit, now_s)
 
     def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
         """Returns limits to tell other hosts, the newest first.
@@ -136,53 +139,54 @@
             now_s: The time.
             is_all: Whether to tell those too that changed long ago.
         """
-        if not self._words:
+        if not self._limits:
             return ()
         self._expire(now_s)
         found = [
-            (word.changed_s, name, word)
-            for name, word in self._words.items()
-            if (is_all or now_s - word.changed_s < NEWS_S)
-            and now_s - word.heard_s < TELL_S
+            (known_limit.changed_s, name, known_limit)
+            for name, known_limit in self._limits.items()
+            if (is_all or now_s - known_limit.changed_s < REPORT_CHANGE_S)
+            and now_s - known_limit.observed_s < MAX_REPORTED_AGE_S
         ]
         found.sort(reverse=True)
         return tuple(
-            _told(name, word, now_s) for _, name, word in found[:MOST_TOLD]
+            _told(name, known_limit, now_s)
+            for _, name, known_limit in found[:MAX_REPORTED]
         )
 
     def forget(self, incarnation: str) -> None:
         """Notes that an upstream has left for good."""
-        self._words.pop(short_name(incarnation), None)
+        self._limits.pop(short_name(incarnation), None)
 
     def _put(
-        self, name: int, rate: float | None, heard_s: float, now_s: float
+        self, name: int, rate: float | None, observed_s: float, now_s: float
     ) -> bool:
-        known = self._words.get(name)
-        is_news = known is None or known.rate != rate
+        known = self._limits.get(name)
+        is_change = known is None or known.rate != rate
         changed_s = now_s
-        if known is not None and not is_news:
+        if known is not None and not is_change:
             changed_s = known.changed_s
-        self._words[name] = _Word(rate, heard_s, changed_s)
-        return is_news
+        self._limits[name] = _KnownLimit(rate, observed_s, changed_s)
+        return is_change
 
     def _expire(self, now_s: float) -> None:
         old = [
             name
-            for name, word in self._words.items()
-            if now_s - word.heard_s > REMEMBER_S
+            for name, known_limit in self._limits.items()
+            if now_s - known_limit.observed_s > RETENTION_S
             or (
-                word.rate is None
-                and now_s - word.changed_s > REMEMBER_WITHDRAWN_S
+                known_limit.rate is None
+                and now_s - known_limit.changed_s > WITHDRAWN_RETENTION_S
             )
         ]
         for name in old:
-            del self._words[name]
+            del self._limits[name]
 
 
 def _is_rate(rate: float) -> bool:
     return math.isfinite(rate) and rate >= 0
 
 
-def _told(name: int, word: _Word, now_s: float) -> NamedLimit:
-    age_ms = max(0, round((now_s - word.heard_s) * _MS))
-    return NamedLimit(name, age_ms, word.rate)
+def _told(name: int, known_limit: _KnownLimit, now_s: float) -> NamedLimit:
+    age_ms = max(0, round((now_s - known_limit.observed_s) * _MS))
+    return NamedLimit(name, age_ms, known_limit.rate)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -11,35 +11,35 @@
 
 from hollyknot_coordination.forwarding._fleet_size import FleetSize
 
-OVERRUN = 1.5
-SLACK = 5
+OVERRUN_FACTOR = 1.5
+OVERRUN_REQUESTS = 5
 """An upstream bears its limit times the first over some seconds, and as many
 requests more as the second."""
 
-ISSUERS = 2
+MAX_ISSUERS = 2
 """Hosts that may issue the permits of one upstream at the same time."""
 
-RATE_PART = OVERRUN / ISSUERS
+RATE_SHARE = OVERRUN_FACTOR / MAX_ISSUERS
 """Of a limit, what one host issues."""
 
-SAVED_PERMITS = SLACK / ISSUERS
+MAX_SAVED_PERMITS = OVERRUN_REQUESTS / MAX_ISSUERS
 """The most permits that one host saves up while nobody asks."""
 
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Requests a second that any upstream gets: its answers tell when a lower limit
 is withdrawn."""
 
 RESERVED_PERMITS = 1
 """Permits that are kept for requests which are not among the least urgent."""
 
-ASKS_A_PERMIT = 12
+HOSTS_PER_PERMIT = 12
 """About how many hosts ask in the time of one permit: with fewer, permits stay
 unused; with more, hosts ask in vain."""
 
-COUNTED_S = 10.0
+REFUSAL_WINDOW_S = 10.0
 """How long a refused permit counts in the wait of the next host."""
 
-LONGEST_WAIT_S = 10.0
+MAX_WAIT_S = 10.0
 """The longest time after which a host asks again."""
 
 LEARN_S = 1.0
@@ -49,7 +49,7 @@
 LEARNING_WAIT_S = 0.5
 """When a host that was refused for this reason asks again."""
 
-_MOST_COUNTED = 10_000
+_MAX_REFUSALS = 10_000
 
 
 @attrs.define
@@ -64,11 +64,11 @@
 
     filled_s: float
     level: float
-    refused: deque[float] = attrs.Factory(lambda: deque(maxlen=_MOST_COUNTED))
+    refused: deque[float] = attrs.Factory(lambda: deque(maxlen=_MAX_REFUSALS))
 
     def count_refused(self, now_s: float) -> int:
         """Returns how many hosts asked in vain lately."""
-        while self.refused and self.refused[0] < now_s - COUNTED_S:
+        while self.refused and self.refused[0] < now_s - REFUSAL_WINDOW_S:
             self.refused.popleft()
         return len(self.refused)
 
@@ -112,25 +112,27 @@
         """
         if not self._size.is_known(now_s, LEARN_S):
             return LEARNING_WAIT_S
-        part = 1.0 if is_sole else self._size.heard_part
-        own_rate = max(rate, LEAST_RATE) * RATE_PART * part
+        share = 1.0 if is_sole else self._size.heard_part
+        own_rate = max(rate, MIN_RATE) * RATE_SHARE * share
         bucket = self._buckets.get(incarnation)
         if bucket is None:
-            bucket = _Bucket(now_s, part)
+            bucket = _Bucket(now_s, share)
             self._buckets[incarnation] = bucket
-        most = max(1.0, SAVED_PERMITS * part)
+        capacity = max(1.0, MAX_SAVED_PERMITS * share)
         passed_s = max(0.0, now_s - bucket.filled_s)
-        bucket.level = min(most, bucket.level + passed_s * own_rate)
+        bucket.level = min(capacity, bucket.level + passed_s * own_rate)
         bucket.filled_s = now_s
         needed = 1 + RESERVED_PERMITS if is_least_urgent else 1
-        needed_level = min(float(needed), most)
+        needed_level = min(float(needed), capacity)
         if bucket.level >= needed_level:
             bucket.level -= 1
             return 0.0
         bucket.refused.append(now_s)
-        crowd_s = bucket.count_refused(now_s) / (ASKS_A_PERMIT * own_rate)
+        contention_s = bucket.count_refused(now_s) / (
+            HOSTS_PER_PERMIT * own_rate
+        )
         next_s = (needed_level - bucket.level) / own_rate
-        return min(max(crowd_s, next_s), LONGEST_WAIT_S)
+        return min(max(contention_s, next_s), MAX_WAIT_S)
 
     def forget(self, incarnation: str) -> None:
         """Notes that an upstream has left for good."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -16,7 +16,7 @@
 from hollyknot_coordination.forwarding._named_limits import NamedLimits
 from hollyknot_coordination.forwarding._permit_issuer import PermitIssuer
 from hollyknot_coordination.forwarding._trackers import (
-    MISSES,
+    MAX_MISSES,
     Tracker,
     Trackers,
     rank,
@@ -30,27 +30,27 @@
 )
 from hollyknot_state.routes import UpstreamEntry
 
-PERMIT_ANSWER_S = 0.025
+PERMIT_ANSWER_TIMEOUT_S = 0.025
 """The longest wait for an answer: some round trips between data centres of a
 region, on hosts with half a core too."""
 
-UNANSWERED_S = 0.1
+RETRY_UNANSWERED_S = 0.1
 """After answers that did not come, when to ask again."""
 
-MOST_ASKED = 2
+MAX_HOSTS_ASKED = 2
 """Hosts that are asked for one permit, the second where the first is silent."""
 
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 """Times that a query is sent on to another host."""
 
-_WAIT_SPREAD = 0.25
+_WAIT_JITTER = 0.25
 """By how much of a wait hosts differ, so that they don't ask all at once."""
 
-_UNKNOWN = ""
+_UNKNOWN_DATA_CENTRE = ""
 """The data centre of an issuer of which only this is not known."""
 
 _MS = 1000
-_MOST_NUMBERS = 2**31 - 1
+_MAX_QUERY_NUMBER = 2**31 - 1
 """Numbers of queries begin again after this one."""
 
 Queries = list[tuple[Address, PermitQuery]]
@@ -82,7 +82,7 @@
 
 
 @attrs.define
-class _Closed:
+class _ClosedUntil:
     """Until when an upstream is not asked for."""
 
     all_s: float = float("-inf")
@@ -122,7 +122,7 @@
         self._rng = rng
         self._number = 0
         self._waiting: dict[int, PermitRequest] = {}
-        self._closed: dict[str, _Closed] = {}
+        self._closed: dict[str, _ClosedUntil] = {}
 
     def is_limited(self, entry: UpstreamEntry) -> bool:
         """Whether a request to an upstream needs a permit."""
@@ -205,7 +205,7 @@
         request = PermitRequest(entry, is_least_urgent)
         return request, self._ask_next(request, now_s)
 
-    def overdue(
+    def handle_timeout(
         self, request: PermitRequest, now_s: float
     ) -> tuple[Tracker | None, Queries]:
         """Ends the wait for an answer that has not come in time.
@@ -218,10 +218,10 @@
         self.drop(request)
         silent = request.asked
         if silent is not None:
-            self._trackers.missed(silent, now_s, MISSES)
-        if silent is not None and request.hosts < MOST_ASKED:
+            self._trackers.missed(silent, now_s, MAX_MISSES)
+        if silent is not None and request.hosts < MAX_HOSTS_ASKED:
             return silent, self._ask_next(request, now_s)
-        self._settle(request, now_s, is_issued=False, wait_s=UNANSWERED_S)
+        self._settle(request, now_s, is_issued=False, wait_s=RETRY_UNANSWERED_S)
         return silent, []
 
     def drop(self, request: PermitRequest) -> None:
@@ -232,7 +232,7 @@
     def answer(self, query: PermitQuery, now_s: float) -> PermitAnswer:
         """Answers another host as the issuer of an upstream's permits."""
         self._named.take((query.limit,), now_s)
-        limit = self._named.word(query.upstream, now_s)
+        limit = self._named.known_limit(query.upstream, now_s)
         if limit.rate is None:
             return PermitAnswer(query.number, is_issued=True, limit=limit)
         entry = self._entry_of(query.upstream)
@@ -258,7 +258,7 @@
             limit=limit,
         )
 
-    def take_answer(self, answer: PermitAnswer, now_s: float) -> Queries:
+    def handle_answer(self, answer: PermitAnswer, now_s: float) -> Queries:
         """Takes an answer.
 
         Returns:
@@ -284,8 +284,10 @@
         if answer.issuer == self._trackers.own.address:
             self._issue_own(request, now_s)
             return []
-        if request.redirects >= MOST_REDIRECTS:
-            self._settle(request, now_s, is_issued=False, wait_s=UNANSWERED_S)
+        if request.redirects >= MAX_REDIRECTS:
+            self._settle(
+                request, now_s, is_issued=False, wait_s=RETRY_UNANSWERED_S
+            )
             return []
         request.redirects += 1
         return [self._query(request, answer.issuer, now_s)]
@@ -309,13 +311,13 @@
     def _query(
         self, request: PermitRequest, address: Address, now_s: float
     ) -> tuple[Address, PermitQuery]:
-        self._number = self._number % _MOST_NUMBERS + 1
+        self._number = self._number % _MAX_QUERY_NUMBER + 1
         self._waiting[self._number] = request
         incarnation = request.entry.incarnation
         query = PermitQuery(
             self._number,
             incarnation,
-            self._named.word(incarnation, now_s),
+            self._named.known_limit(incarnation, now_s),
             request.is_least_urgent,
             is_passed_over=request.hosts > 1,
         )
@@ -333,7 +335,9 @@
             is_near = found.data_centre == entry.data_centre
             claimed = claim.is_near, rank(upstream, claim.incarnation)
             if claimed > (is_near, rank(upstream, found.incarnation)):
-                where = entry.data_centre if claim.is_near else _UNKNOWN
+                where = (
+                    entry.data_centre if claim.is_near else _UNKNOWN_DATA_CENTRE
+                )
                 found = Tracker(claim.incarnation, claim.address, where)
         return found if found.incarnation != own.incarnation else None
 
@@ -387,9 +391,11 @@
     def _close(
         self, request: PermitRequest, wait_s: float, now_s: float
     ) -> None:
-        spread = self._rng.uniform(1 - _WAIT_SPREAD, 1 + _WAIT_SPREAD)
+        spread = self._rng.uniform(1 - _WAIT_JITTER, 1 + _WAIT_JITTER)
         until_s = now_s + wait_s * spread
-        closed = self._closed.setdefault(request.entry.incarnation, _Closed())
+        closed = self._closed.setdefault(
+            request.entry.incarnation, _ClosedUntil()
+        )
         if request.is_least_urgent:
             closed.least_urgent_s = until_s
         else:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
@@ -32,11 +32,11 @@
 
 
 @attrs.frozen
-class _Told:
+class _HostLoad:
     use: UpstreamUse
     pace: UpstreamPace | None
     sequence: int
-    heard_s: float
+    received_s: float
 
 
 class TrackedLoads:
@@ -49,21 +49,21 @@
             cached: Where to keep which upstream has which parts.
         """
         self._cached = cached
-        self._told: dict[int, dict[int, _Told]] = {}
+        self._host_loads: dict[int, dict[int, _HostLoad]] = {}
 
     def __len__(self) -> int:
         """Returns how many upstreams it was told of lately."""
-        return len(self._told)
+        return len(self._host_loads)
 
     def take(self, note: LoadNote, now_s: float) -> None:
         """Takes what a host tells; an older note tells nothing."""
         paces = {pace.upstream: pace for pace in note.paces}
         for use in note.uses:
-            hosts = self._told.setdefault(use.upstream, {})
+            hosts = self._host_loads.setdefault(use.upstream, {})
             before = hosts.get(note.incarnation)
             if before is None or before.sequence < note.sequence:
                 pace = paces.get(use.upstream)
-                told = _Told(use, pace, note.sequence, now_s)
+                told = _HostLoad(use, pace, note.sequence, now_s)
                 hosts[note.incarnation] = told
         self._cached.take(note.held, now_s)
 
@@ -73,12 +73,12 @@
         Upstreams and hosts come and go all day; without this a tracker keeps
         something of each that it was ever told of.
         """
-        for upstream, hosts in list(self._told.items()):
+        for upstream, hosts in list(self._host_loads.items()):
             for incarnation, told in list(hosts.items()):
-                if now_s - told.heard_s > EXPIRE_S:
+                if now_s - told.received_s > EXPIRE_S:
                     del hosts[incarnation]
             if not hosts:
-                del self._told[upstream]
+                del self._host_loads[upstream]
 
     def answer(self, query: LoadQuery, now_s: float) -> LoadAnswer:
         """Returns what all hosts but the asker have in flight."""
@@ -102,14 +102,16 @@
 
     def _others(
         self, upstream: int, asker: int, now_s: float
-    ) -> Iterable[_Told]:
-        for incarnation, told in self._told.get(upstream, {}).items():
-            is_fresh = now_s - told.heard_s <= EXPIRE_S
+    ) -> Iterable[_HostLoad]:
+        for incarnation, told in self._host_loads.get(upstream, {}).items():
+            is_fresh = now_s - told.received_s <= EXPIRE_S
             if is_fresh and incarnation != asker:
                 yield told
 
 
-def _mean_pace(upstream: int, known: Sequence[_Told]) -> UpstreamPace | None:
+def _mean_pace(
+    upstream: int, known: Sequence[_HostLoad]
+) -> UpstreamPace | None:
     """Returns the mean of what hosts see; None where none sees a stream."""
     seen = [told.pace.interval_ms for told in known if told.pace is not None]
     if not seen:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
@@ -15,14 +15,14 @@
 from hollyknot_state import Address, short_name
 from hollyknot_state.routes import UpstreamEntry
 
-MISSES = 2
+MAX_MISSES = 2
 """Queries in a row without an answer after which the next host in the order is
 asked: some in a hundred datagrams are lost."""
 
-SILENT_S = 4.0
+SKIP_SILENT_S = 4.0
 """For how long then. Its peers forget a lost host some seconds later."""
 
-_TRIED = 3
+_CANDIDATES = 3
 """Hosts of an order among which one is looked for."""
 
 
@@ -61,7 +61,7 @@
         """
         self._own = own
         self._peers = peers
-        self._known: Sequence[Tracker] = ()
+        self._last_peers: Sequence[Tracker] = ()
         self._orders: dict[str, tuple[Tracker, ...]] = {}
         self._silences: dict[int, _Silence] = {}
 
@@ -97,11 +97,11 @@
         """
         silence = self._silences.setdefault(tracker.incarnation, _Silence())
         silence.missed += misses
-        if silence.missed < MISSES:
+        if silence.missed < MAX_MISSES:
             return False
-        silence.until_s = now_s + SILENT_S
+        silence.until_s = now_s + SKIP_SILENT_S
         # One more miss suffices then: it may have come back, or not.
-        silence.missed = MISSES - 1
+        silence.missed = MAX_MISSES - 1
         return True
 
     def is_silent(self, host: int, now_s: float) -> bool:
@@ -111,8 +111,8 @@
 
     def _order(self, entry: UpstreamEntry) -> tuple[Tracker, ...]:
         peers = self._peers()
-        if peers is not self._known:
-            self._known = peers
+        if peers is not self._last_peers:
+            self._last_peers = peers
             self._orders.clear()
             alive = {peer.incarnation for peer in peers}
             for incarnation in self._silences.keys() - alive:
@@ -124,7 +124,7 @@
         return order
 
     def _make_order(self, entry: UpstreamEntry) -> tuple[Tracker, ...]:
-        hosts = (self._own, *self._known)
+        hosts = (self._own, *self._last_peers)
         near = [h for h in hosts if h.data_centre == entry.data_centre]
         name = short_name(entry.incarnation)
         ranked = sorted(
@@ -132,7 +132,7 @@
             key=lambda host: rank(name, host.incarnation),
             reverse=True,
         )
-        return tuple(ranked[:_TRIED])
+        return tuple(ranked[:_CANDIDATES])
 
 
 def rank(upstream: int, host: int) -> bytes:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -8,7 +8,7 @@
 import attrs
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     FleetSize,
     NamedLimits,
     PermitRequest,
@@ -21,16 +21,16 @@
 from hollyknot_state import Address, NamedLimit, PermitQuery
 
 ONE_WAY_S = 0.0014
-TELL_S = 0.2
+REPORT_INTERVAL_S = 0.2
 """Between two reports of a host, each to one other."""
 
 SETTLED_S = 8.0
 """After a change, from when on hosts of a large fleet report less often: most
 of the steps of these tests are reports that change nothing."""
 
-TELL_SETTLED_S = 1.0
+SETTLED_REPORT_INTERVAL_S = 1.0
 
-TOLD_S = 3.0
+LEARNING_S = 3.0
 """After its start, until a host has heard of limits."""
 
 WINDOW_S = 4.0
@@ -58,7 +58,7 @@
     is_up: bool = True
     frozen_until_s: float = 0.0
     known: tuple[Tracker, ...] = ()
-    told_s: float = 0.0
+    ready_s: float = 0.0
     size: FleetSize = attrs.field(init=False)
     named: NamedLimits = attrs.Factory(NamedLimits)
     permits: Permits = attrs.field(init=False)
@@ -91,9 +91,9 @@
         self._incarnations = itertools.count(1)
         self.hosts = [self._make(number, -60.0) for number in range(count)]
         self._by_address = {host.address: host for host in self.hosts}
-        self.meet()
+        self.refresh_peers()
 
-    def meet(self) -> None:
+    def refresh_peers(self) -> None:
         """Has hosts hear of those that run on their own side."""
         self._changed_s = self.now_s
         up = [host for host in self.hosts if host.is_up]
@@ -118,11 +118,11 @@
         """Replaces a host by one that knows nothing."""
         fresh = self._make(host.number, self.now_s)
         fresh.side = host.side
-        fresh.told_s = self.now_s + TOLD_S
+        fresh.ready_s = self.now_s + LEARNING_S
         self.hosts[host.number] = fresh
         self._by_address[fresh.address] = fresh
         self._begin(fresh)
-        self.meet()
+        self.refresh_peers()
 
     def issuer(self) -> Host:
         """Returns the host that issues the permits."""
@@ -138,7 +138,7 @@
             wanted: Requests a second that all hosts would send the upstream.
         """
         end_s = self.now_s + seconds
-        self._want(wanted, end_s)
+        self._schedule_demand(wanted, end_s)
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, event = heapq.heappop(self._events)
             event()
@@ -178,32 +178,36 @@
         return host
 
     def _begin(self, host: Host) -> None:
-        self._at(self.now_s + self.rng.random() * TELL_S, self._tell, host)
+        self._at(
+            self.now_s + self.rng.random() * REPORT_INTERVAL_S,
+            self._report,
+            host,
+        )
 
-    def _tell(self, host: Host) -> None:
+    def _report(self, host: Host) -> None:
         if not host.is_up:
             return
         if self.now_s >= host.frozen_until_s and host.known:
             target = self.rng.choice(host.known).address
             told = host.permits.told(self.now_s, is_all=True)
-            self._send(host, target, self._take_told, told)
+            self._send(host, target, self._handle_report, told)
         is_settled = self.now_s > self._changed_s + SETTLED_S
         is_rare = is_settled and self._sees is not None
-        pause_s = TELL_SETTLED_S if is_rare else TELL_S
-        self._at(self.now_s + pause_s, self._tell, host)
+        pause_s = SETTLED_REPORT_INTERVAL_S if is_rare else REPORT_INTERVAL_S
+        self._at(self.now_s + pause_s, self._report, host)
 
-    def _take_told(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
+    def _handle_report(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
         host.permits.take(told, self.now_s)
 
-    def _want(self, wanted: float, end_s: float) -> None:
+    def _schedule_demand(self, wanted: float, end_s: float) -> None:
         next_s = self.now_s + self.rng.expovariate(wanted)
         if next_s < end_s:
-            self._at(next_s, self._want_one, wanted, end_s)
+            self._at(next_s, self._try_to_send, wanted, end_s)
 
-    def _want_one(self, wanted: float, end_s: float) -> None:
-        self._want(wanted, end_s)
+    def _try_to_send(self, wanted: float, end_s: float) -> None:
+        self._schedule_demand(wanted, end_s)
         host = self.rng.choice(self.hosts)
-        is_told = self.now_s >= host.told_s
+        is_told = self.now_s >= host.ready_s
         if host.is_up and is_told and self.now_s >= host.frozen_until_s:
             self._request(host, is_least_urgent=self.rng.random() < 0.5)
 
@@ -230,16 +234,16 @@
     ) -> None:
         for address, query in queries:
             self._send(host, address, self._answer, query, host)
-        until_s = self.now_s + PERMIT_ANSWER_S
-        self._at(until_s, self._look, host, request)
+        until_s = self.now_s + PERMIT_ANSWER_TIMEOUT_S
+        self._at(until_s, self._check_timeout, host, request)
 
     def _outcome(self, request: PermitRequest) -> None:
         if request.is_issued:
             self.arrived.append(self.now_s)
 
-    def _look(self, host: Host, request: PermitRequest) -> None:
+    def _check_timeout(self, host: Host, request: PermitRequest) -> None:
         if request.is_issued is None and host.is_up:
-            _, queries = host.permits.overdue(request, self.now_s)
+            _, queries = host.permits.handle_timeout(request, self.now_s)
             if queries:
                 self._put(host, request, queries)
 
@@ -247,7 +251,7 @@
         answer = issuer.permits.answer(query, self.now_s)
 
         def take(host: Host) -> None:
-            more = host.permits.take_answer(answer, self.now_s)
+            more = host.permits.handle_answer(answer, self.now_s)
             for address, following in more:
                 self._send(host, address, self._answer, following, host)
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -17,7 +17,7 @@
 )
 from hollyknot_coordination.forwarding._loads import TRACKED_S
 from hollyknot_coordination.forwarding._tracked_loads import EXPIRE_S
-from hollyknot_coordination.forwarding._trackers import MISSES
+from hollyknot_coordination.forwarding._trackers import MAX_MISSES
 from hollyknot_coordination.forwarding.tests._builders import (
     call,
     upstream,
@@ -62,12 +62,12 @@
         inquiries = Inquiries(own.incarnation, found, loads, cached, forecasts)
         return _Host(own, loads, cached, forecasts, inquiries)
 
-    def tell(self, host: _Host) -> None:
+    def send_notes(self, host: _Host) -> None:
         """Sends a host's notes."""
         for tracker, note in host.inquiries.notes(ENGINES.get, self.now_s):
-            other = self._reached(tracker)
+            other = self._recipient(tracker)
             if other is not None:
-                other.inquiries.take_note(note, self.now_s)
+                other.inquiries.handle_note(note, self.now_s)
 
     def ask(self, host: _Host, entries: list[UpstreamEntry]) -> bool:
         """Asks, and returns whether all trackers have answered."""
@@ -76,10 +76,10 @@
         inquiry = host.inquiries.ask(entries, runs, self.now_s)
         inquiry.on_done = lambda: done.append(True)
         for tracker, query in inquiry.sent:
-            other = self._reached(tracker)
+            other = self._recipient(tracker)
             if other is not None:
                 answer = other.inquiries.answer(query, self.now_s)
-                host.inquiries.take_answer(answer, self.now_s)
+                host.inquiries.handle_answer(answer, self.now_s)
         host.inquiries.give_up(inquiry, self.now_s)
         return bool(done) or not inquiry.sent
 
@@ -88,7 +88,7 @@
         probe = self.hosts[0].inquiries._trackers.of(entry, self.now_s)
         return self.hosts[probe.incarnation if probe is not None else 0]
 
-    def _reached(self, tracker: Tracker) -> _Host | None:
+    def _recipient(self, tracker: Tracker) -> _Host | None:
         host = self.hosts[tracker.incarnation]
         lost = host.is_lost or self._rng.random() < self.loss
         return None if lost else host
@@ -106,7 +106,7 @@
         fleet = _Fleet(5)
         for number, host in enumerate(fleet.hosts):
             host.loads.begin("i-0", 100 + number, 2)
-            fleet.tell(host)
+            fleet.send_notes(host)
         asker = fleet.hosts[3]
         assert asker.loads.at("i-0", 0.0).requests == 1
         assert fleet.ask(asker, [ENGINE])
@@ -116,7 +116,7 @@
     def test_an_answer_counts_for_a_moment_only(self) -> None:
         fleet = _Fleet(2)
         fleet.hosts[0].loads.begin("i-0", 100, 2)
-        fleet.tell(fleet.hosts[0])
+        fleet.send_notes(fleet.hosts[0])
         fleet.ask(fleet.hosts[1], [ENGINE])
         loads = fleet.hosts[1].loads
         assert loads.at("i-0", TRACKED_S).requests == 1
@@ -126,9 +126,9 @@
         fleet = _Fleet(3)
         busy = fleet.hosts[0]
         busy.loads.begin("i-0", 100, 2)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         busy.loads.end("i-0", 100, 2, has_started=False)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         fleet.ask(fleet.hosts[1], [ENGINE])
         assert fleet.hosts[1].loads.at("i-0", 0.0).requests == 0
 
@@ -138,7 +138,7 @@
         sender.cached.note("i-0", PROMPT, 0.0)
         sender.loads.begin("i-0", 100, 2)
         sender.forecasts.note_interval("i-0", 0.075, 0.0)
-        fleet.tell(sender)
+        fleet.send_notes(sender)
         fleet.ask(asker, list(ENGINES.values()))
         missing = asker.cached.missing(list(ENGINES.values()), PROMPT, 0.0)
         assert missing.lacks["i-0"] == 0
@@ -162,10 +162,10 @@
         busy, asker = others[0], others[1]
         busy.loads.begin("i-0", 100, 2)
         for host in others:
-            for _ in range(MISSES):
+            for _ in range(MAX_MISSES):
                 fleet.ask(host, [ENGINE])
         fleet.now_s = RENEW_S
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         assert fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
 
@@ -174,7 +174,7 @@
         tracker = fleet.tracker_of(ENGINE)
         busy, asker = (h for h in fleet.hosts if h is not tracker)
         busy.loads.begin("i-0", 100, 2)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         fleet.now_s = EXPIRE_S + 0.1
         fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 0
@@ -190,7 +190,7 @@
         busy, asker = (h for h in fleet.hosts if h is not tracker)
         busy.loads.begin("i-0", 100, 2)
         while fleet.now_s < 2 * EXPIRE_S:
-            fleet.tell(busy)
+            fleet.send_notes(busy)
             fleet.now_s += RENEW_S / 10
         fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
@@ -203,11 +203,11 @@
             host.loads.begin("i-0", 100, 2)
         for _ in range(30):
             for host in fleet.hosts:
-                fleet.tell(host)
+                fleet.send_notes(host)
             fleet.now_s += RENEW_S / 2
         fleet.loss = 0.0
         for host in fleet.hosts:
-            fleet.tell(host)
+            fleet.send_notes(host)
         asker = fleet.hosts[0]
         assert fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests >= 3
@@ -220,8 +220,8 @@
         ((_, older),) = busy.inquiries.notes(ENGINES.get, 0.0)
         busy.loads.end("i-0", 100, 2, has_started=False)
         ((_, newer),) = busy.inquiries.notes(ENGINES.get, 0.0)
-        tracker.inquiries.take_note(newer, 0.0)
-        tracker.inquiries.take_note(older, 0.0)
+        tracker.inquiries.handle_note(newer, 0.0)
+        tracker.inquiries.handle_note(older, 0.0)
         fleet.ask(tracker, [ENGINE])
         assert tracker.loads.at("i-0", 0.0).requests == 0
 
@@ -230,12 +230,12 @@
         tracker = fleet.tracker_of(ENGINE)
         (asker,) = (h for h in fleet.hosts if h is not tracker)
         tracker.loads.begin("i-0", 100, 2)
-        fleet.tell(tracker)
+        fleet.send_notes(tracker)
         inquiry = asker.inquiries.ask([ENGINE], (), 0.0)
         ((_, query),) = inquiry.sent
         asker.inquiries.give_up(inquiry, 0.01)
         answer = tracker.inquiries.answer(query, 0.01)
-        asker.inquiries.take_answer(answer, 0.02)
+        asker.inquiries.handle_answer(answer, 0.02)
         assert asker.loads.at("i-0", 0.02).requests == 1
 
     def test_a_tracker_keeps_nothing_of_what_has_gone(self) -> None:
@@ -248,11 +248,11 @@
         (host,) = fleet.hosts
         for name in ENGINES:
             host.loads.begin(name, 100, 2)
-        fleet.tell(host)
+        fleet.send_notes(host)
         assert len(host.inquiries._tracked) == len(ENGINES)
         for name in ENGINES:
             host.loads.end(name, 100, 2, has_started=False)
-        fleet.tell(host)
+        fleet.send_notes(host)
         fleet.now_s = EXPIRE_S + RENEW_S
-        fleet.tell(host)
+        fleet.send_notes(host)
         assert len(host.inquiries._tracked) == 0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -5,11 +5,11 @@
 
 from hollyknot_coordination.forwarding import NamedLimits
 from hollyknot_coordination.forwarding._named_limits import (
-    MOST_TOLD,
-    NEWS_S,
-    REMEMBER_S,
-    REMEMBER_WITHDRAWN_S,
-    TELL_S,
+    MAX_REPORTED,
+    MAX_REPORTED_AGE_S,
+    REPORT_CHANGE_S,
+    RETENTION_S,
+    WITHDRAWN_RETENTION_S,
 )
 from hollyknot_state import NamedLimit, short_name
 
@@ -60,12 +60,12 @@
         return NamedLimit(short_name("a"), age_ms, rate)
 
     def test_what_is_told_is_known(self) -> None:
-        teller, other = NamedLimits(), NamedLimits()
-        teller.hear("a", 1.2, 1.0, 2.0)
-        news = other.take(teller.told(2.5, is_all=False), 2.5)
+        reporter, other = NamedLimits(), NamedLimits()
+        reporter.hear("a", 1.2, 1.0, 2.0)
+        news = other.take(reporter.told(2.5, is_all=False), 2.5)
         assert [limit.rate for limit in news] == [1.2]
         assert other.rate("a") == 1.2
-        assert other.take(teller.told(2.6, is_all=False), 2.6) == []
+        assert other.take(reporter.told(2.6, is_all=False), 2.6) == []
 
     def test_the_newest_word_counts(self) -> None:
         named = NamedLimits()
@@ -81,10 +81,12 @@
         hosts[0].hear("a", 1.2, 0.0, 1.0)
         now_s = 1.0
         for _ in range(20):
-            for teller, other in zip(hosts, hosts[1:] + hosts[:1], strict=True):
+            for reporter, other in zip(
+                hosts, hosts[1:] + hosts[:1], strict=True
+            ):
                 now_s += 0.002
-                other.take(teller.told(now_s, is_all=True), now_s)
-        heard = [host._words[short_name("a")].heard_s for host in hosts]
+                other.take(reporter.told(now_s, is_all=True), now_s)
+        heard = [host._limits[short_name("a")].observed_s for host in hosts]
         assert max(heard) == 1.0
 
     def test_a_withdrawal_goes_before_older_words_for_a_while(self) -> None:
@@ -93,8 +95,8 @@
         named.hear("a", None, 2.0, 3.0)
         named.take([self._limit(1.2, age_ms=1000)], 3.5)
         assert named.rate("a") is None
-        assert named.told(3.0 + REMEMBER_WITHDRAWN_S, is_all=True)
-        assert named.told(3.1 + REMEMBER_WITHDRAWN_S, is_all=True) == ()
+        assert named.told(3.0 + WITHDRAWN_RETENTION_S, is_all=True)
+        assert named.told(3.1 + WITHDRAWN_RETENTION_S, is_all=True) == ()
 
     def test_a_withdrawal_of_an_unknown_limit_is_no_news(self) -> None:
         named = NamedLimits()
@@ -117,20 +119,20 @@
     def test_news_are_told_in_each_report_and_all_in_some(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 0.0, 1.0)
-        assert named.told(1.0 + NEWS_S - 0.1, is_all=False)
-        assert named.told(1.0 + NEWS_S, is_all=False) == ()
-        assert named.told(1.0 + NEWS_S, is_all=True)
+        assert named.told(1.0 + REPORT_CHANGE_S - 0.1, is_all=False)
+        assert named.told(1.0 + REPORT_CHANGE_S, is_all=False) == ()
+        assert named.told(1.0 + REPORT_CHANGE_S, is_all=True)
 
     def test_upstreams_that_have_gone_are_told_of_no_more(self) -> None:
         """Guards against hosts that remind each other of what has gone."""
         hosts = [NamedLimits() for _ in range(3)]
         hosts[0].hear("a", 1.2, 0.0, 1.0)
         now_s = 1.0
-        while now_s < 2 * TELL_S:
+        while now_s < 2 * MAX_REPORTED_AGE_S:
             now_s += 1.0
             hosts[int(now_s) % 3].forget("a")
-            for teller in hosts:
-                told = teller.told(now_s, is_all=True)
+            for reporter in hosts:
+                told = reporter.told(now_s, is_all=True)
                 for other in hosts:
                     other.take(told, now_s)
         assert not any(host.told(now_s, is_all=True) for host in hosts)
@@ -138,16 +140,16 @@
     def test_a_word_is_forgotten_in_time(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 0.0, 1.0)
-        named.told(REMEMBER_S, is_all=True)
+        named.told(RETENTION_S, is_all=True)
         assert named.rate("a") == 1.2
-        named.told(REMEMBER_S + 2.0, is_all=True)
+        named.told(RETENTION_S + 2.0, is_all=True)
         assert named.rate("a") is None
 
     def test_a_report_tells_the_newest_of_many(self) -> None:
         named = NamedLimits()
-        for number in range(MOST_TOLD + 5):
+        for number in range(MAX_REPORTED + 5):
             named.hear(f"a{number}", 1.0, 0.0, float(number))
         told = named.told(30.0, is_all=True)
-        newest = short_name(f"a{MOST_TOLD + 4}")
-        assert len(told) == MOST_TOLD
+        newest = short_name(f"a{MAX_REPORTED + 4}")
+        assert len(told) == MAX_REPORTED
         assert told[0] == attrs.evolve(told[0], upstream=newest)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
@@ -4,9 +4,9 @@
 
 from hollyknot_coordination.forwarding import FleetSize
 from hollyknot_coordination.forwarding._permit_issuer import (
-    LONGEST_WAIT_S,
-    RATE_PART,
-    SAVED_PERMITS,
+    MAX_SAVED_PERMITS,
+    MAX_WAIT_S,
+    RATE_SHARE,
     PermitIssuer,
 )
 
@@ -46,16 +46,16 @@
 
     def test_issues_its_part_of_the_rate(self) -> None:
         issued = _issued(_issuer(), 10.0, 20.0)
-        assert abs(issued - 2.0 * RATE_PART * 20.0) <= SAVED_PERMITS
+        assert abs(issued - 2.0 * RATE_SHARE * 20.0) <= MAX_SAVED_PERMITS
 
     def test_saves_few(self) -> None:
         issuer = _issuer()
         _issued(issuer, 10.0, 1.0)
-        assert _issued(issuer, 1000.0, 2 * STEP_S) == int(SAVED_PERMITS)
+        assert _issued(issuer, 1000.0, 2 * STEP_S) == int(MAX_SAVED_PERMITS)
 
     def test_a_host_that_hears_few_issues_less(self) -> None:
         some = _issued(_issuer(hosts=8, heard=2), 10.0, 40.0)
-        assert abs(some - 2.0 * RATE_PART * 40.0 / 4) <= SAVED_PERMITS
+        assert abs(some - 2.0 * RATE_SHARE * 40.0 / 4) <= MAX_SAVED_PERMITS
         sole = _issued(_issuer(8, 2), 10.0, 40.0, is_sole=True)
         assert sole > 3 * some
 
@@ -78,7 +78,7 @@
 
     def test_least_urgent_requests_get_permits_too(self) -> None:
         issued = _issued(_issuer(), 10.0, 20.0, is_least_urgent=True)
-        assert issued >= 2.0 * RATE_PART * 20.0 - SAVED_PERMITS
+        assert issued >= 2.0 * RATE_SHARE * 20.0 - MAX_SAVED_PERMITS
 
     @pytest.mark.parametrize("rate", [0.0, 1e-9, 1e9])
     def test_waits_are_bounded(self, rate: float) -> None:
@@ -87,7 +87,7 @@
             issuer.issue("a", rate, 10.0, is_least_urgent=False)
             for _ in range(100)
         ]
-        assert all(0.0 <= wait <= LONGEST_WAIT_S for wait in waits)
+        assert all(0.0 <= wait <= MAX_WAIT_S for wait in waits)
 
     def test_time_that_goes_back_issues_nothing(self) -> None:
         issuer = _issuer()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
@@ -135,7 +135,7 @@
         for host in network.hosts[: count // 2]:
             host.side = 1
         network.run(5.0, wanted=10.0)
-        network.meet()
+        network.refresh_peers()
         since_s = network.now_s
         network.run(40.0, wanted=10.0)
         assert network.busiest_window() <= _most(1.2)
@@ -150,7 +150,7 @@
         network.run(20.0, wanted=10.0)
         network.issuer().is_up = False
         network.run(20.0, wanted=10.0)
-        network.meet()
+        network.refresh_peers()
         network.run(20.0, wanted=10.0)
         assert network.busiest_window() <= _most(1.2)
         assert network.got(20.0) >= LEAST_USED * 1.2 * 40.0
@@ -223,7 +223,7 @@
     elif fault == "lose":
         network.lost_part = number / 100
     elif fault == "meet":
-        network.meet()
+        network.refresh_peers()
 
 
 class TestAnyFaults:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
@@ -5,7 +5,10 @@
 import pytest
 
 from hollyknot_coordination.forwarding import Tracker, Trackers
-from hollyknot_coordination.forwarding._trackers import MISSES, SILENT_S
+from hollyknot_coordination.forwarding._trackers import (
+    MAX_MISSES,
+    SKIP_SILENT_S,
+)
 from hollyknot_coordination.forwarding.tests._builders import (
     address_of,
     upstream,
@@ -86,26 +89,26 @@
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
-        noted = [trackers.missed(first, 0.0) for _ in range(MISSES)]
-        assert noted == [False] * (MISSES - 1) + [True]
+        noted = [trackers.missed(first, 0.0) for _ in range(MAX_MISSES)]
+        assert noted == [False] * (MAX_MISSES - 1) + [True]
         second = trackers.of(ENGINES[0], 0.0)
         assert second is not None
         assert second is not first
-        assert trackers.of(ENGINES[0], SILENT_S + 0.1) is first
+        assert trackers.of(ENGINES[0], SKIP_SILENT_S + 0.1) is first
 
     def test_one_more_miss_suffices_then(self) -> None:
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
-        for _ in range(MISSES):
+        for _ in range(MAX_MISSES):
             trackers.missed(first, 0.0)
-        assert trackers.missed(first, SILENT_S + 0.1)
+        assert trackers.missed(first, SKIP_SILENT_S + 0.1)
 
     def test_an_answer_makes_up_for_a_lost_one(self) -> None:
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
-        for _ in range(3 * MISSES):
+        for _ in range(3 * MAX_MISSES):
             assert not trackers.missed(first, 0.0)
             trackers.answered(first)
         assert trackers.of(ENGINES[0], 0.0) is first
@@ -116,6 +119,6 @@
         trackers = Trackers(HOSTS[1], lambda: few)
         first = trackers.of(ENGINES[0], 0.0)
         for host in few:
-            for _ in range(MISSES):
+            for _ in range(MAX_MISSES):
                 trackers.missed(host, 0.0)
         assert trackers.of(ENGINES[0], 0.0) is first
--- a/packages/gateway/src/hollyknot_gateway/_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/_inquirer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 
 from hollyknot_coordination.forwarding import (
-    ANSWER_S,
+    ANSWER_TIMEOUT_S,
     Inquiries,
     ReportRate,
 )
@@ -64,7 +64,7 @@
         for tracker, query in inquiry.sent:
             self._put(query, tracker.address)
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await answered.wait()
             return True
         except TimeoutError:
@@ -77,11 +77,11 @@
         """Takes a message, as a tracker or as one who asked."""
         now_s = self._clock()
         if isinstance(message, LoadNote):
-            self._inquiries.take_note(message, now_s)
+            self._inquiries.handle_note(message, now_s)
         elif isinstance(message, LoadQuery):
             self._put(self._inquiries.answer(message, now_s), sender)
         else:
-            self._inquiries.take_answer(message, now_s)
+            self._inquiries.handle_answer(message, now_s)
 
     def tell_soon(self) -> None:
         """Tells trackers of work that has just changed.
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -7,8 +7,8 @@
 import attrs
 
 from hollyknot_coordination.forwarding import (
-    ASK_FROM_S,
-    NOTE_FROM_S,
+    MIN_INTERVAL_TO_NOTE_S,
+    MIN_INTERVAL_TO_QUERY_S,
     CachedParts,
     Demand,
     FleetSize,
@@ -197,7 +197,7 @@
 
         It had where reports come seldom, as long as the budget allows.
         """
-        is_old = self._peers.interval_s >= ASK_FROM_S
+        is_old = self._peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
         return is_old and self._rate.may_ask(self._clock())
 
     @property
@@ -288,7 +288,9 @@
         shared = self._shared
         uses = shared.loads.uses()
         # Where reports come seldom, whole ones come too seldom for the lanes.
-        tells_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
+        tells_demand = (
+            is_whole or self._peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
+        )
         return UseReport(
             self._incarnation,
             self._sequence,
@@ -321,7 +323,7 @@
         )
 
     def _note_soon(self) -> None:
-        if self._peers.interval_s >= NOTE_FROM_S:
+        if self._peers.interval_s >= MIN_INTERVAL_TO_NOTE_S:
             self._inquirer.tell_soon()
         else:
             # Nobody asks; the names of all upstreams would pile up.
--- a/packages/gateway/src/hollyknot_gateway/_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/_permit_requester.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     PermitRequest,
     Permits,
     Queries,
@@ -57,7 +57,7 @@
             while request.is_issued is None:
                 self._put_all(queries)
                 try:
-                    async with asyncio.timeout(PERMIT_ANSWER_S):
+                    async with asyncio.timeout(PERMIT_ANSWER_TIMEOUT_S):
                         await answered.wait()
                 except TimeoutError:
                     queries = self._overdue(request)
@@ -67,7 +67,7 @@
 
     def _overdue(self, request: PermitRequest) -> Queries:
         """Returns what is to be sent after an answer that has not come."""
-        silent, queries = self._permits.overdue(request, self._clock())
+        silent, queries = self._permits.handle_timeout(request, self._clock())
         if silent is not None:
             self._log.line("tracker_silent", tracker=str(silent.address))
         return queries
@@ -78,7 +78,7 @@
         if isinstance(message, PermitQuery):
             self._put(self._permits.answer(message, now_s), sender)
         else:
-            self._put_all(self._permits.take_answer(message, now_s))
+            self._put_all(self._permits.handle_answer(message, now_s))
 
     def _put_all(self, queries: Iterable[tuple[Address, PermitQuery]]) -> None:
         for address, query in queries:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -5,7 +5,7 @@
 import random
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     FleetSize,
     NamedLimits,
     Permits,
@@ -86,7 +86,7 @@
         async def main() -> None:
             host = _Host()
             asked = host.ask()
-            await asyncio.sleep(PERMIT_ANSWER_S * 1.5)
+            await asyncio.sleep(PERMIT_ANSWER_TIMEOUT_S * 1.5)
             first, second = host.sent
             assert first[1] != second[1]
             assert not first[0].is_passed_over
