--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -15,7 +15,7 @@
 CLAIM_LIFETIME_S = 10.0
 """How long a claim counts after the host has made it."""
 
-ALL_HEARD_PART = 0.9
+ALL_HEARD_FRACTION = 0.9
 """Of all hosts, the part from which on claims are needless: nearly all know the
 same host."""
 
@@ -91,7 +91,7 @@
 
     def told(self, upstream: int, now_s: float) -> IssuerClaim | None:
         """Returns the claim to tell others; None where none is needed."""
-        if self._size.heard_part >= ALL_HEARD_PART:
+        if self._size.heard_part >= ALL_HEARD_FRACTION:
             return None
         claim = self.issuer(upstream, now_s)
         if claim is None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -110,7 +110,7 @@
         Returns:
             What is news.
         """
-        news = []
+        changed = []
         for limit in told:
             observed_s = now_s - max(0, limit.age_ms) / _MS - HOP_AGE_S
             known = self._limits.get(limit.upstream)
@@ -121,8 +121,8 @@
             if known is not None and observed_s <= known.observed_s:
                 continue
             if self._put(limit.upstream, limit.rate, observed_s, now_s):
-                news.append(limit)
-        return news
+                changed.append(limit)
+        return changed
 
     def known_limit(self, incarnation: str, now_s: float) -> NamedLimit:
         """Returns what is known of an upstream, for another host."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -19,7 +19,7 @@
 MAX_ISSUERS = 2
 """Hosts that may issue the permits of one upstream at the same time."""
 
-RATE_SHARE = OVERRUN_FACTOR / MAX_ISSUERS
+RATE_FRACTION = OVERRUN_FACTOR / MAX_ISSUERS
 """Of a limit, what one host issues."""
 
 MAX_SAVED_PERMITS = OVERRUN_REQUESTS / MAX_ISSUERS
@@ -42,11 +42,11 @@
 MAX_WAIT_S = 10.0
 """The longest time after which a host asks again."""
 
-LEARN_S = 1.0
+DISCOVERY_S = 1.0
 """After its start a host issues none for so long. It hears of enough others in
 this time to know whether one of them issues them."""
 
-LEARNING_WAIT_S = 0.5
+DISCOVERY_WAIT_S = 0.5
 """When a host that was refused for this reason asks again."""
 
 _MAX_REFUSALS = 10_000
@@ -110,15 +110,15 @@
             0 if the permit is issued, else the seconds after which to ask
             again.
         """
-        if not self._size.is_known(now_s, LEARN_S):
-            return LEARNING_WAIT_S
-        share = 1.0 if is_sole else self._size.heard_part
-        own_rate = max(rate, MIN_RATE) * RATE_SHARE * share
+        if not self._size.is_known(now_s, DISCOVERY_S):
+            return DISCOVERY_WAIT_S
+        fraction = 1.0 if is_sole else self._size.heard_part
+        own_rate = max(rate, MIN_RATE) * RATE_FRACTION * fraction
         bucket = self._buckets.get(incarnation)
         if bucket is None:
-            bucket = _Bucket(now_s, share)
+            bucket = _Bucket(now_s, fraction)
             self._buckets[incarnation] = bucket
-        capacity = max(1.0, MAX_SAVED_PERMITS * share)
+        capacity = max(1.0, MAX_SAVED_PERMITS * fraction)
         passed_s = max(0.0, now_s - bucket.filled_s)
         bucket.level = min(capacity, bucket.level + passed_s * own_rate)
         bucket.filled_s = now_s
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
@@ -63,8 +63,8 @@
             before = hosts.get(note.incarnation)
             if before is None or before.sequence < note.sequence:
                 pace = paces.get(use.upstream)
-                told = _HostLoad(use, pace, note.sequence, now_s)
-                hosts[note.incarnation] = told
+                host_load = _HostLoad(use, pace, note.sequence, now_s)
+                hosts[note.incarnation] = host_load
         self._cached.take(note.held, now_s)
 
     def expire(self, now_s: float) -> None:
@@ -74,8 +74,8 @@
         something of each that it was ever told of.
         """
         for upstream, hosts in list(self._host_loads.items()):
-            for incarnation, told in list(hosts.items()):
-                if now_s - told.received_s > EXPIRE_S:
+            for incarnation, host_load in list(hosts.items()):
+                if now_s - host_load.received_s > EXPIRE_S:
                     del hosts[incarnation]
             if not hosts:
                 del self._host_loads[upstream]
@@ -87,7 +87,7 @@
             for name in query.upstreams
         }
         uses = tuple(
-            summed_use(name, (told.use for told in known))
+            summed_use(name, (host_load.use for host_load in known))
             for name, known in others.items()
         )
         paces = (_mean_pace(name, known) for name, known in others.items())
@@ -103,17 +103,23 @@
     def _others(
         self, upstream: int, asker: int, now_s: float
     ) -> Iterable[_HostLoad]:
-        for incarnation, told in self._host_loads.get(upstream, {}).items():
-            is_fresh = now_s - told.received_s <= EXPIRE_S
+        for incarnation, host_load in self._host_loads.get(
+            upstream, {}
+        ).items():
+            is_fresh = now_s - host_load.received_s <= EXPIRE_S
             if is_fresh and incarnation != asker:
-                yield told
+                yield host_load
 
 
 def _mean_pace(
     upstream: int, known: Sequence[_HostLoad]
 ) -> UpstreamPace | None:
     """Returns the mean of what hosts see; None where none sees a stream."""
-    seen = [told.pace.interval_ms for told in known if told.pace is not None]
+    seen = [
+        host_load.pace.interval_ms
+        for host_load in known
+        if host_load.pace is not None
+    ]
     if not seen:
         return None
     return UpstreamPace(upstream, round(statistics.fmean(seen)))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -30,7 +30,7 @@
 
 SETTLED_REPORT_INTERVAL_S = 1.0
 
-LEARNING_S = 3.0
+DISCOVERY_S = 3.0
 """After its start, until a host has heard of limits."""
 
 WINDOW_S = 4.0
@@ -82,7 +82,7 @@
         """
         self.now_s = 0.0
         self.rng = random.Random(seed)
-        self.lost_part = 0.0
+        self.loss_rate = 0.0
         self.arrived: list[float] = []
         self.asked = 0
         self._sees = sees
@@ -118,7 +118,7 @@
         """Replaces a host by one that knows nothing."""
         fresh = self._make(host.number, self.now_s)
         fresh.side = host.side
-        fresh.ready_s = self.now_s + LEARNING_S
+        fresh.ready_s = self.now_s + DISCOVERY_S
         self.hosts[host.number] = fresh
         self._by_address[fresh.address] = fresh
         self._begin(fresh)
@@ -264,7 +264,7 @@
         take: Callable[..., None],
         *args: object,
     ) -> None:
-        if self.rng.random() < self.lost_part:
+        if self.rng.random() < self.loss_rate:
             return
         host = self._by_address[address]
         self._at(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -97,7 +97,7 @@
 class TestAsking:
     """What others have in flight is known at the moment of the choice."""
 
-    def test_work_of_others_is_known_before_any_report(self) -> None:
+    def test_load_of_other_hosts_is_known_before_any_report(self) -> None:
         """Hosts of a large fleet crowd on the engine that seemed idle.
 
         Sequence: in a burst hosts choose within a second; reports take
@@ -113,7 +113,7 @@
         load = asker.loads.at("i-0", 0.0)
         assert (load.requests, load.waiting_tokens) == (5, 510)
 
-    def test_an_answer_counts_for_a_moment_only(self) -> None:
+    def test_an_answer_expires(self) -> None:
         fleet = _Fleet(2)
         fleet.hosts[0].loads.begin("i-0", 100, 2)
         fleet.send_notes(fleet.hosts[0])
@@ -122,7 +122,7 @@
         assert loads.at("i-0", TRACKED_S).requests == 1
         assert loads.at("i-0", TRACKED_S + 0.01).requests == 0
 
-    def test_ended_work_is_gone(self) -> None:
+    def test_ended_requests_are_not_counted(self) -> None:
         fleet = _Fleet(3)
         busy = fleet.hosts[0]
         busy.loads.begin("i-0", 100, 2)
@@ -132,7 +132,7 @@
         fleet.ask(fleet.hosts[1], [ENGINE])
         assert fleet.hosts[1].loads.at("i-0", 0.0).requests == 0
 
-    def test_holders_of_parts_and_paces_are_told(self) -> None:
+    def test_answers_carry_cached_parts_and_paces(self) -> None:
         fleet = _Fleet(3)
         sender, asker = fleet.hosts[0], fleet.hosts[1]
         sender.cached.note("i-0", PROMPT, 0.0)
@@ -169,7 +169,7 @@
         assert fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
 
-    def test_work_of_a_lost_host_expires(self) -> None:
+    def test_load_of_a_lost_host_expires(self) -> None:
         fleet = _Fleet(3)
         tracker = fleet.tracker_of(ENGINE)
         busy, asker = (h for h in fleet.hosts if h is not tracker)
@@ -179,7 +179,7 @@
         fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 0
 
-    def test_work_that_goes_on_is_renewed(self) -> None:
+    def test_unchanged_load_is_renewed(self) -> None:
         """A busy engine seems idle after some seconds.
 
         Sequence: streams of ten seconds run there and nothing else happens.
@@ -196,7 +196,7 @@
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
 
     @pytest.mark.parametrize("loss", [0.02, 0.3])
-    def test_lost_messages_are_made_up_for(self, loss: float) -> None:
+    def test_lost_notes_are_repeated(self, loss: float) -> None:
         fleet = _Fleet(4)
         fleet.loss = loss
         for host in fleet.hosts:
@@ -225,7 +225,7 @@
         fleet.ask(tracker, [ENGINE])
         assert tracker.loads.at("i-0", 0.0).requests == 0
 
-    def test_an_answer_that_nobody_waits_for_is_still_believed(self) -> None:
+    def test_a_late_answer_is_still_applied(self) -> None:
         fleet = _Fleet(2)
         tracker = fleet.tracker_of(ENGINE)
         (asker,) = (h for h in fleet.hosts if h is not tracker)
@@ -238,7 +238,7 @@
         asker.inquiries.handle_answer(answer, 0.02)
         assert asker.loads.at("i-0", 0.02).requests == 1
 
-    def test_a_tracker_keeps_nothing_of_what_has_gone(self) -> None:
+    def test_a_tracker_drops_upstreams_without_recent_notes(self) -> None:
         """A host's memory grows with all upstreams that there ever were.
 
         Sequence: upstreams are replaced all day; each one's work was told to
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -17,13 +17,13 @@
 class TestAnswers:
     """What answers say of the upstream's limit."""
 
-    def test_none_is_known_at_first(self) -> None:
+    def test_no_limit_is_known_at_first(self) -> None:
         named = NamedLimits()
         assert named.rate("a") is None
         assert not named.hear("a", None, 1.0, 2.0)
         assert named.count == 0
 
-    def test_a_limit_is_news_once(self) -> None:
+    def test_a_limit_is_a_change_once(self) -> None:
         named = NamedLimits()
         assert named.hear("a", 1.2, 1.0, 2.0)
         assert not named.hear("a", 1.2, 2.0, 3.0)
@@ -32,20 +32,20 @@
         assert named.rate("b") is None
         assert named.count == 1
 
-    def test_an_answer_without_it_withdraws_it(self) -> None:
+    def test_an_answer_without_a_limit_withdraws_it(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 1.0, 2.0)
         assert named.hear("a", None, 2.5, 3.0)
         assert named.rate("a") is None
         assert named.count == 0
 
-    def test_an_answer_that_was_late_withdraws_nothing(self) -> None:
+    def test_an_answer_to_an_earlier_request_withdraws_nothing(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 1.0, 2.0)
         assert not named.hear("a", None, 1.5, 3.0)
         assert named.rate("a") == 1.2
 
-    def test_another_run_of_an_upstream_has_no_limit(self) -> None:
+    def test_a_restarted_upstream_has_no_limit(self) -> None:
         named = NamedLimits()
         named.hear("a@1", 1.2, 1.0, 2.0)
         assert named.rate("a@2") is None
@@ -59,15 +59,15 @@
     def _limit(self, rate: float | None, age_ms: int = 0) -> NamedLimit:
         return NamedLimit(short_name("a"), age_ms, rate)
 
-    def test_what_is_told_is_known(self) -> None:
+    def test_a_reported_limit_is_applied_once(self) -> None:
         reporter, other = NamedLimits(), NamedLimits()
         reporter.hear("a", 1.2, 1.0, 2.0)
-        news = other.take(reporter.told(2.5, is_all=False), 2.5)
-        assert [limit.rate for limit in news] == [1.2]
+        changed = other.take(reporter.told(2.5, is_all=False), 2.5)
+        assert [limit.rate for limit in changed] == [1.2]
         assert other.rate("a") == 1.2
         assert other.take(reporter.told(2.6, is_all=False), 2.6) == []
 
-    def test_the_newest_word_counts(self) -> None:
+    def test_the_newest_observation_counts(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 9.0, 10.0)
         assert named.take([self._limit(3.0, age_ms=500)], 10.1) == []
@@ -75,7 +75,7 @@
         assert named.take([self._limit(3.0, age_ms=10)], 10.5)
         assert named.rate("a") == 3.0
 
-    def test_a_word_never_grows_younger_by_being_told(self) -> None:
+    def test_an_observation_never_gets_younger_by_gossip(self) -> None:
         """Guards against a withdrawn limit that hosts tell each other on."""
         hosts = [NamedLimits() for _ in range(10)]
         hosts[0].hear("a", 1.2, 0.0, 1.0)
@@ -89,7 +89,9 @@
         heard = [host._limits[short_name("a")].observed_s for host in hosts]
         assert max(heard) == 1.0
 
-    def test_a_withdrawal_goes_before_older_words_for_a_while(self) -> None:
+    def test_a_withdrawal_overrides_older_observations_for_a_while(
+        self,
+    ) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 0.0, 1.0)
         named.hear("a", None, 2.0, 3.0)
@@ -98,32 +100,32 @@
         assert named.told(3.0 + WITHDRAWN_RETENTION_S, is_all=True)
         assert named.told(3.1 + WITHDRAWN_RETENTION_S, is_all=True) == ()
 
-    def test_a_withdrawal_of_an_unknown_limit_is_no_news(self) -> None:
+    def test_a_withdrawal_of_an_unknown_limit_is_no_change(self) -> None:
         named = NamedLimits()
         assert named.take([self._limit(None)], 1.0) == []
         assert named.told(1.0, is_all=True) == ()
 
     @pytest.mark.parametrize("rate", [-1.0, float("inf"), float("nan")])
-    def test_a_peer_that_tells_no_rate_changes_nothing(
-        self, rate: float
-    ) -> None:
+    def test_an_invalid_rate_from_a_peer_is_ignored(self, rate: float) -> None:
         named = NamedLimits()
         assert named.take([self._limit(rate)], 1.0) == []
         assert named.rate("a") is None
 
-    def test_an_age_below_zero_is_none(self) -> None:
+    def test_a_negative_age_counts_as_zero(self) -> None:
         named = NamedLimits()
         named.take([self._limit(1.0, age_ms=-(10**9))], 1.0)
         assert named.hear("a", 2.0, 1.5, 2.0)
 
-    def test_news_are_told_in_each_report_and_all_in_some(self) -> None:
+    def test_recent_changes_are_in_each_report_and_older_in_whole_ones(
+        self,
+    ) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 0.0, 1.0)
         assert named.told(1.0 + REPORT_CHANGE_S - 0.1, is_all=False)
         assert named.told(1.0 + REPORT_CHANGE_S, is_all=False) == ()
         assert named.told(1.0 + REPORT_CHANGE_S, is_all=True)
 
-    def test_upstreams_that_have_gone_are_told_of_no_more(self) -> None:
+    def test_removed_upstreams_leave_all_reports(self) -> None:
         """Guards against hosts that remind each other of what has gone."""
         hosts = [NamedLimits() for _ in range(3)]
         hosts[0].hear("a", 1.2, 0.0, 1.0)
@@ -137,7 +139,7 @@
                     other.take(told, now_s)
         assert not any(host.told(now_s, is_all=True) for host in hosts)
 
-    def test_a_word_is_forgotten_in_time(self) -> None:
+    def test_a_limit_without_answers_expires(self) -> None:
         named = NamedLimits()
         named.hear("a", 1.2, 0.0, 1.0)
         named.told(RETENTION_S, is_all=True)
@@ -145,7 +147,7 @@
         named.told(RETENTION_S + 2.0, is_all=True)
         assert named.rate("a") is None
 
-    def test_a_report_tells_the_newest_of_many(self) -> None:
+    def test_a_report_carries_the_newest_of_many(self) -> None:
         named = NamedLimits()
         for number in range(MAX_REPORTED + 5):
             named.hear(f"a{number}", 1.0, 0.0, float(number))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
@@ -6,7 +6,7 @@
 from hollyknot_coordination.forwarding._permit_issuer import (
     MAX_SAVED_PERMITS,
     MAX_WAIT_S,
-    RATE_SHARE,
+    RATE_FRACTION,
     PermitIssuer,
 )
 
@@ -44,30 +44,30 @@
 class TestPermitIssuer:
     """Permits at a rate, some of which are saved up."""
 
-    def test_issues_its_part_of_the_rate(self) -> None:
+    def test_issues_its_share_of_the_rate(self) -> None:
         issued = _issued(_issuer(), 10.0, 20.0)
-        assert abs(issued - 2.0 * RATE_SHARE * 20.0) <= MAX_SAVED_PERMITS
+        assert abs(issued - 2.0 * RATE_FRACTION * 20.0) <= MAX_SAVED_PERMITS
 
-    def test_saves_few(self) -> None:
+    def test_saves_few_permits_while_idle(self) -> None:
         issuer = _issuer()
         _issued(issuer, 10.0, 1.0)
         assert _issued(issuer, 1000.0, 2 * STEP_S) == int(MAX_SAVED_PERMITS)
 
-    def test_a_host_that_hears_few_issues_less(self) -> None:
+    def test_a_host_that_hears_few_peers_issues_less(self) -> None:
         some = _issued(_issuer(hosts=8, heard=2), 10.0, 40.0)
-        assert abs(some - 2.0 * RATE_SHARE * 40.0 / 4) <= MAX_SAVED_PERMITS
+        assert abs(some - 2.0 * RATE_FRACTION * 40.0 / 4) <= MAX_SAVED_PERMITS
         sole = _issued(_issuer(8, 2), 10.0, 40.0, is_sole=True)
         assert sole > 3 * some
 
-    def test_one_that_has_just_started_issues_none(self) -> None:
+    def test_a_host_that_has_just_started_issues_none(self) -> None:
         """Guards against a host that takes itself for the only one."""
         assert _issued(_issuer(), 0.0, 0.9) == 0
 
-    def test_one_that_hears_nobody_issues_none(self) -> None:
+    def test_a_host_that_hears_no_peer_issues_none(self) -> None:
         issuer = PermitIssuer(FleetSize(0.0, is_alone=False))
         assert _issued(issuer, 10.0, 10.0) == 0
 
-    def test_one_without_peers_issues_all(self) -> None:
+    def test_a_host_without_peers_issues_permits(self) -> None:
         issuer = PermitIssuer(FleetSize(0.0, is_alone=True))
         assert _issued(issuer, 10.0, 10.0) > 0
 
@@ -78,7 +78,7 @@
 
     def test_least_urgent_requests_get_permits_too(self) -> None:
         issued = _issued(_issuer(), 10.0, 20.0, is_least_urgent=True)
-        assert issued >= 2.0 * RATE_SHARE * 20.0 - MAX_SAVED_PERMITS
+        assert issued >= 2.0 * RATE_FRACTION * 20.0 - MAX_SAVED_PERMITS
 
     @pytest.mark.parametrize("rate", [0.0, 1e-9, 1e9])
     def test_waits_are_bounded(self, rate: float) -> None:
@@ -89,12 +89,12 @@
         ]
         assert all(0.0 <= wait <= MAX_WAIT_S for wait in waits)
 
-    def test_time_that_goes_back_issues_nothing(self) -> None:
+    def test_a_clock_that_goes_back_issues_nothing(self) -> None:
         issuer = _issuer()
         _issued(issuer, 10.0, 1.0)
         assert issuer.issue("a", 2.0, 5.0, is_least_urgent=False)
 
-    def test_a_gone_upstream_is_forgotten(self) -> None:
+    def test_a_removed_upstream_is_forgotten(self) -> None:
         issuer = _issuer()
         _issued(issuer, 10.0, 5.0)
         issuer.forget("a")
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
@@ -40,7 +40,7 @@
     """All hosts together keep to a limit and use most of it."""
 
     @pytest.mark.parametrize(("count", "sees", "rate", "seed"), CASES)
-    def test_all_hosts_want_more(
+    def test_demand_above_the_limit(
         self, count: int, sees: int | None, rate: float, seed: int
     ) -> None:
         """Guards against limits that each host keeps by itself."""
@@ -52,7 +52,7 @@
         assert network.got() >= LEAST_USED * rate * LONG_S
 
     @pytest.mark.parametrize(("count", "sees"), SIZES)
-    def test_a_burst_after_a_calm_time(
+    def test_a_burst_after_little_demand(
         self, count: int, sees: int | None
     ) -> None:
         """Guards against permits that are saved up at each host."""
@@ -65,7 +65,9 @@
         assert network.busiest_window() <= _most(1.2)
 
     @pytest.mark.parametrize(("count", "sees"), SIZES)
-    def test_one_host_was_told(self, count: int, sees: int | None) -> None:
+    def test_only_one_host_observed_the_limit(
+        self, count: int, sees: int | None
+    ) -> None:
         """Guards against hosts that are told by upstreams only."""
         network = Network(count, 1, sees)
         network.begin_reports()
@@ -114,7 +116,7 @@
         network.run(2 * CONTACT_S, wanted=20.0)
         assert not any(host.permits.is_limited(ENTRY) for host in network.hosts)
 
-    def test_zero_is_asked_now_and_then(self) -> None:
+    def test_a_limit_of_zero_is_tried_now_and_then(self) -> None:
         """Guards against a limit of zero whose end is never heard of."""
         network = Network(8, 1)
         network.name(0.0)
@@ -122,12 +124,12 @@
         assert 1 <= network.got() <= LONG_S / 5
 
 
-class TestLostHosts:
+class TestFaults:
     """Hosts that are cut off, killed, restarted or frozen."""
 
     @pytest.mark.parametrize("count", [8, 83])
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_two_sides_of_a_cut(self, count: int, seed: int) -> None:
+    def test_network_partition(self, count: int, seed: int) -> None:
         """Guards against a whole limit on each side of a cut."""
         network = Network(count, seed)
         network.name(1.2)
@@ -187,7 +189,7 @@
     def test_messages_are_lost(self, count: int, seed: int) -> None:
         """Guards against several issuers at once where answers are lost."""
         network = Network(count, seed)
-        network.lost_part = 0.05
+        network.loss_rate = 0.05
         network.name(1.2)
         network.run(LONG_S, wanted=20.0)
         assert network.busiest_window() <= _most(1.2)
@@ -205,7 +207,7 @@
 )
 
 
-def _do(network: Network, fault: str, number: int) -> None:
+def _inject(network: Network, fault: str, number: int) -> None:
     """Has one fault strike; most strike the issuer."""
     host = network.issuer() if number % 2 else network.hosts[number]
     if fault == "restart":
@@ -221,7 +223,7 @@
         for other in network.hosts:
             other.side = 0
     elif fault == "lose":
-        network.lost_part = number / 100
+        network.loss_rate = number / 100
     elif fault == "meet":
         network.refresh_peers()
 
@@ -240,6 +242,6 @@
         network.name(rate)
         network.run(4.0, wanted=3 * rate + 2)
         for fault, seconds, number in steps:
-            _do(network, fault, number)
+            _inject(network, fault, number)
             network.run(seconds, wanted=3 * rate + 2)
         assert network.busiest_window() <= _most(rate)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
@@ -43,7 +43,7 @@
         assert len(counts) > 8
         assert max(counts.values()) < 10
 
-    def test_a_tracker_is_where_its_upstream_is(self) -> None:
+    def test_a_tracker_runs_in_its_upstreams_data_centre(self) -> None:
         """Hosts beside an engine can't ask for its load during a cut.
 
         Sequence: a data centre is cut off; its hosts and engines go on. Cause:
@@ -51,7 +51,7 @@
         """
         assert {found.data_centre for found in _found(HOSTS[1])} == {"north"}
 
-    def test_without_hosts_there_another_one_tracks(self) -> None:
+    def test_without_hosts_in_the_data_centre_another_tracks(self) -> None:
         south = tuple(host for host in HOSTS if host.data_centre == "south")
         assert {f.data_centre for f in _found(south[0], south)} == {"south"}
 
@@ -63,7 +63,7 @@
         moved = [a is not b for a, b in zip(after, before, strict=True)]
         assert moved == [found is lost for found in before]
 
-    def test_a_restarted_host_is_another_one(self) -> None:
+    def test_a_restarted_host_gets_another_rank(self) -> None:
         """A host that knows nothing is taken to know all loads as zero.
 
         Sequence: a tracker is restarted at its address within a second. Cause:
@@ -77,10 +77,12 @@
         assert [found.address for found in _found(again[0], again)] != before
 
 
-class TestSilent:
+class TestSilentTracker:
     """A tracker that does not answer is passed over for a while."""
 
-    def test_after_some_misses_the_next_is_asked_for_a_while(self) -> None:
+    def test_after_max_misses_the_next_candidate_is_asked_for_a_while(
+        self,
+    ) -> None:
         """Requests are placed by old loads until peers forget a lost host.
 
         Sequence: the host that tracks an engine loses power. Cause: it stays
@@ -96,7 +98,7 @@
         assert second is not first
         assert trackers.of(ENGINES[0], SKIP_SILENT_S + 0.1) is first
 
-    def test_one_more_miss_suffices_then(self) -> None:
+    def test_one_more_miss_skips_the_tracker_again(self) -> None:
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
@@ -104,7 +106,7 @@
             trackers.missed(first, 0.0)
         assert trackers.missed(first, SKIP_SILENT_S + 0.1)
 
-    def test_an_answer_makes_up_for_a_lost_one(self) -> None:
+    def test_an_answer_resets_the_count_of_misses(self) -> None:
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
@@ -114,7 +116,9 @@
         assert trackers.of(ENGINES[0], 0.0) is first
 
     @pytest.mark.parametrize("hosts", [1, 2])
-    def test_if_all_are_silent_the_first_is_asked(self, hosts: int) -> None:
+    def test_if_all_candidates_are_silent_the_first_is_asked(
+        self, hosts: int
+    ) -> None:
         few = tuple(h for h in HOSTS if h.data_centre == "north")[:hosts]
         trackers = Trackers(HOSTS[1], lambda: few)
         first = trackers.of(ENGINES[0], 0.0)
