--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -152,7 +152,7 @@
         """Has all hosts know an engine's limit."""
         name = self._entries[number].incarnation
         now_s = self._clock.now_s
-        self._named.hear(name, rate, now_s, now_s)
+        self._named.observe(name, rate, now_s, now_s)
 
     def _begin_reports(self) -> None:
         if self._is_shared:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -74,7 +74,7 @@
         known_limit = self._limits.get(short_name(incarnation))
         return known_limit.rate if known_limit is not None else None
 
-    def hear(
+    def observe(
         self,
         incarnation: str,
         rate: float | None,
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -112,7 +112,7 @@
         """Has hosts pass on an answer that names a limit, or none."""
         self._changed_s = self.now_s
         for host in self.hosts if hosts is None else hosts:
-            host.named.hear("a", rate, self.now_s, self.now_s + 1e-9)
+            host.named.observe("a", rate, self.now_s, self.now_s + 1e-9)
 
     def restart(self, host: Host) -> None:
         """Replaces a host by one that knows nothing."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -20,34 +20,34 @@
     def test_no_limit_is_known_at_first(self) -> None:
         named = NamedLimits()
         assert named.rate("a") is None
-        assert not named.hear("a", None, 1.0, 2.0)
+        assert not named.observe("a", None, 1.0, 2.0)
         assert named.count == 0
 
     def test_a_limit_is_a_change_once(self) -> None:
         named = NamedLimits()
-        assert named.hear("a", 1.2, 1.0, 2.0)
-        assert not named.hear("a", 1.2, 2.0, 3.0)
-        assert named.hear("a", 0.0, 3.0, 4.0)
+        assert named.observe("a", 1.2, 1.0, 2.0)
+        assert not named.observe("a", 1.2, 2.0, 3.0)
+        assert named.observe("a", 0.0, 3.0, 4.0)
         assert named.rate("a") == 0.0
         assert named.rate("b") is None
         assert named.count == 1
 
     def test_an_answer_without_a_limit_withdraws_it(self) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 1.0, 2.0)
-        assert named.hear("a", None, 2.5, 3.0)
+        named.observe("a", 1.2, 1.0, 2.0)
+        assert named.observe("a", None, 2.5, 3.0)
         assert named.rate("a") is None
         assert named.count == 0
 
     def test_an_answer_to_an_earlier_request_withdraws_nothing(self) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 1.0, 2.0)
-        assert not named.hear("a", None, 1.5, 3.0)
+        named.observe("a", 1.2, 1.0, 2.0)
+        assert not named.observe("a", None, 1.5, 3.0)
         assert named.rate("a") == 1.2
 
     def test_a_restarted_upstream_has_no_limit(self) -> None:
         named = NamedLimits()
-        named.hear("a@1", 1.2, 1.0, 2.0)
+        named.observe("a@1", 1.2, 1.0, 2.0)
         assert named.rate("a@2") is None
         named.forget("a@1")
         assert named.rate("a@1") is None
@@ -61,7 +61,7 @@
 
     def test_a_reported_limit_is_applied_once(self) -> None:
         reporter, other = NamedLimits(), NamedLimits()
-        reporter.hear("a", 1.2, 1.0, 2.0)
+        reporter.observe("a", 1.2, 1.0, 2.0)
         changed = other.take(reporter.told(2.5, is_all=False), 2.5)
         assert [limit.rate for limit in changed] == [1.2]
         assert other.rate("a") == 1.2
@@ -69,7 +69,7 @@
 
     def test_the_newest_observation_counts(self) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 9.0, 10.0)
+        named.observe("a", 1.2, 9.0, 10.0)
         assert named.take([self._limit(3.0, age_ms=500)], 10.1) == []
         assert named.rate("a") == 1.2
         assert named.take([self._limit(3.0, age_ms=10)], 10.5)
@@ -78,7 +78,7 @@
     def test_an_observation_never_gets_younger_by_gossip(self) -> None:
         """Guards against a withdrawn limit that hosts tell each other on."""
         hosts = [NamedLimits() for _ in range(10)]
-        hosts[0].hear("a", 1.2, 0.0, 1.0)
+        hosts[0].observe("a", 1.2, 0.0, 1.0)
         now_s = 1.0
         for _ in range(20):
             for reporter, other in zip(
@@ -93,8 +93,8 @@
         self,
     ) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 0.0, 1.0)
-        named.hear("a", None, 2.0, 3.0)
+        named.observe("a", 1.2, 0.0, 1.0)
+        named.observe("a", None, 2.0, 3.0)
         named.take([self._limit(1.2, age_ms=1000)], 3.5)
         assert named.rate("a") is None
         assert named.told(3.0 + WITHDRAWN_RETENTION_S, is_all=True)
@@ -114,13 +114,13 @@
     def test_a_negative_age_counts_as_zero(self) -> None:
         named = NamedLimits()
         named.take([self._limit(1.0, age_ms=-(10**9))], 1.0)
-        assert named.hear("a", 2.0, 1.5, 2.0)
+        assert named.observe("a", 2.0, 1.5, 2.0)
 
     def test_recent_changes_are_in_each_report_and_older_in_whole_ones(
         self,
     ) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 0.0, 1.0)
+        named.observe("a", 1.2, 0.0, 1.0)
         assert named.told(1.0 + REPORT_CHANGE_S - 0.1, is_all=False)
         assert named.told(1.0 + REPORT_CHANGE_S, is_all=False) == ()
         assert named.told(1.0 + REPORT_CHANGE_S, is_all=True)
@@ -128,7 +128,7 @@
     def test_removed_upstreams_leave_all_reports(self) -> None:
         """Guards against hosts that remind each other of what has gone."""
         hosts = [NamedLimits() for _ in range(3)]
-        hosts[0].hear("a", 1.2, 0.0, 1.0)
+        hosts[0].observe("a", 1.2, 0.0, 1.0)
         now_s = 1.0
         while now_s < 2 * MAX_REPORTED_AGE_S:
             now_s += 1.0
@@ -141,7 +141,7 @@
 
     def test_a_limit_without_answers_expires(self) -> None:
         named = NamedLimits()
-        named.hear("a", 1.2, 0.0, 1.0)
+        named.observe("a", 1.2, 0.0, 1.0)
         named.told(RETENTION_S, is_all=True)
         assert named.rate("a") == 1.2
         named.told(RETENTION_S + 2.0, is_all=True)
@@ -150,7 +150,7 @@
     def test_a_report_carries_the_newest_of_many(self) -> None:
         named = NamedLimits()
         for number in range(MAX_REPORTED + 5):
-            named.hear(f"a{number}", 1.0, 0.0, float(number))
+            named.observe(f"a{number}", 1.0, 0.0, float(number))
         told = named.told(30.0, is_all=True)
         newest = short_name(f"a{MAX_REPORTED + 4}")
         assert len(told) == MAX_REPORTED
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -29,7 +29,7 @@
         """Returns an upstream's limit in requests a second; None for none."""
         return self._named.rate(entry.incarnation)
 
-    def hear(
+    def observe(
         self, entry: UpstreamEntry, traits: AnswerTraits, sent_s: float
     ) -> None:
         """Takes what the head of an answer says.
@@ -49,7 +49,7 @@
         if rate is NoLimit.NOT_NAMED and not traits.is_sealed:
             return
         limit = None if isinstance(rate, NoLimit) else rate
-        if self._named.hear(entry.incarnation, limit, sent_s, self._clock()):
+        if self._named.observe(entry.incarnation, limit, sent_s, self._clock()):
             self._tell(entry, limit)
 
     def forget(self, incarnation: str) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -292,7 +292,7 @@
             parts.clock,
             lambda: parts.placement.start(work),
             lambda interval_s: self._note_interval(entry, interval_s),
-            lambda traits, sent_s: parts.rate_limits.hear(
+            lambda traits, sent_s: parts.rate_limits.observe(
                 entry, traits, sent_s
             ),
         )
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -33,7 +33,7 @@
         self.sent: list[tuple[PermitQuery, Address]] = []
         clock = asyncio.get_running_loop().time
         named = NamedLimits()
-        named.hear("a", 1.2, 0.0, clock())
+        named.observe("a", 1.2, 0.0, clock())
         self.permits = Permits(
             Trackers(OWN, lambda: (FIRST, SECOND)),
             FleetSize(-60.0, is_alone=False),
