--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -1,8 +1,8 @@
-"""Asks trackers for loads before a request is placed, and tells them of work.
+"""Queries trackers for loads before a request is placed, and sends them notes.
 
-What to send to whom is decided here; the caller carries the messages and keeps
-the time. Nothing is held up by a tracker that does not answer: the request is
-then placed by what reports have told.
+This module decides what is sent to which tracker; the caller sends the messages
+and keeps the time. If a tracker does not answer in time, the request is placed
+by the loads in the reports of peers.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -26,30 +26,32 @@
 from hollyknot_state.routes import UpstreamEntry
 
 MIN_INTERVAL_TO_QUERY_S = 0.4
-"""Usual time between two reports of a peer from which trackers are asked. What
-younger reports tell of all upstreams is worth more than what trackers tell of
-four. Some ten hosts hear each other several times a second, hundreds of them
-every few seconds."""
+"""Usual time in seconds between two reports of a peer from which trackers are
+queried. Below it, reports that cover all upstreams are worth more than answers
+about the four of a shortlist. About ten hosts hear from each other several
+times a second, hundreds of hosts every few seconds."""
 
 MIN_INTERVAL_TO_NOTE_S = MIN_INTERVAL_TO_QUERY_S / 2
-"""The same from which trackers are told of work: hosts measure it unlike, and
-one that asks relies on the notes of all."""
+"""Usual time in seconds between two reports of a peer from which trackers are
+sent notes. It is lower than the one for queries since hosts measure different
+intervals, and a host that queries relies on the notes of all hosts."""
 
 ANSWER_TIMEOUT_S = 0.01
-"""The longest wait for answers: three round trips between data centres of a
-region. Callers accept some hundred milliseconds for a first event."""
+"""Longest wait for answers in seconds: three round trips between data centres
+of a region. Callers accept a few hundred milliseconds until the first event."""
 
 _MAX_QUERY_NUMBER = 2**31 - 1
-"""Numbers of queries begin again after this one."""
+"""Largest number of a query; the next query has the number 1."""
 
 
 @attrs.define(eq=False)
 class Inquiry:
-    """A question to the trackers of some upstreams.
+    """Queries to the trackers of some upstreams, for one request.
 
     Attributes:
-        sent: What is to be sent to whom.
-        on_done: Told that all have answered; set by whoever waits.
+        sent: Queries to send, each with its tracker.
+        on_done: Called when all trackers have answered; set by the caller that
+            waits for it.
     """
 
     sent: list[tuple[Tracker, LoadQuery]] = attrs.Factory(list)
@@ -57,7 +59,7 @@
 
 
 class Inquiries:
-    """What one host asks and tells trackers, and answers as one."""
+    """One host's queries and notes to trackers, and its answers as one."""
 
     def __init__(
         self,
@@ -67,14 +69,17 @@
         cached: CachedParts,
         forecasts: Forecasts,
     ) -> None:
-        """Has asked nothing yet.
+        """Creates the state of a host that has not queried any tracker.
 
         Args:
-            incarnation: Of this process.
-            trackers: Finds whom to ask and tell.
-            loads: This host's work, and where answers go.
-            cached: Likewise of cached parts.
-            forecasts: Likewise of the pace of streams.
+            incarnation: Incarnation of this process.
+            trackers: Finds the tracker of each upstream.
+            loads: This host's in-flight work, which notes report; answers add
+                the work of other hosts to it.
+            cached: Prompt prefixes that upstreams have cached, reported and
+                completed likewise.
+            forecasts: Pace of upstreams' streams, reported and completed
+                likewise.
         """
         self._incarnation = incarnation
         self._trackers = trackers
@@ -93,13 +98,13 @@
         runs: tuple[int, ...],
         now_s: float,
     ) -> Inquiry:
-        """Returns a question for the loads of some upstreams.
+        """Returns queries for the loads of some upstreams.
 
-        What this host tracks itself is known at once.
+        Loads of upstreams that this host tracks itself are applied at once.
 
         Args:
             entries: The upstreams.
-            runs: The shared parts of the request's prompt.
+            runs: Short names of the shared prefixes of the request's prompt.
             now_s: The time.
         """
         inquiry = Inquiry()
@@ -115,11 +120,11 @@
         return inquiry
 
     def answer(self, query: LoadQuery, now_s: float) -> LoadAnswer:
-        """Answers as a tracker."""
+        """Answers the query of another host, as a tracker."""
         return self._tracked.answer(query, now_s)
 
     def handle_answer(self, answer: LoadAnswer, now_s: float) -> None:
-        """Takes an answer; a late one still counts for the next choices."""
+        """Applies an answer; one that is late still serves later requests."""
         self._apply(answer, now_s)
         tracker, inquiry = self._waiting.pop(answer.number, (None, None))
         if tracker is None or inquiry is None:
@@ -129,10 +134,10 @@
             inquiry.on_done()
 
     def give_up(self, inquiry: Inquiry, now_s: float) -> list[Tracker]:
-        """Ends a question that was waited for long enough.
+        """Ends an inquiry whose answers have not all come in time.
 
         Returns:
-            Trackers that are passed over from now on, for a while.
+            Trackers that are skipped from now on, for a while.
         """
         silent = []
         for tracker, query in inquiry.sent:
@@ -143,7 +148,7 @@
         return silent
 
     def handle_note(self, note: LoadNote, now_s: float) -> None:
-        """Takes a host's work, as a tracker."""
+        """Applies a host's note, as a tracker."""
         self._tracked.take(note, now_s)
 
     def notes(
@@ -151,12 +156,13 @@
         entry_of: Callable[[str], UpstreamEntry | None],
         now_s: float,
     ) -> list[tuple[Tracker, LoadNote]]:
-        """Returns what trackers are to be told now.
+        """Returns the notes to send to trackers now.
 
-        Work that has changed, and once in a while all of it.
+        They hold the work that has changed since the last call, and every
+        `RENEW_S` all of it.
 
         Args:
-            entry_of: Returns an upstream that is known, by its incarnation.
+            entry_of: Returns a known upstream by its incarnation.
             now_s: The time.
         """
         names = self._loads.take_changed()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
@@ -1,9 +1,9 @@
-"""The loads of the upstreams that one host tracks for all others.
+"""Sums up the loads that all hosts put on the upstreams tracked by one host.
 
-Hosts tell a tracker of each change of their own work, and ask it before they
-choose. A tracker advises and grants nothing: two that both take themselves for
-the tracker of an upstream, or one that has just begun, give smaller sums, and
-what they lack is told again within a second.
+Hosts send a tracker a note of each change of their in-flight work, and query it
+before they choose an upstream. A tracker only advises and grants nothing. While
+two hosts both act as the tracker of an upstream, or just after one has started,
+their sums are too small; the missing work is reported again within a second.
 """
 
 import statistics
@@ -23,16 +23,26 @@
 )
 
 RENEW_S = 1.0
-"""Between two notes of a host to the tracker of an upstream where it has work
-that did not change: a lost note, or a new tracker, is wrong for no longer."""
+"""Seconds between two notes of unchanged work to the tracker of an upstream.
+It bounds how long a lost note or a new tracker leaves a sum wrong."""
 
 EXPIRE_S = 2.5
-"""Age from which work that was told is no longer counted: its host has gone, or
-two notes in a row were lost."""
+"""Age in seconds above which reported work is no longer counted: its host has
+gone, or two notes in a row were lost."""
 
 
 @attrs.frozen
 class _HostLoad:
+    """Load that one host puts on one upstream, from its newest note.
+
+    Attributes:
+        use: In-flight work of the host at the upstream.
+        pace: Pace of the upstream's streams as seen by the host; None if it
+            sees no stream.
+        sequence: Sequence number of the note; older notes are ignored.
+        received_s: Time at which the note was received.
+    """
+
     use: UpstreamUse
     pace: UpstreamPace | None
     sequence: int
@@ -40,23 +50,24 @@
 
 
 class TrackedLoads:
-    """Work of all hosts at some upstreams, as they have told it."""
+    """The load that hosts report for the upstreams tracked here."""
 
     def __init__(self, cached: CachedParts) -> None:
-        """Tracks nothing yet.
+        """Creates a table without any loads.
 
         Args:
-            cached: Where to keep which upstream has which parts.
+            cached: Keeps which prompt prefixes upstreams have cached, as far
+                as notes report it.
         """
         self._cached = cached
         self._host_loads: dict[int, dict[int, _HostLoad]] = {}
 
     def __len__(self) -> int:
-        """Returns how many upstreams it was told of lately."""
+        """Returns the number of upstreams with recently reported load."""
         return len(self._host_loads)
 
     def take(self, note: LoadNote, now_s: float) -> None:
-        """Takes what a host tells; an older note tells nothing."""
+        """Applies a host's note; for each upstream only a newer one counts."""
         paces = {pace.upstream: pace for pace in note.paces}
         for use in note.uses:
             hosts = self._host_loads.setdefault(use.upstream, {})
@@ -68,10 +79,10 @@
         self._cached.take(note.held, now_s)
 
     def expire(self, now_s: float) -> None:
-        """Forgets what is too old to be counted.
+        """Drops loads that are too old to be counted.
 
-        Upstreams and hosts come and go all day; without this a tracker keeps
-        something of each that it was ever told of.
+        Upstreams and hosts are replaced all the time. Without this a tracker's
+        memory would grow with each one that was ever reported.
         """
         for upstream, hosts in list(self._host_loads.items()):
             for incarnation, host_load in list(hosts.items()):
@@ -81,7 +92,7 @@
                 del self._host_loads[upstream]
 
     def answer(self, query: LoadQuery, now_s: float) -> LoadAnswer:
-        """Returns what all hosts but the asker have in flight."""
+        """Returns the in-flight work of all hosts except the one that asks."""
         others = {
             name: list(self._others(name, query.incarnation, now_s))
             for name in query.upstreams
@@ -114,7 +125,7 @@
 def _mean_pace(
     upstream: int, known: Sequence[_HostLoad]
 ) -> UpstreamPace | None:
-    """Returns the mean of what hosts see; None where none sees a stream."""
+    """Returns the mean pace that hosts see; None if none sees a stream."""
     seen = [
         host_load.pace.interval_ms
         for host_load in known
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
@@ -1,10 +1,10 @@
-"""Which host tracks the load of which upstream.
+"""Chooses the host that tracks the load of each upstream (its tracker).
 
-All hosts find the same one from the peers that they know, by rendezvous
-hashing: nobody is appointed, and one that is lost moves only its own upstreams,
-each to the next host in its order. The order begins with hosts of the
-upstream's data centre, so that whoever is cut off from the tracker is cut off
-from the upstream too.
+Every host computes the same tracker from the peers that it knows, by rendezvous
+hashing. No election is needed, and the loss of a host moves only the upstreams
+that it tracked, each to the next host in the upstream's ranking. Hosts of the
+upstream's data centre are preferred, so that during a network partition a host
+that can't reach the tracker can't reach the upstream either.
 """
 
 import hashlib
@@ -16,14 +16,15 @@
 from hollyknot_state.routes import UpstreamEntry
 
 MAX_MISSES = 2
-"""Queries in a row without an answer after which the next host in the order is
-asked: some in a hundred datagrams are lost."""
+"""Consecutive unanswered queries after which the next host in the ranking is
+asked. More than one, as a few per cent of datagrams are lost."""
 
 SKIP_SILENT_S = 4.0
-"""For how long then. Its peers forget a lost host some seconds later."""
+"""How long a tracker that reached `MAX_MISSES` is skipped, in seconds. Within a
+few seconds more its peers have removed a lost host from their lists."""
 
 _CANDIDATES = 3
-"""Hosts of an order among which one is looked for."""
+"""Number of hosts at the head of a ranking that may be chosen as tracker."""
 
 
 @attrs.frozen
@@ -31,9 +32,10 @@
     """A host that may track upstreams.
 
     Attributes:
-        incarnation: Of its process; a restarted host knows nothing.
-        address: Where it takes messages.
-        data_centre: Where it runs.
+        incarnation: Incarnation of the host's process. A restarted host has
+            lost all loads, and gets a new one.
+        address: Address at which the host receives messages.
+        data_centre: Data centre in which the host runs.
     """
 
     incarnation: int
@@ -43,21 +45,29 @@
 
 @attrs.define
 class _Silence:
+    """Unanswered queries to one tracker.
+
+    Attributes:
+        missed: Consecutive queries without an answer.
+        until_s: Time until which the tracker is skipped.
+    """
+
     missed: int = 0
     until_s: float = float("-inf")
 
 
 class Trackers:
-    """Finds the tracker of each upstream."""
+    """Finds the tracker of each upstream, and skips those that don't answer."""
 
     def __init__(
         self, own: Tracker, peers: Callable[[], Sequence[Tracker]]
     ) -> None:
-        """Asks no one yet.
+        """Creates trackers of which none has been queried yet.
 
         Args:
             own: This host.
-            peers: The peers that are heard, the same object until they change.
+            peers: Returns the peers that this host hears. It must return the
+                same object until they change: rankings are cached by identity.
         """
         self._own = own
         self._peers = peers
@@ -67,11 +77,11 @@
 
     @property
     def own(self) -> Tracker:
-        """This host."""
+        """This host, as a tracker."""
         return self._own
 
     def of(self, entry: UpstreamEntry, now_s: float) -> Tracker | None:
-        """Returns who tracks an upstream; None where that is this host."""
+        """Returns the tracker of an upstream; None if it is this host."""
         order = self._order(entry)
         for tracker in order:
             if not self.is_silent(tracker.incarnation, now_s):
@@ -81,31 +91,31 @@
         return None if tracker is self._own else tracker
 
     def answered(self, tracker: Tracker) -> None:
-        """Notes an answer."""
+        """Records an answer of a tracker, which resets its misses."""
         self._silences.pop(tracker.incarnation, None)
 
     def missed(self, tracker: Tracker, now_s: float, misses: int = 1) -> bool:
-        """Notes a query without an answer.
+        """Records a query without an answer.
 
         Args:
-            tracker: Who did not answer.
+            tracker: The tracker that did not answer.
             now_s: The time.
-            misses: How much it counts.
+            misses: Number of misses that this one counts for.
 
         Returns:
-            Whether the tracker is passed over from now on, for a while.
+            Whether the tracker is skipped from now on, for `SKIP_SILENT_S`.
         """
         silence = self._silences.setdefault(tracker.incarnation, _Silence())
         silence.missed += misses
         if silence.missed < MAX_MISSES:
             return False
         silence.until_s = now_s + SKIP_SILENT_S
-        # One more miss suffices then: it may have come back, or not.
+        # When it is asked again, a single miss is enough to skip it again.
         silence.missed = MAX_MISSES - 1
         return True
 
     def is_silent(self, host: int, now_s: float) -> bool:
-        """Whether a host is passed over, by its incarnation."""
+        """Returns whether the host with this incarnation is skipped."""
         silence = self._silences.get(host)
         return silence is not None and now_s < silence.until_s
 
@@ -136,11 +146,13 @@
 
 
 def rank(upstream: int, host: int) -> bytes:
-    """Returns what orders hosts for an upstream; the greatest is first.
+    """Returns the rendezvous hash of an upstream and a host.
+
+    The host with the greatest hash is first in the upstream's ranking.
 
     Args:
         upstream: The upstream's short name.
-        host: The incarnation of a host.
+        host: The host's incarnation.
     """
     text = f"{upstream}|{host}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
