--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -1,9 +1,9 @@
-"""Which host issues the permits of an upstream, in a large fleet.
+"""Makes hosts of a large fleet agree on the issuer of an upstream's permits.
 
-Each host hears some of the others only, so that several take themselves for the
-first in the order of an upstream. Those that issue permits say so in their
-reports; hosts pass on the first of those that they heard of. Within seconds all
-know the same one.
+Each host hears only some of the others, so several may take themselves for the
+first host in the ranking of an upstream. A host that issues permits claims so
+in its reports. Hosts pass on the claim that ranks first among those that they
+have received, so all hosts know the same issuer within seconds.
 """
 
 import attrs
@@ -13,31 +13,34 @@
 from hollyknot_state import IssuerClaim
 
 CLAIM_LIFETIME_S = 10.0
-"""How long a claim counts after the host has made it."""
+"""Age in seconds above which a claim no longer counts."""
 
 ALL_HEARD_FRACTION = 0.9
-"""Of all hosts, the part from which on claims are needless: nearly all know the
-same host."""
+"""Fraction of all hosts that a host must hear to do without claims: then nearly
+all hosts compute the same issuer."""
 
 SOLE_AFTER_S = 5.0
-"""How long a host hears of no other issuer before it takes itself for the only
-one."""
+"""Seconds without a claim by others after which an issuer takes itself for the
+only one."""
 
 MIN_OWN_CLAIMS = 10
-"""Its own claims that it must have been told in this time."""
+"""Reports of its own claim that it must have received from others in that time.
+They show that its claim has spread."""
 
 _MS = 1000
 
 
 @attrs.define
 class _ClaimState:
-    """What is known of the issuers of one upstream.
+    """Claims to issue the permits of one upstream.
 
     Attributes:
-        claim: The first in the order.
-        made_s: When it was made.
-        other_s: When this host last heard of another issuer than itself.
-        own_told: How often it has been told of itself since.
+        claim: Claim that ranks first among those received.
+        made_s: Time at which its host last made it.
+        last_other_s: Time at which this host last received a claim of another
+            host.
+        own_claims_received: Number of times that other hosts have reported
+            this host's own claim since then.
     """
 
     claim: IssuerClaim
@@ -47,28 +50,29 @@
 
 
 class IssuerClaims:
-    """The claims that one host has heard of, by the upstream's short name."""
+    """Claims that one host knows, by the short name of the upstream."""
 
     def __init__(self, own: Tracker, size: FleetSize) -> None:
-        """Has heard of none.
+        """Creates a table without claims.
 
         Args:
             own: This host.
-            size: Tells whether claims are needed.
+            size: Number of hosts and the part of them that this host hears,
+                which decides whether claims are needed.
         """
         self._own = own
         self._size = size
         self._states: dict[int, _ClaimState] = {}
 
     def issuer(self, upstream: int, now_s: float) -> IssuerClaim | None:
-        """Returns the first host that claims to issue an upstream's permits."""
+        """Returns the first-ranked claim to an upstream that still counts."""
         known = self._states.get(upstream)
         if known is None or now_s - known.made_s > CLAIM_LIFETIME_S:
             return None
         return known.claim
 
     def claim(self, upstream: int, now_s: float, *, is_near: bool) -> None:
-        """Notes that this host issues permits.
+        """Records that this host issues permits of an upstream.
 
         Args:
             upstream: The upstream's short name.
@@ -80,7 +84,7 @@
         self._merge(upstream, claim, now_s, now_s)
 
     def take(self, upstream: int, claim: IssuerClaim, now_s: float) -> None:
-        """Takes a claim that another host has told."""
+        """Applies a claim from another host's report."""
         made_s = now_s - max(0, claim.age_ms) / _MS
         known = self._merge(upstream, claim, made_s, now_s)
         if claim.incarnation == self._own.incarnation:
@@ -90,7 +94,7 @@
             known.own_claims_received = 0
 
     def told(self, upstream: int, now_s: float) -> IssuerClaim | None:
-        """Returns the claim to tell others; None where none is needed."""
+        """Returns the claim to report to others; None if none is needed."""
         if self._size.heard_part >= ALL_HEARD_FRACTION:
             return None
         claim = self.issuer(upstream, now_s)
@@ -100,7 +104,7 @@
         return attrs.evolve(claim, age_ms=max(0, round(age_s * _MS)))
 
     def is_sole(self, upstream: int, now_s: float) -> bool:
-        """Whether this host is the only one that issues permits."""
+        """Returns whether this host takes itself for the only issuer."""
         known = self._states.get(upstream)
         return (
             known is not None
@@ -109,7 +113,7 @@
         )
 
     def forget(self, upstream: int) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the claims to an upstream that has left for good."""
         self._states.pop(upstream, None)
 
     def _merge(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -1,8 +1,9 @@
-"""Which upstreams have named a rate limit, and what the newest word is.
+"""Keeps the rate limits that upstreams name, as far as one host knows them.
 
-An upstream in need names in each answer how many requests a second it takes
-from all hosts together, and stops naming it when the need is over. Hosts tell
-each other, so that one keeps to a limit before it has been told itself.
+An overloaded upstream names in each answer how many requests per second it
+accepts from all hosts together, and stops naming a limit when the overload is
+over. Hosts gossip what they observe, so that a host keeps to a limit before it
+has received an answer with it.
 """
 
 import math
@@ -13,38 +14,42 @@
 from hollyknot_state import NamedLimit, short_name
 
 REPORT_CHANGE_S = 5.0
-"""How long a changed limit is told in each report. Then it is told only in
-reports that tell all."""
+"""Seconds for which a changed limit is in every report. Later it is only in
+reports of all limits."""
 
 MAX_REPORTED = 16
-"""Limits in one report, some 12 bytes each."""
+"""Most limits in one report; each takes about 12 bytes."""
 
 WITHDRAWN_RETENTION_S = 30.0
-"""How long a withdrawal is known, and goes before older words of a limit."""
+"""Seconds for which a withdrawal is kept. It overrides older observations of a
+limit that other hosts still report."""
 
 MAX_REPORTED_AGE_S = 60.0
-"""How old a word may be that is still told. Hosts would else tell each other of
-upstreams that have long gone, which each of them forgets in turn."""
+"""Age in seconds from which an observation is no longer reported. Else hosts
+would forever remind each other of upstreams that have gone, as each of them
+drops and learns them again in turn."""
 
 RETENTION_S = 600.0
-"""After this long without an answer nothing is known of an upstream."""
+"""Age in seconds above which an observation is dropped."""
 
 HOP_AGE_S = 0.05
-"""By how much a word counts as older for each host that passes it on. Its time
-on the way is not known, and it must not grow younger by being told."""
+"""Seconds added to the age of an observation by each host that receives it. The
+time that a report is under way is unknown, and an observation must not get
+younger by being passed on."""
 
 _MS = 1000
 _UNKNOWN_AGE_MS = 10**9
+"""Age reported for an upstream of which nothing is known: older than any."""
 
 
 @attrs.frozen
 class _KnownLimit:
-    """The newest word of an upstream.
+    """The newest observation of an upstream's limit.
 
     Attributes:
-        rate: Requests a second; None where the limit was withdrawn.
-        heard_s: When an answer of the upstream said so.
-        changed_s: When this host learnt of this rate.
+        rate: Limit in requests per second; None if it was withdrawn.
+        observed_s: Time of the answer of the upstream that showed it.
+        changed_s: Time at which this host learnt of this rate.
     """
 
     rate: float | None
@@ -53,22 +58,22 @@
 
 
 class NamedLimits:
-    """The rate limits that one host knows of, by incarnation."""
+    """Rate limits that one host knows, by the upstream's incarnation."""
 
     def __init__(self) -> None:
-        """No upstream has named any."""
+        """Creates a table without limits."""
         self._limits: dict[int, _KnownLimit] = {}
 
     @property
     def count(self) -> int:
-        """How many upstreams have a limit."""
+        """Number of upstreams with a limit."""
         return sum(
             known_limit.rate is not None
             for known_limit in self._limits.values()
         )
 
     def rate(self, incarnation: str) -> float | None:
-        """Returns an upstream's limit in requests a second; None for none."""
+        """Returns an upstream's limit in requests per second, or None."""
         if not self._limits:
             return None
         known_limit = self._limits.get(short_name(incarnation))
@@ -81,18 +86,18 @@
         sent_s: float,
         now_s: float,
     ) -> bool:
-        """Takes what an answer of an upstream says.
+        """Records the limit in an answer of an upstream.
 
         Args:
-            incarnation: The upstream.
-            rate: Its limit in requests a second; None if it names none.
-            sent_s: When the request was sent. An answer without a limit to one
-                that was sent before a limit was heard does not withdraw it: it
-                may have begun earlier.
+            incarnation: Incarnation of the upstream.
+            rate: Limit in requests per second; None if the answer names none.
+            sent_s: Time at which the request was sent. An answer without a
+                limit does not withdraw one that was observed after its request
+                was sent, as the answer may have begun before the limit.
             now_s: The time.
 
         Returns:
-            Whether it is news.
+            Whether the upstream's rate has changed.
         """
         name = short_name(incarnation)
         known = self._limits.get(name)
@@ -105,10 +110,10 @@
     def take(
         self, told: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
-        """Takes what another host knows.
+        """Applies the limits that another host reports, where they are newer.
 
         Returns:
-            What is news.
+            The limits whose rate has changed by it.
         """
         changed = []
         for limit in told:
@@ -125,7 +130,7 @@
         return changed
 
     def known_limit(self, incarnation: str, now_s: float) -> NamedLimit:
-        """Returns what is known of an upstream, for another host."""
+        """Returns the known limit of an upstream, to send to another host."""
         name = short_name(incarnation)
         known_limit = self._limits.get(name)
         if known_limit is None:
@@ -133,11 +138,11 @@
         return _told(name, known_limit, now_s)
 
     def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
-        """Returns limits to tell other hosts, the newest first.
+        """Returns the limits for the next report, the last changed first.
 
         Args:
             now_s: The time.
-            is_all: Whether to tell those too that changed long ago.
+            is_all: Whether to include limits that have not changed recently.
         """
         if not self._limits:
             return ()
@@ -155,7 +160,7 @@
         )
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the limit of an upstream that has left for good."""
         self._limits.pop(short_name(incarnation), None)
 
     def _put(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -1,8 +1,8 @@
-"""Hands out permits for requests to upstreams that have named a rate limit.
+"""Issues permits for requests to rate-limited upstreams, from token buckets.
 
-One host issues the permits of an upstream for all. Two may do so for a while,
-where hosts disagree about which one it is: each issues so few that both
-together stay within what is allowed.
+One host issues the permits of an upstream for all hosts. While hosts disagree
+on which one it is, two may do so at a time. Therefore each issues so few that
+both together stay within what the upstream tolerates.
 """
 
 from collections import deque
@@ -13,53 +13,54 @@
 
 OVERRUN_FACTOR = 1.5
 OVERRUN_REQUESTS = 5
-"""An upstream bears its limit times the first over some seconds, and as many
-requests more as the second."""
+"""Over a few seconds an upstream tolerates its limit times `OVERRUN_FACTOR`
+plus `OVERRUN_REQUESTS` requests."""
 
 MAX_ISSUERS = 2
-"""Hosts that may issue the permits of one upstream at the same time."""
+"""Number of hosts that may issue permits of one upstream at the same time."""
 
 RATE_FRACTION = OVERRUN_FACTOR / MAX_ISSUERS
-"""Of a limit, what one host issues."""
+"""Fraction of an upstream's limit that one host issues."""
 
 MAX_SAVED_PERMITS = OVERRUN_REQUESTS / MAX_ISSUERS
-"""The most permits that one host saves up while nobody asks."""
+"""Capacity of a bucket: permits that one host saves up while nobody asks."""
 
 MIN_RATE = 0.1
-"""Requests a second that any upstream gets: its answers tell when a lower limit
-is withdrawn."""
+"""Lowest rate in requests per second at which permits are issued, whatever the
+limit. Only answers of the upstream show that a lower limit is withdrawn."""
 
 RESERVED_PERMITS = 1
-"""Permits that are kept for requests which are not among the least urgent."""
+"""Permits kept for requests that are not among the least urgent."""
 
 HOSTS_PER_PERMIT = 12
-"""About how many hosts ask in the time of one permit: with fewer, permits stay
-unused; with more, hosts ask in vain."""
+"""Hosts that should ask in the time in which one permit accrues. With fewer,
+permits stay unused; with more, hosts ask in vain."""
 
 REFUSAL_WINDOW_S = 10.0
-"""How long a refused permit counts in the wait of the next host."""
+"""Seconds for which a refusal lengthens the waits of later refusals."""
 
 MAX_WAIT_S = 10.0
-"""The longest time after which a host asks again."""
+"""Longest wait in seconds that a refused host is given."""
 
 DISCOVERY_S = 1.0
-"""After its start a host issues none for so long. It hears of enough others in
-this time to know whether one of them issues them."""
+"""Seconds after its start in which a host issues no permits. In this time it
+hears of enough others to know whether one of them is the issuer."""
 
 DISCOVERY_WAIT_S = 0.5
-"""When a host that was refused for this reason asks again."""
+"""Wait in seconds given to hosts that are refused during `DISCOVERY_S`."""
 
 _MAX_REFUSALS = 10_000
+"""Newest refusals of an upstream that are remembered, to bound the memory."""
 
 
 @attrs.define
 class _Bucket:
-    """The permits of one upstream.
+    """Token bucket with the permits of one upstream.
 
     Attributes:
-        filled_s: Up to when its permits were counted.
-        level: Permits that can be issued.
-        refused: When hosts asked in vain.
+        filled_s: Time up to which permits have accrued.
+        level: Permits that can be issued now; may be fractional.
+        refused: Times of refusals, the oldest first.
     """
 
     filled_s: float
@@ -67,21 +68,21 @@
     refused: deque[float] = attrs.Factory(lambda: deque(maxlen=_MAX_REFUSALS))
 
     def count_refused(self, now_s: float) -> int:
-        """Returns how many hosts asked in vain lately."""
+        """Returns the number of refusals within `REFUSAL_WINDOW_S`."""
         while self.refused and self.refused[0] < now_s - REFUSAL_WINDOW_S:
             self.refused.popleft()
         return len(self.refused)
 
 
 class PermitIssuer:
-    """The permits that one host issues, by upstream."""
+    """Permits that one host issues, by upstream."""
 
     def __init__(self, size: FleetSize) -> None:
-        """Has issued none.
+        """Creates an issuer that has not issued any permit.
 
         Args:
-            size: Tells which part of all hosts this one hears. Where it hears
-                some only, others may issue permits to the rest.
+            size: Number of hosts and the part of them that this host hears. If
+                it hears only some, others may issue permits to the rest.
         """
         self._size = size
         self._buckets: dict[str, _Bucket] = {}
@@ -98,13 +99,13 @@
         """Issues a permit for one request, if there is one.
 
         Args:
-            incarnation: The upstream.
-            rate: Its limit in requests a second.
+            incarnation: Incarnation of the upstream.
+            rate: Limit of the upstream in requests per second.
             now_s: The time.
             is_least_urgent: Whether the request is among the least urgent of
                 its service.
-            is_sole: Whether no other host issues permits, also to hosts that
-                are not heard here.
+            is_sole: Whether this host is the only issuer, also for hosts that
+                it doesn't hear.
 
         Returns:
             0 if the permit is issued, else the seconds after which to ask
@@ -135,5 +136,5 @@
         return min(max(contention_s, next_s), MAX_WAIT_S)
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops the permits of an upstream that has left for good."""
         self._buckets.pop(incarnation, None)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -1,9 +1,10 @@
-"""Permits for requests to upstreams that have named a rate limit.
+"""Asks for, and answers requests for, permits to use rate-limited upstreams.
 
-The limit holds for all hosts together. One of them issues permits at its rate,
-the host that tracks the upstream, which all find alike; the others ask it
-before they send. Without an answer there is no permit: the request goes to
-another upstream.
+The limit that an upstream names holds for all hosts together. One host, its
+issuer, issues permits at the limited rate. It is the tracker of the upstream,
+which every host computes alike. The others ask it for a permit before they send
+a request. Without an answer there is no permit, and the request goes to another
+upstream.
 """
 
 import random
@@ -31,45 +32,49 @@
 from hollyknot_state.routes import UpstreamEntry
 
 PERMIT_ANSWER_TIMEOUT_S = 0.025
-"""The longest wait for an answer: some round trips between data centres of a
-region, on hosts with half a core too."""
+"""Longest wait for an answer in seconds: a few round trips between data centres
+of a region, also on hosts with half a core."""
 
 RETRY_UNANSWERED_S = 0.1
-"""After answers that did not come, when to ask again."""
+"""Seconds during which an upstream is not asked for again after no host has
+answered, or after too many redirects."""
 
 MAX_HOSTS_ASKED = 2
-"""Hosts that are asked for one permit, the second where the first is silent."""
+"""Hosts asked for one permit: the second if the first does not answer."""
 
 MAX_REDIRECTS = 2
-"""Times that a query is sent on to another host."""
+"""Redirects to another issuer that are followed for one permit."""
 
 _WAIT_JITTER = 0.25
-"""By how much of a wait hosts differ, so that they don't ask all at once."""
+"""Jitter of a wait as a fraction of it, so that hosts don't all ask at once."""
 
 _UNKNOWN_DATA_CENTRE = ""
-"""The data centre of an issuer of which only this is not known."""
+"""Data centre given to an issuer whose claim says only that it is not in the
+upstream's one."""
 
 _MS = 1000
 _MAX_QUERY_NUMBER = 2**31 - 1
-"""Numbers of queries begin again after this one."""
+"""Largest number of a query; the next query has the number 1."""
 
 Queries = list[tuple[Address, PermitQuery]]
-"""What is to be sent to whom."""
+"""Queries to send, each with the address of its receiver."""
 
 
 @attrs.define(eq=False)
 class PermitRequest:
-    """One question for a permit.
+    """A request for one permit.
 
     Attributes:
         entry: The upstream.
         is_least_urgent: Whether the request is among the least urgent of its
             service.
-        is_issued: The outcome; None until there is one.
-        on_done: Told of the outcome; set by whoever waits.
-        asked: The host that was asked last; None after a redirect.
-        hosts: How many were asked because one was silent.
-        redirects: How often it was sent on.
+        is_issued: Whether the permit was issued; None until that is known.
+        on_done: Called when the outcome is known; set by the caller that waits
+            for it.
+        asked: Host that was asked last and has not answered; None after a
+            redirect.
+        hosts: Number of hosts asked, without those it was redirected to.
+        redirects: Number of redirects followed.
     """
 
     entry: UpstreamEntry
@@ -83,7 +88,13 @@
 
 @attrs.define
 class _ClosedUntil:
-    """Until when an upstream is not asked for."""
+    """Time until which no permit of an upstream is asked for.
+
+    Attributes:
+        all_s: Time for requests of any urgency.
+        least_urgent_s: Time for the least urgent requests; they wait for the
+            later of both.
+    """
 
     all_s: float = float("-inf")
     least_urgent_s: float = float("-inf")
@@ -95,7 +106,7 @@
 
 
 class Permits:
-    """What one host asks for, and answers as an issuer."""
+    """Permits that one host asks for, and those that it issues to others."""
 
     def __init__(
         self,
@@ -105,14 +116,14 @@
         entry_of: Callable[[str], UpstreamEntry | None],
         rng: random.Random,
     ) -> None:
-        """Has asked nothing yet.
+        """Creates the state of a host without open requests for permits.
 
         Args:
-            trackers: Finds who issues the permits of an upstream.
-            size: How many hosts there are.
-            named: The limits that are known.
+            trackers: Finds the host that issues the permits of an upstream.
+            size: Number of hosts, and the part of them that this host hears.
+            named: Rate limits that this host knows.
             entry_of: Returns a known upstream by its incarnation.
-            rng: Spreads the times at which hosts ask again.
+            rng: Source of the jitter of waits.
         """
         self._trackers = trackers
         self._issuer = PermitIssuer(size)
@@ -125,11 +136,11 @@
         self._closed: dict[str, _ClosedUntil] = {}
 
     def is_limited(self, entry: UpstreamEntry) -> bool:
-        """Whether a request to an upstream needs a permit."""
+        """Returns whether requests to an upstream need a permit."""
         return self._named.rate(entry.incarnation) is not None
 
     def limited(self, entries: Iterable[UpstreamEntry]) -> frozenset[str]:
-        """Returns the incarnations of those that need permits."""
+        """Returns the incarnations of the upstreams that need permits."""
         if not self._named.count:
             return frozenset()
         return frozenset(e.incarnation for e in entries if self.is_limited(e))
@@ -141,7 +152,11 @@
         *,
         is_least_urgent: bool,
     ) -> frozenset[str]:
-        """Returns the incarnations that are not worth asking for now."""
+        """Returns the incarnations of upstreams not to be asked for now.
+
+        A permit of theirs was refused, or its issuer did not answer, and the
+        time to ask again has not come.
+        """
         if not self._closed:
             return frozenset()
         return frozenset(
@@ -157,10 +172,10 @@
         *,
         is_least_urgent: bool,
     ) -> float | None:
-        """Returns when the first of some limited upstreams may be asked for.
+        """Returns how soon a permit of one of some upstreams may be asked for.
 
         Returns:
-            Seconds from now; None where none of them has a limit.
+            Seconds from now, 0 or more; None if none of them has a limit.
         """
         waits = [
             max(
@@ -172,11 +187,11 @@
         return min(waits, default=None)
 
     def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
-        """Returns limits to tell other hosts.
+        """Returns the limits for the next report, with their issuers' claims.
 
         Args:
             now_s: The time.
-            is_all: Whether to tell those too that changed long ago.
+            is_all: Whether to include limits that have not changed recently.
         """
         return tuple(
             attrs.evolve(limit, issuer=self._claims.told(limit.upstream, now_s))
@@ -186,7 +201,11 @@
     def take(
         self, told: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
-        """Takes limits that another host has told, and returns what is news."""
+        """Applies the limits in another host's report.
+
+        Returns:
+            The limits whose rate has changed by it.
+        """
         told = tuple(told)
         for limit in told:
             if limit.issuer is not None:
@@ -199,8 +218,8 @@
         """Asks for a permit.
 
         Returns:
-            The request, whose outcome is known at once where this host issues
-            the permits, and what is to be sent.
+            The request, whose outcome is known at once if this host issues the
+            permits, and the queries to send.
         """
         request = PermitRequest(entry, is_least_urgent)
         return request, self._ask_next(request, now_s)
@@ -211,9 +230,9 @@
         """Ends the wait for an answer that has not come in time.
 
         Returns:
-            The host that is passed over from now on for a while, if one is;
-            and what is to be sent to another host, unless
-            the request has its outcome now.
+            The host that did not answer and is skipped for a while; None after
+            a redirect. And the queries to send to another host; none if the
+            request is settled now.
         """
         self.drop(request)
         silent = request.asked
@@ -225,12 +244,12 @@
         return silent, []
 
     def drop(self, request: PermitRequest) -> None:
-        """Waits no more for the answer to a request."""
+        """Stops waiting for answers to a request."""
         for number in [n for n, r in self._waiting.items() if r is request]:
             del self._waiting[number]
 
     def answer(self, query: PermitQuery, now_s: float) -> PermitAnswer:
-        """Answers another host as the issuer of an upstream's permits."""
+        """Answers another host's query, with a redirect to another issuer."""
         self._named.take((query.limit,), now_s)
         limit = self._named.known_limit(query.upstream, now_s)
         if limit.rate is None:
@@ -259,16 +278,16 @@
         )
 
     def handle_answer(self, answer: PermitAnswer, now_s: float) -> Queries:
-        """Takes an answer.
+        """Applies an answer to a query.
 
         Returns:
-            What is to be sent, where another host issues the permits.
+            The query to send if the answer is a redirect to another issuer.
         """
         if answer.limit is not None:
             self._named.take((answer.limit,), now_s)
         request = self._waiting.pop(answer.number, None)
         if request is None:
-            # It came too late, and its permit stays unused.
+            # The answer came too late, and its permit stays unused.
             return []
         if request.asked is not None:
             self._trackers.answered(request.asked)
@@ -293,13 +312,13 @@
         return [self._query(request, answer.issuer, now_s)]
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
+        """Drops all state of an upstream that has left for good."""
         self._closed.pop(incarnation, None)
         self._issuer.forget(incarnation)
         self._claims.forget(short_name(incarnation))
 
     def _ask_next(self, request: PermitRequest, now_s: float) -> Queries:
-        """Asks the host that issues permits, as far as is known now."""
+        """Asks the host that is taken for the issuer now."""
         issuer = self._issuer_of(request.entry, now_s)
         if issuer is None:
             self._issue_own(request, now_s)
@@ -324,7 +343,7 @@
         return address, query
 
     def _issuer_of(self, entry: UpstreamEntry, now_s: float) -> Tracker | None:
-        """Returns who issues permits; None where this host does."""
+        """Returns the issuer of an upstream; None if it is this host."""
         own = self._trackers.own
         found = self._trackers.of(entry, now_s) or own
         upstream = short_name(entry.incarnation)
@@ -359,7 +378,12 @@
         *,
         is_least_urgent: bool,
     ) -> float:
-        """Issues a permit, or returns the seconds after which to ask again."""
+        """Issues a permit if there is one.
+
+        Returns:
+            0 if the permit is issued, else the seconds after which to ask
+            again.
+        """
         rate = self._named.rate(incarnation)
         if rate is None:
             return 0.0
