--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -207,8 +207,8 @@
     def _try_to_send(self, wanted: float, end_s: float) -> None:
         self._schedule_demand(wanted, end_s)
         host = self.rng.choice(self.hosts)
-        is_told = self.now_s >= host.ready_s
-        if host.is_up and is_told and self.now_s >= host.frozen_until_s:
+        is_ready = self.now_s >= host.ready_s
+        if host.is_up and is_ready and self.now_s >= host.frozen_until_s:
             self._request(host, is_least_urgent=self.rng.random() < 0.5)
 
     def _request(self, host: Host, *, is_least_urgent: bool) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
@@ -69,12 +69,14 @@
         Sequence: a tracker is restarted at its address within a second. Cause:
         its place in the order followed from its address, not its start.
         """
-        again = tuple(
+        restarted = tuple(
             Tracker(1000 + h.incarnation, h.address, h.data_centre)
             for h in HOSTS
         )
         before = [found.address for found in _found(HOSTS[0])]
-        assert [found.address for found in _found(again[0], again)] != before
+        assert [
+            found.address for found in _found(restarted[0], restarted)
+        ] != before
 
 
 class TestSilentTracker:
@@ -91,8 +93,8 @@
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
         assert first is not None
-        noted = [trackers.missed(first, 0.0) for _ in range(MAX_MISSES)]
-        assert noted == [False] * (MAX_MISSES - 1) + [True]
+        skipped = [trackers.missed(first, 0.0) for _ in range(MAX_MISSES)]
+        assert skipped == [False] * (MAX_MISSES - 1) + [True]
         second = trackers.of(ENGINES[0], 0.0)
         assert second is not None
         assert second is not first
