--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -230,9 +230,9 @@
         """Ends the wait for an answer that has not come in time.
 
         Returns:
-            The host that did not answer and is skipped for a while; None after
-            a redirect. And the queries to send to another host; none if the
-            request is settled now.
+            A pair. First the host that did not answer and is skipped for a
+            while; None after a redirect. Then the queries to send to another
+            host; none if the outcome of the request is known now.
         """
         self.drop(request)
         silent = request.asked
@@ -249,7 +249,7 @@
             del self._waiting[number]
 
     def answer(self, query: PermitQuery, now_s: float) -> PermitAnswer:
-        """Answers another host's query, with a redirect to another issuer."""
+        """Answers another host's query: a permit, a wait or a redirect."""
         self._named.take((query.limit,), now_s)
         limit = self._named.known_limit(query.upstream, now_s)
         if limit.rate is None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -1,4 +1,4 @@
-"""Many hosts that ask each other for permits, under a virtual clock."""
+"""Simulates many hosts that ask each other for permits, in virtual time."""
 
 import heapq
 import itertools
@@ -21,34 +21,45 @@
 from hollyknot_state import Address, NamedLimit, PermitQuery
 
 ONE_WAY_S = 0.0014
+"""Seconds from the sending of a message to its delivery."""
+
 REPORT_INTERVAL_S = 0.2
-"""Between two reports of a host, each to one other."""
+"""Seconds between two reports of a host, each sent to one other host."""
 
 SETTLED_S = 8.0
-"""After a change, from when on hosts of a large fleet report less often: most
-of the steps of these tests are reports that change nothing."""
+"""Seconds after a change from which hosts of a large fleet report less often.
+Most events of these tests are reports that change nothing, and this saves time.
+"""
 
 SETTLED_REPORT_INTERVAL_S = 1.0
+"""Seconds between two reports of a host of a large fleet after `SETTLED_S`."""
 
 DISCOVERY_S = 3.0
-"""After its start, until a host has heard of limits."""
+"""Seconds after its restart until a host has received the known limits."""
 
 WINDOW_S = 4.0
+"""Length in seconds of the windows in which arrived requests are counted."""
+
 ENTRY = upstream("a")
 
 
 @attrs.define(eq=False)
 class Host:
-    """One host.
+    """One simulated host.
 
     Attributes:
-        number: Of the host.
-        address: Where it takes messages.
-        side: Of a cut; hosts hear those of their own side only.
+        number: Index of the host; a restart keeps it.
+        address: Address at which the host receives messages.
+        incarnation: Incarnation of its process.
+        side: Side of a network partition; messages to the other are lost.
         is_up: Whether its process runs.
-        frozen_until_s: Until when its process stands still.
-        known: The others that it hears.
-        told_s: From when on what it sends counts: it has heard of limits.
+        frozen_until_s: Time until which its process is frozen.
+        known: Peers that it hears.
+        ready_s: Time from which it forwards requests, since it has received
+            the known limits by then.
+        size: Number of hosts as it estimates it.
+        named: Rate limits that it knows.
+        permits: The permits that it asks for and issues.
     """
 
     number: int
@@ -70,15 +81,15 @@
 
 
 class Network:
-    """Hosts, what they send each other, and what the upstream gets."""
+    """Hosts, their messages, and the requests that reach the upstream."""
 
     def __init__(self, count: int, seed: int, sees: int | None = None) -> None:
-        """Has all hosts know each other, or each some others by chance.
+        """Creates hosts that have run for long and hear each other.
 
         Args:
-            count: How many hosts.
-            seed: Of all chance.
-            sees: How many others each host knows; None for all.
+            count: Number of hosts.
+            seed: Seed of all random choices.
+            sees: Number of random peers that each host hears; None for all.
         """
         self.now_s = 0.0
         self.rng = random.Random(seed)
@@ -94,7 +105,7 @@
         self.refresh_peers()
 
     def refresh_peers(self) -> None:
-        """Has hosts hear of those that run on their own side."""
+        """Gives each host the peers that run on its side of a partition."""
         self._changed_s = self.now_s
         up = [host for host in self.hosts if host.is_up]
         for host in up:
@@ -109,13 +120,18 @@
             host.size.set(estimated, seen, self.now_s)
 
     def name(self, rate: float | None, hosts: list[Host] | None = None) -> None:
-        """Has hosts pass on an answer that names a limit, or none."""
+        """Has hosts observe an answer with a limit, or without one.
+
+        Args:
+            rate: Limit in requests per second; None to withdraw it.
+            hosts: Hosts that get the answer; None for all.
+        """
         self._changed_s = self.now_s
         for host in self.hosts if hosts is None else hosts:
             host.named.observe("a", rate, self.now_s, self.now_s + 1e-9)
 
     def restart(self, host: Host) -> None:
-        """Replaces a host by one that knows nothing."""
+        """Replaces a host by a new process that knows nothing."""
         fresh = self._make(host.number, self.now_s)
         fresh.side = host.side
         fresh.ready_s = self.now_s + DISCOVERY_S
@@ -125,17 +141,18 @@
         self.refresh_peers()
 
     def issuer(self) -> Host:
-        """Returns the host that issues the permits."""
+        """Returns the issuer of permits, as the first live host sees it."""
         asker = next(host for host in self.hosts if host.is_up)
         tracker = asker.permits._trackers.of(ENTRY, self.now_s)
         return self._by_address[tracker.address] if tracker else asker
 
     def run(self, seconds: float, wanted: float) -> None:
-        """Lets time pass.
+        """Runs the simulation.
 
         Args:
-            seconds: How much.
-            wanted: Requests a second that all hosts would send the upstream.
+            seconds: Virtual time to run for.
+            wanted: Requests per second that callers of all hosts want to send
+                to the upstream.
         """
         end_s = self.now_s + seconds
         self._schedule_demand(wanted, end_s)
@@ -145,12 +162,12 @@
         self.now_s = end_s
 
     def begin_reports(self) -> None:
-        """Has hosts tell each other of limits."""
+        """Starts the reports of limits between hosts."""
         for host in self.hosts:
             self._begin(host)
 
     def busiest_window(self, since_s: float = 0.0) -> int:
-        """Returns the most requests that the upstream got in any window."""
+        """Returns the most requests that arrived within any `WINDOW_S`."""
         times = [at for at in self.arrived if at >= since_s]
         most = first = 0
         for last, at in enumerate(times):
@@ -160,7 +177,7 @@
         return most
 
     def got(self, since_s: float = 0.0) -> int:
-        """Returns how many requests the upstream got."""
+        """Returns the number of requests that arrived."""
         return sum(at >= since_s for at in self.arrived)
 
     def _make(self, number: int, started_s: float) -> Host:
@@ -281,7 +298,7 @@
         if not host.is_up or host.side != sender.side:
             return
         if self.now_s < host.frozen_until_s:
-            # It lies in the socket until the process goes on.
+            # It waits in the socket buffer until the process resumes.
             self._at(
                 host.frozen_until_s, self._deliver, sender, host, take, args
             )
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -1,4 +1,4 @@
-"""Tests of asking for loads: hosts that tell, ask, are lost, and disagree."""
+"""Tests of queries for loads and of notes, with lost hosts and messages."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 @attrs.define(eq=False)
 class _Host:
-    """One host, with what it believes."""
+    """One host with its view of all loads."""
 
     tracker: Tracker
     loads: Loads
@@ -43,7 +43,7 @@
 
 
 class _Fleet:
-    """Some hosts whose messages arrive at once, or never."""
+    """Hosts whose messages arrive at once or are lost."""
 
     def __init__(self, size: int) -> None:
         self.now_s = 0.0
@@ -63,14 +63,14 @@
         return _Host(own, loads, cached, forecasts, inquiries)
 
     def send_notes(self, host: _Host) -> None:
-        """Sends a host's notes."""
+        """Sends the due notes of a host to the trackers."""
         for tracker, note in host.inquiries.notes(ENGINES.get, self.now_s):
             other = self._recipient(tracker)
             if other is not None:
                 other.inquiries.handle_note(note, self.now_s)
 
     def ask(self, host: _Host, entries: list[UpstreamEntry]) -> bool:
-        """Asks, and returns whether all trackers have answered."""
+        """Queries the trackers, and returns whether all have answered."""
         done: list[bool] = []
         runs = runs_of(PROMPT)
         inquiry = host.inquiries.ask(entries, runs, self.now_s)
@@ -95,13 +95,13 @@
 
 
 class TestAsking:
-    """What others have in flight is known at the moment of the choice."""
+    """In-flight work of other hosts is known when an upstream is chosen."""
 
     def test_load_of_other_hosts_is_known_before_any_report(self) -> None:
-        """Hosts of a large fleet crowd on the engine that seemed idle.
+        """Guards against many hosts that all choose the same idle upstream.
 
-        Sequence: in a burst hosts choose within a second; reports take
-        seconds. Cause: none knew what the others had sent just now.
+        In a burst they choose within a second, while reports take seconds in a
+        large fleet, so none would know what the others have just sent.
         """
         fleet = _Fleet(5)
         for number, host in enumerate(fleet.hosts):
@@ -147,13 +147,13 @@
 
 
 class TestFailures:
-    """Trackers advise; without them a choice is made by older knowledge."""
+    """Lost trackers, hosts and messages leave loads wrong for a short time."""
 
     def test_a_lost_tracker_is_replaced_within_a_second(self) -> None:
-        """One engine's load is unknown to all until a host is forgotten.
+        """Guards against queries and notes that still go to a lost tracker.
 
-        Sequence: its tracker loses power in a burst. Cause: queries and notes
-        went on to it.
+        When it loses power in a burst, the load of its upstream would be
+        unknown until peers have removed the host.
         """
         fleet = _Fleet(6)
         lost = fleet.tracker_of(ENGINE)
@@ -180,10 +180,10 @@
         assert asker.loads.at("i-0", fleet.now_s).requests == 0
 
     def test_unchanged_load_is_renewed(self) -> None:
-        """A busy engine seems idle after some seconds.
+        """Guards against a busy upstream that seems idle after some seconds.
 
-        Sequence: streams of ten seconds run there and nothing else happens.
-        Cause: what was told once had expired.
+        While long streams run and no request starts or ends, a load that was
+        reported only once would expire.
         """
         fleet = _Fleet(3)
         tracker = fleet.tracker_of(ENGINE)
@@ -239,10 +239,10 @@
         assert asker.loads.at("i-0", 0.02).requests == 1
 
     def test_a_tracker_drops_upstreams_without_recent_notes(self) -> None:
-        """A host's memory grows with all upstreams that there ever were.
+        """Guards against memory that grows with each upstream ever reported.
 
-        Sequence: upstreams are replaced all day; each one's work was told to
-        its tracker. Cause: what was told was dropped only when asked for.
+        Upstreams are replaced all day. Loads that are dropped only when they
+        are queried would stay for those that have gone.
         """
         fleet = _Fleet(1)
         (host,) = fleet.hosts
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what a host knows of the limits that upstreams name."""
+"""Tests of the rate limits of upstreams that a host knows."""
 
 import attrs
 import pytest
@@ -15,7 +15,7 @@
 
 
 class TestAnswers:
-    """What answers say of the upstream's limit."""
+    """Limits are observed in the answers of upstreams."""
 
     def test_no_limit_is_known_at_first(self) -> None:
         named = NamedLimits()
@@ -54,7 +54,7 @@
 
 
 class TestPeers:
-    """What hosts tell each other."""
+    """Hosts report limits to each other."""
 
     def _limit(self, rate: float | None, age_ms: int = 0) -> NamedLimit:
         return NamedLimit(short_name("a"), age_ms, rate)
@@ -76,7 +76,7 @@
         assert named.rate("a") == 3.0
 
     def test_an_observation_never_gets_younger_by_gossip(self) -> None:
-        """Guards against a withdrawn limit that hosts tell each other on."""
+        """Guards against a withdrawn limit that circulates between hosts."""
         hosts = [NamedLimits() for _ in range(10)]
         hosts[0].observe("a", 1.2, 0.0, 1.0)
         now_s = 1.0
@@ -126,7 +126,7 @@
         assert named.told(1.0 + REPORT_CHANGE_S, is_all=True)
 
     def test_removed_upstreams_leave_all_reports(self) -> None:
-        """Guards against hosts that remind each other of what has gone."""
+        """Guards against hosts that remind each other of removed upstreams."""
         hosts = [NamedLimits() for _ in range(3)]
         hosts[0].observe("a", 1.2, 0.0, 1.0)
         now_s = 1.0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
@@ -1,4 +1,4 @@
-"""Tests of permits that one host issues."""
+"""Tests of the permits that one host issues."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     is_least_urgent: bool = False,
     is_sole: bool = False,
 ) -> int:
-    """Asks again and again, and returns how many permits were issued."""
+    """Asks every `STEP_S`, and returns the number of permits issued."""
     return sum(
         not issuer.issue(
             "a",
@@ -42,7 +42,7 @@
 
 
 class TestPermitIssuer:
-    """Permits at a rate, some of which are saved up."""
+    """A host issues permits at its share of the rate, and saves up a few."""
 
     def test_issues_its_share_of_the_rate(self) -> None:
         issued = _issued(_issuer(), 10.0, 20.0)
@@ -60,7 +60,7 @@
         assert sole > 3 * some
 
     def test_a_host_that_has_just_started_issues_none(self) -> None:
-        """Guards against a host that takes itself for the only one."""
+        """Guards against a new host that takes itself for the only one."""
         assert _issued(_issuer(), 0.0, 0.9) == 0
 
     def test_a_host_that_hears_no_peer_issues_none(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Tests of what an upstream with a rate limit gets from all hosts together."""
+"""Tests of the rate of requests that all hosts together send to an upstream."""
 
 import pytest
 from hypothesis import given, settings
@@ -11,15 +11,17 @@
 )
 
 CONTACT_S = 3.0
-"""From a limit's first naming until it binds."""
+"""Seconds after a limit was first named until hosts must keep to it."""
 
 LEAST_USED = 0.6
-"""Of what an upstream names, what it gets while callers want it."""
+"""Fraction of a limit that must be used while the demand is higher."""
 
 LONG_S = 60.0
+"""Seconds of virtual time of the long runs."""
+
 SEEDS = range(3)
 LARGE = (2500, 400)
-"""Hosts, and how many of the others each hears."""
+"""Number of hosts, and of the peers that each hears."""
 
 SIZES = [(8, None), (83, None), LARGE]
 RATES = [0.3, 1.2, 30.0]
@@ -32,18 +34,18 @@
 
 
 def _most(rate: float) -> int:
-    """Returns how many requests a limit allows in a window."""
+    """Returns the most requests that a limit tolerates within `WINDOW_S`."""
     return int(1.5 * rate * WINDOW_S + 5)
 
 
 class TestLimit:
-    """All hosts together keep to a limit and use most of it."""
+    """All hosts together keep to a limit, and use most of it."""
 
     @pytest.mark.parametrize(("count", "sees", "rate", "seed"), CASES)
     def test_demand_above_the_limit(
         self, count: int, sees: int | None, rate: float, seed: int
     ) -> None:
-        """Guards against limits that each host keeps by itself."""
+        """Guards against hosts that each use the whole limit by themselves."""
         network = Network(count, seed, sees)
         network.begin_reports()
         network.name(rate)
@@ -55,7 +57,7 @@
     def test_a_burst_after_little_demand(
         self, count: int, sees: int | None
     ) -> None:
-        """Guards against permits that are saved up at each host."""
+        """Guards against a burst of permits that each host has saved up."""
         network = Network(count, 1, sees)
         network.begin_reports()
         network.name(1.2)
@@ -68,7 +70,7 @@
     def test_only_one_host_observed_the_limit(
         self, count: int, sees: int | None
     ) -> None:
-        """Guards against hosts that are told by upstreams only."""
+        """Guards against hosts that learn limits only from their answers."""
         network = Network(count, 1, sees)
         network.begin_reports()
         network.name(1.2, network.hosts[:1])
@@ -79,7 +81,7 @@
 
 
 class TestChanges:
-    """The newest word of an upstream counts at all hosts."""
+    """The newest limit of an upstream counts at all hosts."""
 
     @pytest.mark.parametrize(("count", "sees"), SIZES)
     def test_lowered(self, count: int, sees: int | None) -> None:
@@ -117,7 +119,10 @@
         assert not any(host.permits.is_limited(ENTRY) for host in network.hosts)
 
     def test_a_limit_of_zero_is_tried_now_and_then(self) -> None:
-        """Guards against a limit of zero whose end is never heard of."""
+        """Guards against a limit of zero whose withdrawal is never observed.
+
+        Only answers show it, so a few requests must be sent.
+        """
         network = Network(8, 1)
         network.name(0.0)
         network.run(LONG_S, wanted=20.0)
@@ -125,12 +130,12 @@
 
 
 class TestFaults:
-    """Hosts that are cut off, killed, restarted or frozen."""
+    """The limit holds while hosts are cut off, killed, restarted or frozen."""
 
     @pytest.mark.parametrize("count", [8, 83])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_network_partition(self, count: int, seed: int) -> None:
-        """Guards against a whole limit on each side of a cut."""
+        """Guards against the use of the whole limit on each side."""
         network = Network(count, seed)
         network.name(1.2)
         network.run(20.0, wanted=10.0)
@@ -146,7 +151,7 @@
     @pytest.mark.parametrize("count", [8, 83])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_the_issuer_is_killed(self, count: int, seed: int) -> None:
-        """Guards against permits that end with the host that issues them."""
+        """Guards against permits that end with the loss of their issuer."""
         network = Network(count, seed)
         network.name(1.2)
         network.run(20.0, wanted=10.0)
@@ -160,7 +165,7 @@
     @pytest.mark.parametrize("count", [8, 83])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_issuers_are_restarted_in_turn(self, count: int, seed: int) -> None:
-        """Guards against a restarted issuer that takes itself for the only."""
+        """Guards against a restarted issuer that acts as the only one."""
         network = Network(count, seed)
         network.begin_reports()
         network.name(1.2)
@@ -196,7 +201,7 @@
         assert network.got() >= LEAST_USED * 1.2 * LONG_S
 
 
-_FAULTS = ["restart", "kill", "freeze", "cut", "heal", "lose", "meet"]
+_FAULTS = ["restart", "kill", "freeze", "cut", "heal", "lose", "refresh"]
 _STEPS = st.lists(
     st.tuples(
         st.sampled_from(_FAULTS),
@@ -208,7 +213,7 @@
 
 
 def _inject(network: Network, fault: str, number: int) -> None:
-    """Has one fault strike; most strike the issuer."""
+    """Injects one fault; an odd number chooses the issuer as its host."""
     host = network.issuer() if number % 2 else network.hosts[number]
     if fault == "restart":
         network.restart(host)
@@ -224,19 +229,19 @@
             other.side = 0
     elif fault == "lose":
         network.loss_rate = number / 100
-    elif fault == "meet":
+    elif fault == "refresh":
         network.refresh_peers()
 
 
 class TestAnyFaults:
-    """Whatever strikes hosts, the limit holds."""
+    """The limit holds under any sequence of faults."""
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_STEPS, st.sampled_from(RATES), st.integers(0, 1000))
     def test_any_sequence(
         self, steps: list[tuple[str, float, int]], rate: float, seed: int
     ) -> None:
-        """Guards against more than two issuers at a time."""
+        """Guards against more than two issuers at the same time."""
         network = Network(8, seed)
         network.begin_reports()
         network.name(rate)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
@@ -1,4 +1,4 @@
-"""Tests of finding who tracks an upstream."""
+"""Tests of choosing the tracker of an upstream."""
 
 from collections import Counter
 
@@ -32,7 +32,7 @@
 
 
 class TestOrder:
-    """All hosts find the same tracker."""
+    """All hosts rank the trackers of an upstream alike."""
 
     def test_all_hosts_agree(self) -> None:
         wanted = _found(HOSTS[0])
@@ -44,10 +44,10 @@
         assert max(counts.values()) < 10
 
     def test_a_tracker_runs_in_its_upstreams_data_centre(self) -> None:
-        """Hosts beside an engine can't ask for its load during a cut.
+        """Guards against a tracker that is cut off from its upstream's hosts.
 
-        Sequence: a data centre is cut off; its hosts and engines go on. Cause:
-        the tracker of an engine was on the other side.
+        If it ran in another data centre, a partition would keep the hosts
+        beside the upstream from asking for its load.
         """
         assert {found.data_centre for found in _found(HOSTS[1])} == {"north"}
 
@@ -64,10 +64,10 @@
         assert moved == [found is lost for found in before]
 
     def test_a_restarted_host_gets_another_rank(self) -> None:
-        """A host that knows nothing is taken to know all loads as zero.
+        """Guards against a restarted tracker whose loads are taken for zero.
 
-        Sequence: a tracker is restarted at its address within a second. Cause:
-        its place in the order followed from its address, not its start.
+        If the ranking followed from the address, a tracker restarted within a
+        second would go on as the tracker without any load.
         """
         restarted = tuple(
             Tracker(1000 + h.incarnation, h.address, h.data_centre)
@@ -80,15 +80,15 @@
 
 
 class TestSilentTracker:
-    """A tracker that does not answer is passed over for a while."""
+    """A tracker that does not answer is skipped for a while."""
 
     def test_after_max_misses_the_next_candidate_is_asked_for_a_while(
         self,
     ) -> None:
-        """Requests are placed by old loads until peers forget a lost host.
+        """Guards against placement by old loads after the loss of a tracker.
 
-        Sequence: the host that tracks an engine loses power. Cause: it stays
-        the tracker for as long as its peers take it to live.
+        A tracker that loses power would stay the tracker until its peers have
+        noticed its loss.
         """
         trackers = _trackers(HOSTS[1])
         first = trackers.of(ENGINES[0], 0.0)
