--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -134,7 +134,7 @@
             inquiry.on_done()
 
     def give_up(self, inquiry: Inquiry, now_s: float) -> list[Tracker]:
-        """Ends an inquiry whose answers have not all come in time.
+        """Ends an inquiry; each tracker that has not answered counts as a miss.
 
         Returns:
             Trackers that are skipped from now on, for a while.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -182,8 +182,8 @@
     def test_unchanged_load_is_renewed(self) -> None:
         """Guards against a busy upstream that seems idle after some seconds.
 
-        While long streams run and no request starts or ends, a load that was
-        reported only once would expire.
+        While streams of ten seconds run and no request starts or ends, a load
+        that was reported only once would expire.
         """
         fleet = _Fleet(3)
         tracker = fleet.tracker_of(ENGINE)
