--- a/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/__init__.py
@@ -10,9 +10,9 @@
 from hollyknot_coordination.forwarding._health import Health
 from hollyknot_coordination.forwarding._host_count import HostCount
 from hollyknot_coordination.forwarding._inquiries import (
-    ANSWER_S,
-    ASK_FROM_S,
-    NOTE_FROM_S,
+    ANSWER_TIMEOUT_S,
+    MIN_INTERVAL_TO_NOTE_S,
+    MIN_INTERVAL_TO_QUERY_S,
     Inquiries,
     Inquiry,
 )
@@ -21,7 +21,7 @@
 from hollyknot_coordination.forwarding._named_limits import NamedLimits
 from hollyknot_coordination.forwarding._peers import Peers
 from hollyknot_coordination.forwarding._permits import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     PermitRequest,
     Permits,
     Queries,
@@ -68,10 +68,10 @@
 )
 
 __all__ = [
-    "ANSWER_S",
-    "ASK_FROM_S",
-    "NOTE_FROM_S",
-    "PERMIT_ANSWER_S",
+    "ANSWER_TIMEOUT_S",
+    "MIN_INTERVAL_TO_NOTE_S",
+    "MIN_INTERVAL_TO_QUERY_S",
+    "PERMIT_ANSWER_TIMEOUT_S",
     "RENEW_S",
     "SHED_RETRY_AFTER_S",
     "Admission",
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -1,9 +1,9 @@
-"""Which host issues the permits of an upstream, in a large fleet.
+"""Makes hosts of a large fleet agree on the issuer of an upstream's permits.
 
-Each host hears some of the others only, so that several take themselves for the
-first in the order of an upstream. Those that issue permits say so in their
-reports; hosts pass on the first of those that they heard of. Within seconds all
-know the same one.
+Each host hears only some of the others, so several may take themselves for the
+first host in the ranking of an upstream. A host that issues permits claims so
+in its reports. Hosts pass on the claim that ranks first among those that they
+have received, so all hosts know the same issuer within seconds.
 """
 
 import attrs
@@ -12,63 +12,67 @@
 from hollyknot_coordination.forwarding._trackers import Tracker, rank
 from hollyknot_state import IssuerClaim
 
-CLAIM_S = 10.0
-"""How long a claim counts after the host has made it."""
+CLAIM_LIFETIME_S = 10.0
+"""Age in seconds above which a claim no longer counts."""
 
-ALL_HEARD_PART = 0.9
-"""Of all hosts, the part from which on claims are needless: nearly all know the
-same host."""
+ALL_HEARD_FRACTION = 0.9
+"""Fraction of all hosts that a host must hear to do without claims: then nearly
+all hosts compute the same issuer."""
 
-SOLE_S = 5.0
-"""How long a host hears of no other issuer before it takes itself for the only
-one."""
+SOLE_AFTER_S = 5.0
+"""Seconds without a claim by others after which an issuer takes itself for the
+only one."""
 
-SOLE_CLAIMS = 10
-"""Its own claims that it must have been told in this time."""
+MIN_OWN_CLAIMS = 10
+"""Reports of its own claim that it must have received from others in that time.
+They show that its claim has spread."""
 
 _MS = 1000
 
 
 @attrs.define
-class _Known:
-    """What is known of the issuers of one upstream.
+class _ClaimState:
+    """Claims to issue the permits of one upstream.
 
     Attributes:
-        claim: The first in the order.
-        made_s: When it was made.
-        other_s: When this host last heard of another issuer than itself.
-        own_told: How often it has been told of itself since.
+        claim: Claim that ranks first among those received.
+        made_s: Time at which its host last made it.
+        last_other_s: Time at which this host last received a claim of another
+            host.
+        own_claims_received: Number of times that other hosts have reported
+            this host's own claim since then.
     """
 
     claim: IssuerClaim
     made_s: float
-    other_s: float
-    own_told: int = 0
+    last_other_s: float
+    own_claims_received: int = 0
 
 
 class IssuerClaims:
-    """The claims that one host has heard of, by the upstream's short name."""
+    """Claims that one host knows, by the short name of the upstream."""
 
     def __init__(self, own: Tracker, size: HostCount) -> None:
-        """Has heard of none.
+        """Creates a table without claims.
 
         Args:
             own: This host.
-            size: Tells whether claims are needed.
+            size: Number of hosts and the part of them that this host hears,
+                which decides whether claims are needed.
         """
         self._own = own
         self._size = size
-        self._known: dict[int, _Known] = {}
+        self._states: dict[int, _ClaimState] = {}
 
     def issuer(self, upstream: int, now_s: float) -> IssuerClaim | None:
-        """Returns the first host that claims to issue an upstream's permits."""
-        known = self._known.get(upstream)
-        if known is None or now_s - known.made_s > CLAIM_S:
+        """Returns the first-ranked claim to an upstream that still counts."""
+        known = self._states.get(upstream)
+        if known is None or now_s - known.made_s > CLAIM_LIFETIME_S:
             return None
         return known.claim
 
     def claim(self, upstream: int, now_s: float, *, is_near: bool) -> None:
-        """Notes that this host issues permits.
+        """Records that this host issues permits of an upstream.
 
         Args:
             upstream: The upstream's short name.
@@ -77,50 +81,50 @@
         """
         own = self._own
         claim = IssuerClaim(own.incarnation, own.address, is_near)
-        self._note(upstream, claim, now_s, now_s)
+        self._merge(upstream, claim, now_s, now_s)
 
     def take(self, upstream: int, claim: IssuerClaim, now_s: float) -> None:
-        """Takes a claim that another host has told."""
+        """Applies a claim from another host's report."""
         made_s = now_s - max(0, claim.age_ms) / _MS
-        known = self._note(upstream, claim, made_s, now_s)
+        known = self._merge(upstream, claim, made_s, now_s)
         if claim.incarnation == self._own.incarnation:
-            known.own_told += 1
+            known.own_claims_received += 1
         else:
-            known.other_s = now_s
-            known.own_told = 0
+            known.last_other_s = now_s
+            known.own_claims_received = 0
 
     def told(self, upstream: int, now_s: float) -> IssuerClaim | None:
-        """Returns the claim to tell others; None where none is needed."""
-        if self._size.heard_part >= ALL_HEARD_PART:
+        """Returns the claim to report to others; None if none is needed."""
+        if self._size.heard_part >= ALL_HEARD_FRACTION:
             return None
         claim = self.issuer(upstream, now_s)
         if claim is None:
             return None
-        age_s = now_s - self._known[upstream].made_s
+        age_s = now_s - self._states[upstream].made_s
         return attrs.evolve(claim, age_ms=max(0, round(age_s * _MS)))
 
     def is_sole(self, upstream: int, now_s: float) -> bool:
-        """Whether this host is the only one that issues permits."""
-        known = self._known.get(upstream)
+        """Returns whether this host takes itself for the only issuer."""
+        known = self._states.get(upstream)
         return (
             known is not None
-            and known.own_told >= SOLE_CLAIMS
-            and now_s - known.other_s >= SOLE_S
+            and known.own_claims_received >= MIN_OWN_CLAIMS
+            and now_s - known.last_other_s >= SOLE_AFTER_S
         )
 
     def forget(self, upstream: int) -> None:
-        """Notes that an upstream has left for good."""
-        self._known.pop(upstream, None)
+        """Drops the claims to an upstream that has left for good."""
+        self._states.pop(upstream, None)
 
-    def _note(
+    def _merge(
         self, upstream: int, claim: IssuerClaim, made_s: float, now_s: float
-    ) -> _Known:
-        known = self._known.get(upstream)
+    ) -> _ClaimState:
+        known = self._states.get(upstream)
         if known is None:
-            known = _Known(claim, made_s, other_s=now_s)
-            self._known[upstream] = known
+            known = _ClaimState(claim, made_s, last_other_s=now_s)
+            self._states[upstream] = known
             return known
-        is_over = now_s - known.made_s > CLAIM_S
+        is_over = now_s - known.made_s > CLAIM_LIFETIME_S
         if known.claim.incarnation == claim.incarnation:
             known.made_s = max(known.made_s, made_s)
         elif is_over or _rank(upstream, claim) > _rank(upstream, known.claim):
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -1,8 +1,9 @@
-"""Which upstreams have named a rate limit, and what the newest word is.
+"""Keeps the rate limits that upstreams name, as far as one host knows them.
 
-An upstream in need names in each answer how many requests a second it takes
-from all hosts together, and stops naming it when the need is over. Hosts tell
-each other, so that one keeps to a limit before it has been told itself.
+An overloaded upstream names in each answer how many requests per second it
+accepts from all hosts together, and stops naming a limit when the overload is
+over. Hosts gossip what they observe, so that a host keeps to a limit before it
+has received an answer with it.
 """
 
 import math
@@ -12,89 +13,96 @@
 
 from hollyknot_state import NamedLimit, short_name
 
-NEWS_S = 5.0
-"""How long a changed limit is told in each report. Then it is told only in
-reports that tell all."""
+REPORT_CHANGE_S = 5.0
+"""Seconds for which a changed limit is in every report. Later it is only in
+reports of all limits."""
 
-MOST_TOLD = 16
-"""Limits in one report, some 12 bytes each."""
+MAX_REPORTED = 16
+"""Most limits in one report; each takes about 12 bytes."""
 
-REMEMBER_WITHDRAWN_S = 30.0
-"""How long a withdrawal is known, and goes before older words of a limit."""
+WITHDRAWN_RETENTION_S = 30.0
+"""Seconds for which a withdrawal is kept. It overrides older observations of a
+limit that other hosts still report."""
 
-TELL_S = 60.0
-"""How old a word may be that is still told. Hosts would else tell each other of
-upstreams that have long gone, which each of them forgets in turn."""
+MAX_REPORTED_AGE_S = 60.0
+"""Age in seconds from which an observation is no longer reported. Else hosts
+would forever remind each other of upstreams that have gone, as each of them
+drops and learns them again in turn."""
 
-REMEMBER_S = 600.0
-"""After this long without an answer nothing is known of an upstream."""
+RETENTION_S = 600.0
+"""Age in seconds above which an observation is dropped."""
 
-HOP_S = 0.05
-"""By how much a word counts as older for each host that passes it on. Its time
-on the way is not known, and it must not grow younger by being told."""
+HOP_AGE_S = 0.05
+"""Seconds added to the age of an observation by each host that receives it. The
+time that a report is under way is unknown, and an observation must not get
+younger by being passed on."""
 
 _MS = 1000
 _UNKNOWN_AGE_MS = 10**9
+"""Age reported for an upstream of which nothing is known: older than any."""
 
 
 @attrs.frozen
-class _Word:
-    """The newest word of an upstream.
+class _KnownLimit:
+    """The newest observation of an upstream's limit.
 
     Attributes:
-        rate: Requests a second; None where the limit was withdrawn.
-        heard_s: When an answer of the upstream said so.
-        changed_s: When this host learnt of this rate.
+        rate: Limit in requests per second; None if it was withdrawn.
+        observed_s: Time of the answer of the upstream that showed it.
+        changed_s: Time at which this host learnt of this rate.
     """
 
     rate: float | None
-    heard_s: float
+    observed_s: float
     changed_s: float
 
 
 class NamedLimits:
-    """The rate limits that one host knows of, by incarnation."""
+    """Rate limits that one host knows, by the upstream's incarnation."""
 
     def __init__(self) -> None:
-        """No upstream has named any."""
-        self._words: dict[int, _Word] = {}
+        """Creates a table without limits."""
+        self._limits: dict[int, _KnownLimit] = {}
 
     @property
     def count(self) -> int:
-        """How many upstreams have a limit."""
-        return sum(word.rate is not None for word in self._words.values())
+        """Number of upstreams with a limit."""
+        return sum(
+            known_limit.rate is not None
+            for known_limit in self._limits.values()
+        )
 
     def rate(self, incarnation: str) -> float | None:
-        """Returns an upstream's limit in requests a second; None for none."""
-        if not self._words:
+        """Returns an upstream's limit in requests per second, or None."""
+        if not self._limits:
             return None
-        word = self._words.get(short_name(incarnation))
-        return word.rate if word is not None else None
+        known_limit = self._limits.get(short_name(incarnation))
+        return known_limit.rate if known_limit is not None else None
 
-    def hear(
+    def observe(
         self,
         incarnation: str,
         rate: float | None,
         sent_s: float,
         now_s: float,
     ) -> bool:
-        """Takes what an answer of an upstream says.
+        """Records the limit in an answer of an upstream.
 
         Args:
-            incarnation: The upstream.
-            rate: Its limit in requests a second; None if it names none.
-            sent_s: When the request was sent. An answer without a limit to one
-                that was sent before a limit was heard does not withdraw it: it
-                may have begun earlier.
+            incarnation: Incarnation of the upstream.
+            rate: Limit in requests per second; None if the answer names none.
+            sent_s: Time at which the request was sent. An answer without a
+                limit does not withdraw one that was observed after its request
+                was sent, as the answer may have begun before the limit.
             now_s: The time.
 
         Returns:
-            Whether it is news.
+            Whether the upstream's rate has changed.
         """
         name = short_name(incarnation)
-        known = self._words.get(name)
+        known = self._limits.get(name)
         if rate is None and (
-            known is None or known.rate is None or sent_s <= known.heard_s
+            known is None or known.rate is None or sent_s <= known.observed_s
         ):
             return False
         return self._put(name, rate, now_s, now_s)
@@ -102,87 +110,88 @@
     def take(
         self, told: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
-        """Takes what another host knows.
+        """Applies the limits that another host reports, where they are newer.
 
         Returns:
-            What is news.
+            The limits whose rate has changed by it.
         """
-        news = []
+        changed = []
         for limit in told:
-            heard_s = now_s - max(0, limit.age_ms) / _MS - HOP_S
-            known = self._words.get(limit.upstream)
+            observed_s = now_s - max(0, limit.age_ms) / _MS - HOP_AGE_S
+            known = self._limits.get(limit.upstream)
             if limit.rate is None and known is None:
                 continue
             if limit.rate is not None and not _is_rate(limit.rate):
                 continue
-            if known is not None and heard_s <= known.heard_s:
+            if known is not None and observed_s <= known.observed_s:
                 continue
-            if self._put(limit.upstream, limit.rate, heard_s, now_s):
-                news.append(limit)
-        return news
+            if self._put(limit.upstream, limit.rate, observed_s, now_s):
+                changed.append(limit)
+        return changed
 
-    def word(self, incarnation: str, now_s: float) -> NamedLimit:
-        """Returns what is known of an upstream, for another host."""
+    def known_limit(self, incarnation: str, now_s: float) -> NamedLimit:
+        """Returns the known limit of an upstream, to send to another host."""
         name = short_name(incarnation)
-        word = self._words.get(name)
-        if word is None:
+        known_limit = self._limits.get(name)
+        if known_limit is None:
             return NamedLimit(name, _UNKNOWN_AGE_MS)
-        return _told(name, word, now_s)
+        return _told(name, known_limit, now_s)
 
     def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
-        """Returns limits to tell other hosts, the newest first.
+        """Returns the limits for the next report, the last changed first.
 
         Args:
             now_s: The time.
-            is_all: Whether to tell those too that changed long ago.
+            is_all: Whether to include limits that have not changed recently.
         """
-        if not self._words:
+        if not self._limits:
             return ()
         self._expire(now_s)
         found = [
-            (word.changed_s, name, word)
-            for name, word in self._words.items()
-            if (is_all or now_s - word.changed_s < NEWS_S)
-            and now_s - word.heard_s < TELL_S
+            (known_limit.changed_s, name, known_limit)
+            for name, known_limit in self._limits.items()
+            if (is_all or now_s - known_limit.changed_s < REPORT_CHANGE_S)
+            and now_s - known_limit.observed_s < MAX_REPORTED_AGE_S
         ]
         found.sort(reverse=True)
         return tuple(
-            _told(name, word, now_s) for _, name, word in found[:MOST_TOLD]
+            _told(name, known_limit, now_s)
+            for _, name, known_limit in found[:MAX_REPORTED]
         )
 
     def forget(self, incarnation: str) -> None:
-        """Notes that an upstream has left for good."""
-        self._words.pop(short_name(incarnation), None)
+        """Drops the limit of an upstream that has left for good."""
+        self._limits.pop(short_name(incarnation), None)
 
     def _put(
-        self, name: int, rate: float | None, heard_s: float, now_s: float
+        self, name: int, rate: float | None, observed_s: float, now_s: float
     ) -> bool:
-        known = self._words.get(name)
-        is_news = known is None or known.rate != rate
+        known = self._limits.get(name)
+        is_change = known is None or known.rate != rate
         changed_s = now_s
-        if known is not None and not is_news:
+        if known is not None and not is_change:
             changed_s = known.changed_s
-        self._words[name] = _Word(rate, heard_s, changed_s)
-        return is_news
+        self._limits[name] = _KnownLimit(rate, observed_s, changed_s)
+        return is_change
 
     def _expire(self, now_s: float) -> None:
         old = [
             name
-            for name, word in self._words.items()
-            if now_s - word.heard_s > REMEMBER_S
+            for name, known_limit in self._limits.items()
+            if now_s - known_limit.observed_s > RETENTION_S
             or (
-                word.rate is None
-                and now_s - word.changed_s > REMEMBER_WITHDRAWN_S
+                known_limit.rate is None
+                and now_s - known_limit.changed_s > WITHDRAWN_RETENTION_S
             )
         ]
         for name in old:
-            del self._words[name]
+            del self._limits[name]
 
 
 def _is_rate(rate: float) -> bool:
     return math.isfinite(rate) and rate >= 0
 
 
-def _told(name: int, word: _Word, now_s: float) -> NamedLimit:
-    age_ms = max(0, round((now_s - word.heard_s) * _MS))
-    return NamedLimit(name, age_ms, word.rate)
+def _told(name: int, known_limit: _KnownLimit, now_s: float) -> NamedLimit:
+    age_ms = max(0, round((now_s - known_limit.observed_s) * _MS))
+    return NamedLimit(name, age_ms, known_limit.rate)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
@@ -1,9 +1,9 @@
-"""The loads of the upstreams that one host tracks for all others.
+"""Sums up the loads that all hosts put on the upstreams tracked by one host.
 
-Hosts tell a tracker of each change of their own work, and ask it before they
-choose. A tracker advises and grants nothing: two that both take themselves for
-the tracker of an upstream, or one that has just begun, give smaller sums, and
-what they lack is told again within a second.
+Hosts send a tracker a note of each change of their in-flight work, and query it
+before they choose an upstream. A tracker only advises and grants nothing. While
+two hosts both act as the tracker of an upstream, or just after one has started,
+their sums are too small; the missing work is reported again within a second.
 """
 
 import statistics
@@ -23,71 +23,82 @@
 )
 
 RENEW_S = 1.0
-"""Between two notes of a host to the tracker of an upstream where it has work
-that did not change: a lost note, or a new tracker, is wrong for no longer."""
+"""Seconds between two notes of unchanged work to the tracker of an upstream.
+It bounds how long a lost note or a new tracker leaves a sum wrong."""
 
 EXPIRE_S = 2.5
-"""Age from which work that was told is no longer counted: its host has gone, or
-two notes in a row were lost."""
+"""Age in seconds above which reported work is no longer counted: its host has
+gone, or two notes in a row were lost."""
 
 
 @attrs.frozen
-class _Told:
+class _HostLoad:
+    """Load that one host puts on one upstream, from its newest note.
+
+    Attributes:
+        use: In-flight work of the host at the upstream.
+        pace: Pace of the upstream's streams as seen by the host; None if it
+            sees no stream.
+        sequence: Sequence number of the note; older notes are ignored.
+        received_s: Time at which the note was received.
+    """
+
     use: UpstreamUse
     pace: UpstreamPace | None
     sequence: int
-    heard_s: float
+    received_s: float
 
 
 class TrackedLoads:
-    """Work of all hosts at some upstreams, as they have told it."""
+    """The load that hosts report for the upstreams tracked here."""
 
     def __init__(self, cached: CachedParts) -> None:
-        """Tracks nothing yet.
+        """Creates a table without any loads.
 
         Args:
-            cached: Where to keep which upstream has which parts.
+            cached: Keeps which prompt prefixes upstreams have cached, as far
+                as notes report it.
         """
         self._cached = cached
-        self._told: dict[int, dict[int, _Told]] = {}
+        self._host_loads: dict[int, dict[int, _HostLoad]] = {}
 
     def __len__(self) -> int:
-        """Returns how many upstreams it was told of lately."""
-        return len(self._told)
+        """Returns the number of upstreams with recently reported load."""
+        return len(self._host_loads)
 
     def take(self, note: LoadNote, now_s: float) -> None:
-        """Takes what a host tells; an older note tells nothing."""
+        """Applies a host's note; for each upstream only a newer one counts."""
         paces = {pace.upstream: pace for pace in note.paces}
         for use in note.uses:
-            hosts = self._told.setdefault(use.upstream, {})
+            hosts = self._host_loads.setdefault(use.upstream, {})
             before = hosts.get(note.incarnation)
             if before is None or before.sequence < note.sequence:
                 pace = paces.get(use.upstream)
-                told = _Told(use, pace, note.sequence, now_s)
-                hosts[note.incarnation] = told
+                host_load = _HostLoad(use, pace, note.sequence, now_s)
+                hosts[note.incarnation] = host_load
         self._cached.take(note.held, now_s)
 
     def expire(self, now_s: float) -> None:
-        """Forgets what is too old to be counted.
+        """Drops loads that are too old to be counted.
 
-        Upstreams and hosts come and go all day; without this a tracker keeps
-        something of each that it was ever told of.
+        Upstreams and hosts are replaced all the time. Without this a tracker's
+        memory would grow with each one that was ever reported.
         """
-        for upstream, hosts in list(self._told.items()):
-            for incarnation, told in list(hosts.items()):
-                if now_s - told.heard_s > EXPIRE_S:
+        for upstream, hosts in list(self._host_loads.items()):
+            for incarnation, host_load in list(hosts.items()):
+                if now_s - host_load.received_s > EXPIRE_S:
                     del hosts[incarnation]
             if not hosts:
-                del self._told[upstream]
+                del self._host_loads[upstream]
 
     def answer(self, query: LoadQuery, now_s: float) -> LoadAnswer:
-        """Returns what all hosts but the asker have in flight."""
+        """Returns the in-flight work of all hosts except the one that asks."""
         others = {
             name: list(self._others(name, query.incarnation, now_s))
             for name in query.upstreams
         }
         uses = tuple(
-            summed_use(name, (told.use for told in known))
+            summed_use(name, (host_load.use for host_load in known))
             for name, known in others.items()
         )
         paces = (_mean_pace(name, known) for name, known in others.items())
@@ -102,16 +113,24 @@
 
     def _others(
         self, upstream: int, asker: int, now_s: float
-    ) -> Iterable[_Told]:
-        for incarnation, told in self._told.get(upstream, {}).items():
-            is_fresh = now_s - told.heard_s <= EXPIRE_S
+    ) -> Iterable[_HostLoad]:
+        for incarnation, host_load in self._host_loads.get(
+            upstream, {}
+        ).items():
+            is_fresh = now_s - host_load.received_s <= EXPIRE_S
             if is_fresh and incarnation != asker:
-                yield told
-
-
-def _mean_pace(upstream: int, known: Sequence[_Told]) -> UpstreamPace | None:
-    """Returns the mean of what hosts see; None where none sees a stream."""
-    seen = [told.pace.interval_ms for told in known if told.pace is not None]
+                yield host_load
+
+
+def _mean_pace(
+    upstream: int, known: Sequence[_HostLoad]
+) -> UpstreamPace | None:
+    """Returns the mean pace that hosts see; None if none sees a stream."""
+    seen = [
+        host_load.pace.interval_ms
+        for host_load in known
+        if host_load.pace is not None
+    ]
     if not seen:
         return None
     return UpstreamPace(upstream, round(statistics.fmean(seen)))
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -1,4 +1,4 @@
-"""Many hosts that ask each other for permits, under a virtual clock."""
+"""Simulates many hosts that ask each other for permits, in virtual time."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 import attrs
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     HostCount,
     NamedLimits,
     PermitRequest,
@@ -21,34 +21,45 @@
 from hollyknot_state import Address, NamedLimit, PermitQuery
 
 ONE_WAY_S = 0.0014
-TELL_S = 0.2
-"""Between two reports of a host, each to one other."""
+"""Seconds from the sending of a message to its delivery."""
+
+REPORT_INTERVAL_S = 0.2
+"""Seconds between two reports of a host, each sent to one other host."""
 
 SETTLED_S = 8.0
-"""After a change, from when on hosts of a large fleet report less often: most
-of the steps of these tests are reports that change nothing."""
+"""Seconds after a change from which hosts of a large fleet report less often.
+Most events of these tests are reports that change nothing, and this saves time.
+"""
 
-TELL_SETTLED_S = 1.0
+SETTLED_REPORT_INTERVAL_S = 1.0
+"""Seconds between two reports of a host of a large fleet after `SETTLED_S`."""
 
-TOLD_S = 3.0
-"""After its start, until a host has heard of limits."""
+DISCOVERY_S = 3.0
+"""Seconds after its restart until a host has received the known limits."""
 
 WINDOW_S = 4.0
+"""Length in seconds of the windows in which arrived requests are counted."""
+
 ENTRY = upstream("a")
 
 
 @attrs.define(eq=False)
 class Host:
-    """One host.
+    """One simulated host.
 
     Attributes:
-        number: Of the host.
-        address: Where it takes messages.
-        side: Of a cut; hosts hear those of their own side only.
+        number: Index of the host; a restart keeps it.
+        address: Address at which the host receives messages.
+        incarnation: Incarnation of its process.
+        side: Side of a network partition; messages to the other are lost.
         is_up: Whether its process runs.
-        frozen_until_s: Until when its process stands still.
-        known: The others that it hears.
-        told_s: From when on what it sends counts: it has heard of limits.
+        frozen_until_s: Time until which its process is frozen.
+        known: Peers that it hears.
+        ready_s: Time from which it forwards requests, since it has received
+            the known limits by then.
+        size: Number of hosts as it estimates it.
+        named: Rate limits that it knows.
+        permits: The permits that it asks for and issues.
     """
 
     number: int
@@ -58,7 +69,7 @@
     is_up: bool = True
     frozen_until_s: float = 0.0
     known: tuple[Tracker, ...] = ()
-    told_s: float = 0.0
+    ready_s: float = 0.0
     size: HostCount = attrs.field(init=False)
     named: NamedLimits = attrs.Factory(NamedLimits)
     permits: Permits = attrs.field(init=False)
@@ -70,19 +81,19 @@
 
 
 class Network:
-    """Hosts, what they send each other, and what the upstream gets."""
+    """Hosts, their messages, and the requests that reach the upstream."""
 
     def __init__(self, count: int, seed: int, sees: int | None = None) -> None:
-        """Has all hosts know each other, or each some others by chance.
+        """Creates hosts that have run for long and hear each other.
 
         Args:
-            count: How many hosts.
-            seed: Of all chance.
-            sees: How many others each host knows; None for all.
+            count: Number of hosts.
+            seed: Seed of all random choices.
+            sees: Number of random peers that each host hears; None for all.
         """
         self.now_s = 0.0
         self.rng = random.Random(seed)
-        self.lost_part = 0.0
+        self.loss_rate = 0.0
         self.arrived: list[float] = []
         self.asked = 0
         self._sees = sees
@@ -91,10 +102,10 @@
         self._incarnations = itertools.count(1)
         self.hosts = [self._make(number, -60.0) for number in range(count)]
         self._by_address = {host.address: host for host in self.hosts}
-        self.meet()
+        self.refresh_peers()
 
-    def meet(self) -> None:
-        """Has hosts hear of those that run on their own side."""
+    def refresh_peers(self) -> None:
+        """Gives each host the peers that run on its side of a partition."""
         self._changed_s = self.now_s
         up = [host for host in self.hosts if host.is_up]
         for host in up:
@@ -109,48 +120,54 @@
             host.size.set(estimated, seen, self.now_s)
 
     def name(self, rate: float | None, hosts: list[Host] | None = None) -> None:
-        """Has hosts pass on an answer that names a limit, or none."""
+        """Has hosts observe an answer with a limit, or without one.
+
+        Args:
+            rate: Limit in requests per second; None to withdraw it.
+            hosts: Hosts that get the answer; None for all.
+        """
         self._changed_s = self.now_s
         for host in self.hosts if hosts is None else hosts:
-            host.named.hear("a", rate, self.now_s, self.now_s + 1e-9)
+            host.named.observe("a", rate, self.now_s, self.now_s + 1e-9)
 
     def restart(self, host: Host) -> None:
-        """Replaces a host by one that knows nothing."""
+        """Replaces a host by a new process that knows nothing."""
         fresh = self._make(host.number, self.now_s)
         fresh.side = host.side
-        fresh.told_s = self.now_s + TOLD_S
+        fresh.ready_s = self.now_s + DISCOVERY_S
         self.hosts[host.number] = fresh
         self._by_address[fresh.address] = fresh
         self._begin(fresh)
-        self.meet()
+        self.refresh_peers()
 
     def issuer(self) -> Host:
-        """Returns the host that issues the permits."""
+        """Returns the issuer of permits, as the first live host sees it."""
         asker = next(host for host in self.hosts if host.is_up)
         tracker = asker.permits._trackers.of(ENTRY, self.now_s)
         return self._by_address[tracker.address] if tracker else asker
 
     def run(self, seconds: float, wanted: float) -> None:
-        """Lets time pass.
+        """Runs the simulation.
 
         Args:
-            seconds: How much.
-            wanted: Requests a second that all hosts would send the upstream.
+            seconds: Virtual time to run for.
+            wanted: Requests per second that callers of all hosts want to send
+                to the upstream.
         """
         end_s = self.now_s + seconds
-        self._want(wanted, end_s)
+        self._schedule_demand(wanted, end_s)
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, event = heapq.heappop(self._events)
             event()
         self.now_s = end_s
 
     def begin_reports(self) -> None:
-        """Has hosts tell each other of limits."""
+        """Starts the reports of limits between hosts."""
         for host in self.hosts:
             self._begin(host)
 
     def busiest_window(self, since_s: float = 0.0) -> int:
-        """Returns the most requests that the upstream got in any window."""
+        """Returns the most requests that arrived within any `WINDOW_S`."""
         times = [at for at in self.arrived if at >= since_s]
         most = first = 0
         for last, at in enumerate(times):
@@ -160,7 +177,7 @@
         return most
 
     def got(self, since_s: float = 0.0) -> int:
-        """Returns how many requests the upstream got."""
+        """Returns the number of requests that arrived."""
         return sum(at >= since_s for at in self.arrived)
 
     def _make(self, number: int, started_s: float) -> Host:
@@ -178,33 +195,37 @@
         return host
 
     def _begin(self, host: Host) -> None:
-        self._at(self.now_s + self.rng.random() * TELL_S, self._tell, host)
+        self._at(
+            self.now_s + self.rng.random() * REPORT_INTERVAL_S,
+            self._report,
+            host,
+        )
 
-    def _tell(self, host: Host) -> None:
+    def _report(self, host: Host) -> None:
         if not host.is_up:
             return
         if self.now_s >= host.frozen_until_s and host.known:
             target = self.rng.choice(host.known).address
             told = host.permits.told(self.now_s, is_all=True)
-            self._send(host, target, self._take_told, told)
+            self._send(host, target, self._handle_report, told)
         is_settled = self.now_s > self._changed_s + SETTLED_S
         is_rare = is_settled and self._sees is not None
-        pause_s = TELL_SETTLED_S if is_rare else TELL_S
-        self._at(self.now_s + pause_s, self._tell, host)
+        pause_s = SETTLED_REPORT_INTERVAL_S if is_rare else REPORT_INTERVAL_S
+        self._at(self.now_s + pause_s, self._report, host)
 
-    def _take_told(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
+    def _handle_report(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
         host.permits.take(told, self.now_s)
 
-    def _want(self, wanted: float, end_s: float) -> None:
+    def _schedule_demand(self, wanted: float, end_s: float) -> None:
         next_s = self.now_s + self.rng.expovariate(wanted)
         if next_s < end_s:
-            self._at(next_s, self._want_one, wanted, end_s)
+            self._at(next_s, self._try_to_send, wanted, end_s)
 
-    def _want_one(self, wanted: float, end_s: float) -> None:
-        self._want(wanted, end_s)
+    def _try_to_send(self, wanted: float, end_s: float) -> None:
+        self._schedule_demand(wanted, end_s)
         host = self.rng.choice(self.hosts)
-        is_told = self.now_s >= host.told_s
-        if host.is_up and is_told and self.now_s >= host.frozen_until_s:
+        is_ready = self.now_s >= host.ready_s
+        if host.is_up and is_ready and self.now_s >= host.frozen_until_s:
             self._request(host, is_least_urgent=self.rng.random() < 0.5)
 
     def _request(self, host: Host, *, is_least_urgent: bool) -> None:
@@ -230,16 +251,16 @@
     ) -> None:
         for address, query in queries:
             self._send(host, address, self._answer, query, host)
-        until_s = self.now_s + PERMIT_ANSWER_S
-        self._at(until_s, self._look, host, request)
+        until_s = self.now_s + PERMIT_ANSWER_TIMEOUT_S
+        self._at(until_s, self._check_timeout, host, request)
 
     def _outcome(self, request: PermitRequest) -> None:
         if request.is_issued:
             self.arrived.append(self.now_s)
 
-    def _look(self, host: Host, request: PermitRequest) -> None:
+    def _check_timeout(self, host: Host, request: PermitRequest) -> None:
         if request.is_issued is None and host.is_up:
-            _, queries = host.permits.overdue(request, self.now_s)
+            _, queries = host.permits.handle_timeout(request, self.now_s)
             if queries:
                 self._put(host, request, queries)
 
@@ -247,7 +268,7 @@
         answer = issuer.permits.answer(query, self.now_s)
 
         def take(host: Host) -> None:
-            more = host.permits.take_answer(answer, self.now_s)
+            more = host.permits.handle_answer(answer, self.now_s)
             for address, following in more:
                 self._send(host, address, self._answer, following, host)
 
@@ -260,7 +281,7 @@
         take: Callable[..., None],
         *args: object,
     ) -> None:
-        if self.rng.random() < self.lost_part:
+        if self.rng.random() < self.loss_rate:
             return
         host = self._by_address[address]
         self._at(
@@ -277,7 +298,7 @@
         if not host.is_up or host.side != sender.side:
             return
         if self.now_s < host.frozen_until_s:
-            # It lies in the socket until the process goes on.
+            # It waits in the socket buffer until the process resumes.
             self._at(
                 host.frozen_until_s, self._deliver, sender, host, take, args
             )
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_inquiries.py
@@ -1,4 +1,4 @@
-"""Tests of asking for loads: hosts that tell, ask, are lost, and disagree."""
+"""Tests of queries for loads and of notes, with lost hosts and messages."""
 
 import random
 
@@ -17,7 +17,7 @@
 )
 from hollyknot_coordination.forwarding._loads import TRACKED_S
 from hollyknot_coordination.forwarding._tracked_loads import EXPIRE_S
-from hollyknot_coordination.forwarding._trackers import MISSES
+from hollyknot_coordination.forwarding._trackers import MAX_MISSES
 from hollyknot_coordination.forwarding.tests._builders import (
     call,
     upstream,
@@ -32,7 +32,7 @@
 
 @attrs.define(eq=False)
 class _Host:
-    """One host, with what it believes."""
+    """One host with its view of all loads."""
 
     tracker: Tracker
     loads: Loads
@@ -43,7 +43,7 @@
 
 
 class _Fleet:
-    """Some hosts whose messages arrive at once, or never."""
+    """Hosts whose messages arrive at once or are lost."""
 
     def __init__(self, size: int) -> None:
         self.now_s = 0.0
@@ -62,24 +62,24 @@
         inquiries = Inquiries(own.incarnation, found, loads, cached, forecasts)
         return _Host(own, loads, cached, forecasts, inquiries)
 
-    def tell(self, host: _Host) -> None:
-        """Sends a host's notes."""
+    def send_notes(self, host: _Host) -> None:
+        """Sends the due notes of a host to the trackers."""
         for tracker, note in host.inquiries.notes(ENGINES.get, self.now_s):
-            other = self._reached(tracker)
+            other = self._recipient(tracker)
             if other is not None:
-                other.inquiries.take_note(note, self.now_s)
+                other.inquiries.handle_note(note, self.now_s)
 
     def ask(self, host: _Host, entries: list[UpstreamEntry]) -> bool:
-        """Asks, and returns whether all trackers have answered."""
+        """Queries the trackers, and returns whether all have answered."""
         done: list[bool] = []
         runs = runs_of(PROMPT)
         inquiry = host.inquiries.ask(entries, runs, self.now_s)
         inquiry.on_done = lambda: done.append(True)
         for tracker, query in inquiry.sent:
-            other = self._reached(tracker)
+            other = self._recipient(tracker)
             if other is not None:
                 answer = other.inquiries.answer(query, self.now_s)
-                host.inquiries.take_answer(answer, self.now_s)
+                host.inquiries.handle_answer(answer, self.now_s)
         host.inquiries.give_up(inquiry, self.now_s)
         return bool(done) or not inquiry.sent
 
@@ -88,57 +88,57 @@
         probe = self.hosts[0].inquiries._trackers.of(entry, self.now_s)
         return self.hosts[probe.incarnation if probe is not None else 0]
 
-    def _reached(self, tracker: Tracker) -> _Host | None:
+    def _recipient(self, tracker: Tracker) -> _Host | None:
         host = self.hosts[tracker.incarnation]
         lost = host.is_lost or self._rng.random() < self.loss
         return None if lost else host
 
 
 class TestAsking:
-    """What others have in flight is known at the moment of the choice."""
+    """In-flight work of other hosts is known when an upstream is chosen."""
 
-    def test_work_of_others_is_known_before_any_report(self) -> None:
-        """Hosts of a large fleet crowd on the engine that seemed idle.
+    def test_load_of_other_hosts_is_known_before_any_report(self) -> None:
+        """Guards against many hosts that all choose the same idle upstream.
 
-        Sequence: in a burst hosts choose within a second; reports take
-        seconds. Cause: none knew what the others had sent just now.
+        In a burst they choose within a second, while reports take seconds in a
+        large fleet, so none would know what the others have just sent.
         """
         fleet = _Fleet(5)
         for number, host in enumerate(fleet.hosts):
             host.loads.begin("i-0", 100 + number, 2)
-            fleet.tell(host)
+            fleet.send_notes(host)
         asker = fleet.hosts[3]
         assert asker.loads.at("i-0", 0.0).requests == 1
         assert fleet.ask(asker, [ENGINE])
         load = asker.loads.at("i-0", 0.0)
         assert (load.requests, load.waiting_tokens) == (5, 510)
 
-    def test_an_answer_counts_for_a_moment_only(self) -> None:
+    def test_an_answer_expires(self) -> None:
         fleet = _Fleet(2)
         fleet.hosts[0].loads.begin("i-0", 100, 2)
-        fleet.tell(fleet.hosts[0])
+        fleet.send_notes(fleet.hosts[0])
         fleet.ask(fleet.hosts[1], [ENGINE])
         loads = fleet.hosts[1].loads
         assert loads.at("i-0", TRACKED_S).requests == 1
         assert loads.at("i-0", TRACKED_S + 0.01).requests == 0
 
-    def test_ended_work_is_gone(self) -> None:
+    def test_ended_requests_are_not_counted(self) -> None:
         fleet = _Fleet(3)
         busy = fleet.hosts[0]
         busy.loads.begin("i-0", 100, 2)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         busy.loads.end("i-0", 100, 2, has_started=False)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         fleet.ask(fleet.hosts[1], [ENGINE])
         assert fleet.hosts[1].loads.at("i-0", 0.0).requests == 0
 
-    def test_holders_of_parts_and_paces_are_told(self) -> None:
+    def test_answers_carry_cached_parts_and_paces(self) -> None:
         fleet = _Fleet(3)
         sender, asker = fleet.hosts[0], fleet.hosts[1]
         sender.cached.note("i-0", PROMPT, 0.0)
         sender.loads.begin("i-0", 100, 2)
         sender.forecasts.note_interval("i-0", 0.075, 0.0)
-        fleet.tell(sender)
+        fleet.send_notes(sender)
         fleet.ask(asker, list(ENGINES.values()))
         missing = asker.cached.missing(list(ENGINES.values()), PROMPT, 0.0)
         assert missing.missing_tokens["i-0"] == 0
@@ -150,13 +150,13 @@
 
 
 class TestFailures:
-    """Trackers advise; without them a choice is made by older knowledge."""
+    """Lost trackers, hosts and messages leave loads wrong for a short time."""
 
     def test_a_lost_tracker_is_replaced_within_a_second(self) -> None:
-        """One engine's load is unknown to all until a host is forgotten.
+        """Guards against queries and notes that still go to a lost tracker.
 
-        Sequence: its tracker loses power in a burst. Cause: queries and notes
-        went on to it.
+        When it loses power in a burst, the load of its upstream would be
+        unknown until peers have removed the host.
         """
         fleet = _Fleet(6)
         lost = fleet.tracker_of(ENGINE)
@@ -165,52 +165,52 @@
         busy, asker = others[0], others[1]
         busy.loads.begin("i-0", 100, 2)
         for host in others:
-            for _ in range(MISSES):
+            for _ in range(MAX_MISSES):
                 fleet.ask(host, [ENGINE])
         fleet.now_s = RENEW_S
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         assert fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
 
-    def test_work_of_a_lost_host_expires(self) -> None:
+    def test_load_of_a_lost_host_expires(self) -> None:
         fleet = _Fleet(3)
         tracker = fleet.tracker_of(ENGINE)
         busy, asker = (h for h in fleet.hosts if h is not tracker)
         busy.loads.begin("i-0", 100, 2)
-        fleet.tell(busy)
+        fleet.send_notes(busy)
         fleet.now_s = EXPIRE_S + 0.1
         fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 0
 
-    def test_work_that_goes_on_is_renewed(self) -> None:
-        """A busy engine seems idle after some seconds.
+    def test_unchanged_load_is_renewed(self) -> None:
+        """Guards against a busy upstream that seems idle after some seconds.
 
-        Sequence: streams of ten seconds run there and nothing else happens.
-        Cause: what was told once had expired.
+        While streams of ten seconds run and no request starts or ends, a load
+        that was reported only once would expire.
         """
         fleet = _Fleet(3)
         tracker = fleet.tracker_of(ENGINE)
         busy, asker = (h for h in fleet.hosts if h is not tracker)
         busy.loads.begin("i-0", 100, 2)
         while fleet.now_s < 2 * EXPIRE_S:
-            fleet.tell(busy)
+            fleet.send_notes(busy)
             fleet.now_s += RENEW_S / 10
         fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests == 1
 
     @pytest.mark.parametrize("loss", [0.02, 0.3])
-    def test_lost_messages_are_made_up_for(self, loss: float) -> None:
+    def test_lost_notes_are_repeated(self, loss: float) -> None:
         fleet = _Fleet(4)
         fleet.loss = loss
         for host in fleet.hosts:
             host.loads.begin("i-0", 100, 2)
         for _ in range(30):
             for host in fleet.hosts:
-                fleet.tell(host)
+                fleet.send_notes(host)
             fleet.now_s += RENEW_S / 2
         fleet.loss = 0.0
         for host in fleet.hosts:
-            fleet.tell(host)
+            fleet.send_notes(host)
         asker = fleet.hosts[0]
         assert fleet.ask(asker, [ENGINE])
         assert asker.loads.at("i-0", fleet.now_s).requests >= 3
@@ -223,39 +223,39 @@
         ((_, older),) = busy.inquiries.notes(ENGINES.get, 0.0)
         busy.loads.end("i-0", 100, 2, has_started=False)
         ((_, newer),) = busy.inquiries.notes(ENGINES.get, 0.0)
-        tracker.inquiries.take_note(newer, 0.0)
-        tracker.inquiries.take_note(older, 0.0)
+        tracker.inquiries.handle_note(newer, 0.0)
+        tracker.inquiries.handle_note(older, 0.0)
         fleet.ask(tracker, [ENGINE])
         assert tracker.loads.at("i-0", 0.0).requests == 0
 
-    def test_an_answer_that_nobody_waits_for_is_still_believed(self) -> None:
+    def test_a_late_answer_is_still_applied(self) -> None:
         fleet = _Fleet(2)
         tracker = fleet.tracker_of(ENGINE)
         (asker,) = (h for h in fleet.hosts if h is not tracker)
         tracker.loads.begin("i-0", 100, 2)
-        fleet.tell(tracker)
+        fleet.send_notes(tracker)
         inquiry = asker.inquiries.ask([ENGINE], (), 0.0)
         ((_, query),) = inquiry.sent
         asker.inquiries.give_up(inquiry, 0.01)
         answer = tracker.inquiries.answer(query, 0.01)
-        asker.inquiries.take_answer(answer, 0.02)
+        asker.inquiries.handle_answer(answer, 0.02)
         assert asker.loads.at("i-0", 0.02).requests == 1
 
-    def test_a_tracker_keeps_nothing_of_what_has_gone(self) -> None:
-        """A host's memory grows with all upstreams that there ever were.
+    def test_a_tracker_drops_upstreams_without_recent_notes(self) -> None:
+        """Guards against memory that grows with each upstream ever reported.
 
-        Sequence: upstreams are replaced all day; each one's work was told to
-        its tracker. Cause: what was told was dropped only when asked for.
+        Upstreams are replaced all day. Loads that are dropped only when they
+        are queried would stay for those that have gone.
         """
         fleet = _Fleet(1)
         (host,) = fleet.hosts
         for name in ENGINES:
             host.loads.begin(name, 100, 2)
-        fleet.tell(host)
+        fleet.send_notes(host)
         assert len(host.inquiries._tracked) == len(ENGINES)
         for name in ENGINES:
             host.loads.end(name, 100, 2, has_started=False)
-        fleet.tell(host)
+        fleet.send_notes(host)
         fleet.now_s = EXPIRE_S + RENEW_S
-        fleet.tell(host)
+        fleet.send_notes(host)
         assert len(host.inquiries._tracked) == 0
--- a/packages/gateway/src/hollyknot_gateway/_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/_inquirer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 
 from hollyknot_coordination.forwarding import (
-    ANSWER_S,
+    ANSWER_TIMEOUT_S,
     Inquiries,
     ReportRate,
 )
@@ -68,7 +68,7 @@
         for tracker, query in inquiry.sent:
             self._send_message(query, tracker.address)
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await answered.wait()
             return True
         except TimeoutError:
@@ -81,11 +81,11 @@
         """Handles a message, either as a tracker or as the querying host."""
         now_s = self._clock()
         if isinstance(message, LoadNote):
-            self._inquiries.take_note(message, now_s)
+            self._inquiries.handle_note(message, now_s)
         elif isinstance(message, LoadQuery):
             self._send_message(self._inquiries.answer(message, now_s), sender)
         else:
-            self._inquiries.take_answer(message, now_s)
+            self._inquiries.handle_answer(message, now_s)
 
     def schedule_notes(self) -> None:
         """Schedules notes to trackers about in-flight work that has changed.
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -7,8 +7,8 @@
 import attrs
 
 from hollyknot_coordination.forwarding import (
-    ASK_FROM_S,
-    NOTE_FROM_S,
+    MIN_INTERVAL_TO_NOTE_S,
+    MIN_INTERVAL_TO_QUERY_S,
     CachedParts,
     Demand,
     Forecasts,
@@ -211,7 +211,7 @@
         It is better to ask if reports are rare, as long as the byte budget for
         queries allows it.
         """
-        is_old = self._peers.interval_s >= ASK_FROM_S
+        is_old = self._peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
         return is_old and self._rate.may_ask(self._clock())
 
     @property
@@ -315,7 +315,9 @@
         uses = shared.loads.uses()
         # If reports are rare, complete ones alone are too rare to divide the
         # upstreams between lanes.
-        includes_demand = is_whole or self._peers.interval_s >= ASK_FROM_S
+        includes_demand = (
+            is_whole or self._peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
+        )
         return UseReport(
             self._incarnation,
             self._sequence,
@@ -348,7 +350,7 @@
         )
 
     def _schedule_notes(self) -> None:
-        if self._peers.interval_s >= NOTE_FROM_S:
+        if self._peers.interval_s >= MIN_INTERVAL_TO_NOTE_S:
             self._inquirer.schedule_notes()
         else:
             # Nobody asks trackers. The set of changed upstreams is emptied, or
--- a/packages/gateway/src/hollyknot_gateway/_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/_permit_requester.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     PermitRequest,
     Permits,
     Queries,
@@ -62,7 +62,7 @@
             while request.is_issued is None:
                 self._send_queries(queries)
                 try:
-                    async with asyncio.timeout(PERMIT_ANSWER_S):
+                    async with asyncio.timeout(PERMIT_ANSWER_TIMEOUT_S):
                         await answered.wait()
                 except TimeoutError:
                     queries = self._handle_timeout(request)
@@ -72,7 +72,7 @@
 
     def _handle_timeout(self, request: PermitRequest) -> Queries:
         """Returns the queries to send after an answer has timed out."""
-        silent, queries = self._permits.overdue(request, self._clock())
+        silent, queries = self._permits.handle_timeout(request, self._clock())
         if silent is not None:
             self._log.line("tracker_silent", tracker=str(silent.address))
         return queries
@@ -83,7 +83,7 @@
         if isinstance(message, PermitQuery):
             self._send_message(self._permits.answer(message, now_s), sender)
         else:
-            self._send_queries(self._permits.take_answer(message, now_s))
+            self._send_queries(self._permits.handle_answer(message, now_s))
 
     def _send_queries(
         self, queries: Iterable[tuple[Address, PermitQuery]]
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -29,7 +29,7 @@
         """Returns an upstream's limit in requests per second; None for none."""
         return self._named.rate(entry.incarnation)
 
-    def hear(
+    def observe(
         self, entry: UpstreamEntry, traits: AnswerTraits, sent_s: float
     ) -> None:
         """Records the rate limit that the head of an answer announces.
@@ -49,7 +49,7 @@
         if rate is NoLimit.NOT_NAMED and not traits.is_sealed:
             return
         limit = None if isinstance(rate, NoLimit) else rate
-        if self._named.hear(entry.incarnation, limit, sent_s, self._clock()):
+        if self._named.observe(entry.incarnation, limit, sent_s, self._clock()):
             self._log_limit(entry, limit)
 
     def forget(self, incarnation: str) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -305,7 +305,7 @@
             parts.clock,
             lambda: parts.placement.start(work),
             lambda interval_s: self._record_interval(entry, interval_s),
-            lambda traits, sent_s: parts.rate_limits.hear(
+            lambda traits, sent_s: parts.rate_limits.observe(
                 entry, traits, sent_s
             ),
         )
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -5,7 +5,7 @@
 import random
 
 from hollyknot_coordination.forwarding import (
-    PERMIT_ANSWER_S,
+    PERMIT_ANSWER_TIMEOUT_S,
     HostCount,
     NamedLimits,
     Permits,
@@ -33,7 +33,7 @@
         self.sent: list[tuple[PermitQuery, Address]] = []
         clock = asyncio.get_running_loop().time
         named = NamedLimits()
-        named.hear("a", 1.2, 0.0, clock())
+        named.observe("a", 1.2, 0.0, clock())
         self.permits = Permits(
             Trackers(OWN, lambda: (FIRST, SECOND)),
             HostCount(-60.0, is_alone=False),
@@ -86,7 +86,7 @@
         async def main() -> None:
             host = _Host()
             asked = host.ask()
-            await asyncio.sleep(PERMIT_ANSWER_S * 1.5)
+            await asyncio.sleep(PERMIT_ANSWER_TIMEOUT_S * 1.5)
             first, second = host.sent
             assert first[1] != second[1]
             assert not first[0].is_passed_over
