--- a/packages/coordination/src/hollyknot_coordination/admission/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/__init__.py
@@ -18,7 +18,7 @@
 from hollyknot_coordination.admission._events import (
     Admitted,
     Offered,
-    PressureHeard,
+    PressureReceived,
     Refused,
     RunEvent,
     SlotsOffered,
@@ -44,7 +44,7 @@
     "CheckedAdmission",
     "EstimateError",
     "Offered",
-    "PressureHeard",
+    "PressureReceived",
     "Refuse",
     "Refused",
     "Rule",
--- a/packages/coordination/src/hollyknot_coordination/admission/_checked.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_checked.py
@@ -6,7 +6,7 @@
 from hollyknot_coordination.admission._events import (
     Admitted,
     Offered,
-    PressureHeard,
+    PressureReceived,
     Refused,
     SlotsOffered,
     Withdrawn,
@@ -69,7 +69,7 @@
         self._queue = queue
         self._checker = RunChecker(options)
         self._pools: dict[str, str] = {}
-        self._left: dict[str, int] = {}
+        self._free_slots: dict[str, int] = {}
 
     @property
     def checker(self) -> RunChecker:
@@ -82,15 +82,15 @@
         """Takes a request in, or refuses it or another at once."""
         self._pools[request.request_id] = request.pool
         self._checker.observe(Offered(request, now_s))
-        return self._show(self._queue.offer(request, now_s), now_s)
+        return self._record_commands(self._queue.offer(request, now_s), now_s)
 
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
         """Admits what may start on a pool's free slots."""
-        self._left[pool] = free_slots
+        self._free_slots[pool] = free_slots
         commands = self._queue.on_capacity(pool, free_slots, now_s)
-        return self._show_slots(pool, commands, now_s)
+        return self._record_slots(pool, commands, now_s)
 
     def withdraw(self, request_id: str, now_s: float) -> None:
         """Forgets a request, waiting or admitted."""
@@ -113,7 +113,7 @@
         self, pressures: tuple[TierPressure, ...], now_s: float
     ) -> None:
         """Takes peers' pressure in."""
-        self._checker.observe(PressureHeard(pressures, now_s))
+        self._checker.observe(PressureReceived(pressures, now_s))
         self._queue.on_peer_pressure(pressures, now_s)
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
@@ -123,24 +123,24 @@
     def tick(self, now_s: float) -> tuple[AdmissionCommand, ...]:
         """Admits what has become due by time."""
         commands = self._queue.tick(now_s)
-        for pool in tuple(self._left):
-            self._show_slots(pool, commands, now_s)
+        for pool in tuple(self._free_slots):
+            self._record_slots(pool, commands, now_s)
         return commands
 
     def next_deadline(self) -> float:
         """Returns when `tick` has something to do."""
         return self._queue.next_deadline()
 
-    def _show_slots(
+    def _record_slots(
         self, pool: str, commands: tuple[AdmissionCommand, ...], now_s: float
     ) -> tuple[AdmissionCommand, ...]:
         own = tuple(c for c in commands if self._pools[c.request_id] == pool)
-        self._checker.observe(SlotsOffered(pool, self._left[pool], now_s))
-        self._left[pool] -= len(own)
-        self._show(own, now_s)
+        self._checker.observe(SlotsOffered(pool, self._free_slots[pool], now_s))
+        self._free_slots[pool] -= len(own)
+        self._record_commands(own, now_s)
         return commands
 
-    def _show(
+    def _record_commands(
         self, commands: tuple[AdmissionCommand, ...], now_s: float
     ) -> tuple[AdmissionCommand, ...]:
         for command in commands:
--- a/packages/coordination/src/hollyknot_coordination/admission/_estimates.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_estimates.py
@@ -18,7 +18,7 @@
 _CLASS_WEIGHT = 8
 """How many observations of a customer weigh as much as its class's mean."""
 
-_UNKNOWN_S = 1.0
+_DEFAULT_SERVICE_S = 1.0
 """The service time assumed before anything has ended."""
 
 
@@ -104,7 +104,7 @@
         if by_class is None:
             by_pool = self._pools.get(request.pool)
             if by_pool is None:
-                return Estimate(_UNKNOWN_S, _UNKNOWN_S)
+                return Estimate(_DEFAULT_SERVICE_S, _DEFAULT_SERVICE_S)
             return Estimate(by_pool.mean_s, by_pool.error_s)
         key = (request.pool, request.request_class, request.customer)
         own = self._customers.get(key)
--- a/packages/coordination/src/hollyknot_coordination/admission/_events.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_events.py
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class PressureHeard:
+class PressureReceived:
     """Peers' pressure was heard."""
 
     pressures: tuple[TierPressure, ...]
@@ -56,5 +56,5 @@
 
 
 RunEvent = (
-    Offered | Admitted | Refused | Withdrawn | SlotsOffered | PressureHeard
+    Offered | Admitted | Refused | Withdrawn | SlotsOffered | PressureReceived
 )
--- a/packages/coordination/src/hollyknot_coordination/admission/_fair.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_fair.py
@@ -15,7 +15,7 @@
 
 from hollyknot_state import RequestInfo
 
-_COST_MIN_S = 1e-3
+_MIN_COST_S = 1e-3
 """The least that an admission counts, so that each one raises the tag."""
 
 
@@ -74,7 +74,7 @@
         flow = entry.flow
         self.now = max(self.now, flow.finish_tag)
         due_s = entry.cost_s + flow.debt_s
-        cost_s = max(_COST_MIN_S, due_s)
+        cost_s = max(_MIN_COST_S, due_s)
         flow.debt_s = due_s - cost_s
         flow.finish_tag = self.now + cost_s
 
--- a/packages/coordination/src/hollyknot_coordination/admission/_options.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_options.py
@@ -22,7 +22,7 @@
 LATE_CREDIT = 125_000
 """What a tier's late work earns by an admission of work that is not late."""
 
-FLOOR_DUTY = 0.5
+FLOOR_SLOT_FRACTION = 0.5
 """The share of one slot that a tier is given by time, while only the pressure
 of peers holds it to its floor."""
 
@@ -57,12 +57,18 @@
     max_waiting_bytes: int = attrs.field(
         default=64 * 1024 * 1024, validator=_POSITIVE
     )
-    room: int = attrs.field(default=16, validator=_POSITIVE)
-    room_bytes: int = attrs.field(default=4 * 1024 * 1024, validator=_POSITIVE)
-    pressure_fresh_s: float = attrs.field(default=3.0, validator=_POSITIVE)
-    pressure_share: float = attrs.field(default=0.5, validator=_POSITIVE)
+    reserved_requests: int = attrs.field(default=16, validator=_POSITIVE)
+    reserved_bytes: int = attrs.field(
+        default=4 * 1024 * 1024, validator=_POSITIVE
+    )
+    pressure_ttl_s: float = attrs.field(default=3.0, validator=_POSITIVE)
+    pressure_wait_fraction: float = attrs.field(
+        default=0.5, validator=_POSITIVE
+    )
     floor_interval_min_s: float = attrs.field(default=1.0, validator=_POSITIVE)
     floor_interval_max_s: float = attrs.field(default=60.0, validator=_POSITIVE)
     retry_min_s: float = attrs.field(default=1.0, validator=_POSITIVE)
     retry_max_s: float = attrs.field(default=120.0, validator=_POSITIVE)
-    estimate_keys: int = attrs.field(default=20_000, validator=_POSITIVE)
+    max_estimated_customers: int = attrs.field(
+        default=20_000, validator=_POSITIVE
+    )
--- a/packages/coordination/src/hollyknot_coordination/admission/_pool.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_pool.py
@@ -13,7 +13,7 @@
 from hollyknot_coordination.admission._options import (
     COST_RATIO_MAX,
     FLOOR_CREDITS,
-    FLOOR_DUTY,
+    FLOOR_SLOT_FRACTION,
     FULL_CREDIT,
     AdmissionOptions,
 )
@@ -65,18 +65,18 @@
         """Notes how many slots the pool's upstreams can take now."""
         self._free_slots = free_slots
 
-    def hear_pressure(self, tier: int, at_s: float) -> None:
+    def record_peer_pressure(self, tier: int, at_s: float) -> None:
         """Notes that a peer was short of capacity for a tier."""
         self._peer_pressed_s[tier] = max(self._peer_pressed_s[tier], at_s)
 
-    def note_pressure(self, tier: int, now_s: float) -> None:
+    def record_local_pressure(self, tier: int, now_s: float) -> None:
         """Notes that this host is short of capacity for a tier."""
         self._pressed_s[tier] = now_s
 
     def pressure_age_s(self, tier: int, now_s: float) -> float:
         """Returns for how long a tier has not been short here."""
-        share = self._options.pressure_share
-        if self._tiers[tier].is_pressed(now_s, share):
+        fraction = self._options.pressure_wait_fraction
+        if self._tiers[tier].is_pressed(now_s, fraction):
             self._pressed_s[tier] = now_s
         return now_s - self._pressed_s[tier]
 
@@ -107,12 +107,12 @@
         waiting = [t for t in TIERS if len(self._tiers[t])]
         if not waiting:
             return None
-        held_above = self._held_above(now_s)
+        lowest_unthrottled = self._lowest_unthrottled(now_s)
         for tier in waiting:
-            is_held = tier > min(waiting[0], held_above)
-            if is_held and self._credit[tier] >= FULL_CREDIT:
+            is_throttled = tier > min(waiting[0], lowest_unthrottled)
+            if is_throttled and self._credit[tier] >= FULL_CREDIT:
                 return self._tiers[tier].head(now_s)
-        if waiting[0] <= held_above:
+        if waiting[0] <= lowest_unthrottled:
             return self._tiers[waiting[0]].head(now_s)
         tier = min(waiting, key=self._due_s)
         if self._due_s(tier) <= now_s:
@@ -123,10 +123,10 @@
         """Gives a slot to a request that `next_entry` returned."""
         admitted = entry.request.tier
         waiting = [t for t in TIERS if len(self._tiers[t])]
-        top = min(waiting[0], self._held_above(now_s))
+        top = min(waiting[0], self._lowest_unthrottled(now_s))
         if admitted > top and self._credit[admitted] >= FULL_CREDIT:
             self._credit[admitted] -= FULL_CREDIT
-        self._earn(admitted, entry.cost_s)
+        self._add_credit(admitted, entry.cost_s)
         self._tiers[admitted].admit(entry)
         self._admitted_s[admitted] = now_s
         self._free_slots -= 1
@@ -141,16 +141,16 @@
         waiting = [t for t in TIERS if len(self._tiers[t])]
         if not waiting or self._free_slots <= 0:
             return math.inf
-        if waiting[0] <= self._held_above(now_s):
+        if waiting[0] <= self._lowest_unthrottled(now_s):
             return now_s
-        fresh_s = self._options.pressure_fresh_s
-        ends_s = (at_s + fresh_s for at_s in self._peer_pressed_s.values())
+        ttl_s = self._options.pressure_ttl_s
+        ends_s = (at_s + ttl_s for at_s in self._peer_pressed_s.values())
         next_end_s = min((e for e in ends_s if e > now_s), default=math.inf)
         return min(next_end_s, *(self._due_s(tier) for tier in waiting))
 
-    def _held_above(self, now_s: float) -> int:
+    def _lowest_unthrottled(self, now_s: float) -> int:
         """Returns the tier below which peers' pressure holds tiers back."""
-        oldest_s = now_s - self._options.pressure_fresh_s
+        oldest_s = now_s - self._options.pressure_ttl_s
         for tier in TIERS:
             if self._peer_pressed_s[tier] > oldest_s:
                 return tier
@@ -159,12 +159,12 @@
     def _due_s(self, tier: int) -> float:
         """Returns when a tier that only peers hold back is due by time."""
         options = self._options
-        interval_s = self._tiers[tier].mean_cost_s / FLOOR_DUTY
+        interval_s = self._tiers[tier].mean_cost_s / FLOOR_SLOT_FRACTION
         interval_s = max(interval_s, options.floor_interval_min_s)
         interval_s = min(interval_s, options.floor_interval_max_s)
         return self._admitted_s[tier] + interval_s
 
-    def _earn(self, admitted: int, cost_s: float) -> None:
+    def _add_credit(self, admitted: int, cost_s: float) -> None:
         """Credits the lower tiers that wait while another is admitted."""
         for tier, full in FLOOR_CREDITS.items():
             queue = self._tiers[tier]
--- a/packages/coordination/src/hollyknot_coordination/admission/_predicates.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_predicates.py
@@ -13,7 +13,7 @@
 from hollyknot_coordination.admission._events import (
     Admitted,
     Offered,
-    PressureHeard,
+    PressureReceived,
     Refused,
     RunEvent,
     SlotsOffered,
@@ -53,15 +53,15 @@
 
 
 @attrs.define
-class _Lane:
+class _TierState:
     """What the rules need to know of one tier of one pool."""
 
     waiting: int = 0
-    bucket: int = FULL_CREDIT
+    credit: int = FULL_CREDIT
     passed_over: int = 0
     since_s: float = -math.inf
     admitted_s: float = -math.inf
-    heard_s: float = -math.inf
+    peer_pressed_s: float = -math.inf
 
 
 def floor_gap(tier: int) -> int:
@@ -83,11 +83,11 @@
         self._violations: list[Violation] = []
         self._waiting: dict[str, RequestInfo] = {}
         self._seen: set[str] = set()
-        self._lanes: dict[str, dict[int, _Lane]] = {}
+        self._states: dict[str, dict[int, _TierState]] = {}
         self._count = dict.fromkeys(TIERS, 0)
         self._size = dict.fromkeys(TIERS, 0)
         self._is_over = False
-        self._offered: Offered | None = None
+        self._last_offer: Offered | None = None
         self._slots = SlotsOffered("", 0, 0.0)
 
     @property
@@ -113,16 +113,16 @@
                 self._on_refused(event)
             case Withdrawn():
                 if event.request_id in self._waiting:
-                    self._leave(event.request_id)
+                    self._remove_waiting(event.request_id)
             case SlotsOffered():
                 self._check_bounds(event.at_s)
                 self._slots = event
-            case PressureHeard():
+            case PressureReceived():
                 self._on_pressure(event)
 
     def _on_offered(self, event: Offered) -> None:
         self._check_bounds(event.at_s)
-        self._offered = event
+        self._last_offer = event
         request = event.request
         if request.request_id in self._seen:
             self._report(Rule.ONE_ANSWER, request, event.at_s, "seen before")
@@ -130,87 +130,89 @@
         self._waiting[request.request_id] = request
         self._count[request.tier] += 1
         self._size[request.tier] += request.input_size
-        lane = self._lane(request)
-        if lane.waiting == 0:
-            lane.passed_over = 0
-            lane.since_s = event.at_s
-        lane.waiting += 1
+        state = self._state(request)
+        if state.waiting == 0:
+            state.passed_over = 0
+            state.since_s = event.at_s
+        state.waiting += 1
 
     def _on_admitted(self, event: Admitted) -> None:
-        request = self._answer(event.request_id, event.at_s)
+        request = self._waiting_request(event.request_id, event.at_s)
         if request is None:
             return
         self._check_order(request, event.at_s)
-        for tier, lane in self._pool(request.pool).items():
+        for tier, state in self._pool(request.pool).items():
             if tier != request.tier:
-                self._pass_over(tier, lane, request, event.at_s)
-        lane = self._lane(request)
-        lane.passed_over = 0
-        lane.admitted_s = event.at_s
-        lane.since_s = event.at_s
-        left = self._slots.slots - 1
-        self._slots = attrs.evolve(self._slots, slots=left)
-        self._leave(event.request_id)
+                self._count_passed_over(tier, state, request, event.at_s)
+        state = self._state(request)
+        state.passed_over = 0
+        state.admitted_s = event.at_s
+        state.since_s = event.at_s
+        remaining = self._slots.slots - 1
+        self._slots = attrs.evolve(self._slots, slots=remaining)
+        self._remove_waiting(event.request_id)
 
     def _check_order(self, request: RequestInfo, at_s: float) -> None:
         """TIER_ORDER and FLOOR_CAP: a lower tier gets its floor, no more."""
-        lanes = self._pool(request.pool)
+        states = self._pool(request.pool)
         higher = [t for t in TIERS if t < request.tier]
-        held_above = self._held_above(request.pool, at_s)
-        local = [t for t in higher if lanes[t].waiting and t <= held_above]
-        is_held = request.tier > held_above
-        if not local and not is_held:
+        lowest_unthrottled = self._lowest_unthrottled(request.pool, at_s)
+        local = [
+            t for t in higher if states[t].waiting and t <= lowest_unthrottled
+        ]
+        is_throttled = request.tier > lowest_unthrottled
+        if not local and not is_throttled:
             return
-        lane = lanes[request.tier]
-        since_s = at_s - lane.admitted_s
+        state = states[request.tier]
+        since_s = at_s - state.admitted_s
         if not local and since_s >= self._options.floor_interval_min_s:
             return
-        if lane.bucket >= FULL_CREDIT:
-            lane.bucket -= FULL_CREDIT
+        if state.credit >= FULL_CREDIT:
+            state.credit -= FULL_CREDIT
             return
         rule = Rule.TIER_ORDER if local else Rule.FLOOR_CAP
-        self._report(rule, request, at_s, f"credit is {lane.bucket}")
+        self._report(rule, request, at_s, f"credit is {state.credit}")
 
-    def _pass_over(
-        self, tier: int, lane: _Lane, request: RequestInfo, at_s: float
+    def _count_passed_over(
+        self, tier: int, state: _TierState, request: RequestInfo, at_s: float
     ) -> None:
         """FLOOR: a lower tier that waits is not passed over for ever."""
         if tier not in FLOOR_CREDITS:
             return
-        earned = lane.bucket + FLOOR_CREDITS[tier]
-        lane.bucket = min(FULL_CREDIT, earned)
-        if not lane.waiting:
+        earned = state.credit + FLOOR_CREDITS[tier]
+        state.credit = min(FULL_CREDIT, earned)
+        if not state.waiting:
             return
-        lane.passed_over += 1
-        if lane.passed_over == floor_gap(tier) + 1:
-            detail = f"tier {tier} was passed over {lane.passed_over} times"
+        state.passed_over += 1
+        if state.passed_over == floor_gap(tier) + 1:
+            detail = f"tier {tier} was passed over {state.passed_over} times"
             self._report(Rule.FLOOR, request, at_s, detail)
 
     def _on_refused(self, event: Refused) -> None:
-        request = self._answer(event.request_id, event.at_s)
+        request = self._waiting_request(event.request_id, event.at_s)
         if request is None:
             return
-        self._leave(event.request_id)
+        self._remove_waiting(event.request_id)
         verdict = event.verdict
-        back_s = verdict.retry_after_s
-        if verdict.outcome is not Outcome.NOT_RUN or back_s <= 0:
-            detail = f"{verdict.outcome}, come back in {back_s}"
+        retry_s = verdict.retry_after_s
+        if verdict.outcome is not Outcome.NOT_RUN or retry_s <= 0:
+            detail = f"{verdict.outcome}, come back in {retry_s}"
             self._report(Rule.HONEST_REFUSAL, request, event.at_s, detail)
-        if self._offered is None or self._offered.at_s != event.at_s:
+        if self._last_offer is None or self._last_offer.at_s != event.at_s:
             self._report(Rule.IMMEDIATE, request, event.at_s, "no offer")
             return
         if verdict.reason is Reason.TARGET_UNREACHABLE:
             self._check_unreachable(request, event.at_s)
         else:
-            self._check_shed(request, self._offered.request, event.at_s)
+            self._check_shed(request, self._last_offer.request, event.at_s)
 
     def _check_unreachable(self, request: RequestInfo, at_s: float) -> None:
         """IMMEDIATE, HONEST_REFUSAL: at its own offer, behind its equals."""
-        offered = self._offered
+        offered = self._last_offer
         if offered is None or offered.request is not request:
             self._report(Rule.IMMEDIATE, request, at_s, "refused after a wait")
-        lanes = self._pool(request.pool)
-        if not any(lanes[t].waiting for t in TIERS if t <= request.tier):
+        states = self._pool(request.pool)
+        if not any(states[t].waiting for t in TIERS if t <= request.tier):
             detail = "no request of its tier or above waits"
             self._report(Rule.HONEST_REFUSAL, request, at_s, detail)
 
@@ -225,8 +227,8 @@
         for tier in TIERS:
             if tier <= request.tier:
                 continue
-            is_over = self._count[tier] > options.room
-            if is_over or self._size[tier] > options.room_bytes:
+            is_over = self._count[tier] > options.reserved_requests
+            if is_over or self._size[tier] > options.reserved_bytes:
                 detail = f"tier {tier} was kept beyond its room"
                 self._report(Rule.NO_LOWER_KEPT, request, at_s, detail)
 
@@ -239,12 +241,12 @@
             self._add(Rule.WORK_CONSERVING, slots.pool, slots.at_s, detail)
         if slots.slots <= 0:
             return
-        held_above = self._held_above(slots.pool, slots.at_s)
-        patience_s = self._options.floor_interval_max_s
-        for tier, lane in self._pool(slots.pool).items():
-            is_held = tier > held_above
-            is_patient = slots.at_s - lane.since_s < patience_s
-            if lane.waiting and not (is_held and is_patient):
+        lowest_unthrottled = self._lowest_unthrottled(slots.pool, slots.at_s)
+        max_hold_s = self._options.floor_interval_max_s
+        for tier, state in self._pool(slots.pool).items():
+            is_throttled = tier > lowest_unthrottled
+            may_hold = slots.at_s - state.since_s < max_hold_s
+            if state.waiting and not (is_throttled and may_hold):
                 detail = f"tier {tier} waits before {slots.slots} free slots"
                 self._add(Rule.WORK_CONSERVING, slots.pool, slots.at_s, detail)
 
@@ -254,9 +256,11 @@
         A queue that stays above its bound is reported once, not at each event.
         """
         options = self._options
-        count = sum(max(0, n - options.room) for n in self._count.values())
+        count = sum(
+            max(0, n - options.reserved_requests) for n in self._count.values()
+        )
         sizes = self._size.values()
-        size = sum(max(0, n - options.room_bytes) for n in sizes)
+        size = sum(max(0, n - options.reserved_bytes) for n in sizes)
         was_over = self._is_over
         is_long = count > options.max_waiting
         self._is_over = is_long or size > options.max_waiting_bytes
@@ -264,20 +268,22 @@
             detail = f"{count} requests, {size} bytes beyond the rooms"
             self._add(Rule.BOUNDED, "host", at_s, detail)
 
-    def _on_pressure(self, event: PressureHeard) -> None:
+    def _on_pressure(self, event: PressureReceived) -> None:
         for pressure in event.pressures:
-            lane = self._pool(pressure.pool)[pressure.tier]
+            state = self._pool(pressure.pool)[pressure.tier]
             at_s = event.at_s - pressure.age_ms / 1000
-            lane.heard_s = max(lane.heard_s, at_s)
+            state.peer_pressed_s = max(state.peer_pressed_s, at_s)
 
-    def _held_above(self, pool: str, at_s: float) -> int:
-        fresh_s = self._options.pressure_fresh_s
-        for tier, lane in self._pool(pool).items():
-            if lane.heard_s > at_s - fresh_s:
+    def _lowest_unthrottled(self, pool: str, at_s: float) -> int:
+        ttl_s = self._options.pressure_ttl_s
+        for tier, state in self._pool(pool).items():
+            if state.peer_pressed_s > at_s - ttl_s:
                 return tier
         return TIERS[-1]
 
-    def _answer(self, request_id: str, at_s: float) -> RequestInfo | None:
+    def _waiting_request(
+        self, request_id: str, at_s: float
+    ) -> RequestInfo | None:
         """ONE_ANSWER: only a request that waits is answered."""
         request = self._waiting.get(request_id)
         if request is None:
@@ -285,20 +291,20 @@
             self._add(Rule.ONE_ANSWER, request_id, at_s, detail)
         return request
 
-    def _leave(self, request_id: str) -> None:
+    def _remove_waiting(self, request_id: str) -> None:
         request = self._waiting.pop(request_id)
         self._count[request.tier] -= 1
         self._size[request.tier] -= request.input_size
-        self._lane(request).waiting -= 1
+        self._state(request).waiting -= 1
 
-    def _pool(self, pool: str) -> dict[int, _Lane]:
-        lanes = self._lanes.get(pool)
-        if lanes is None:
-            lanes = {tier: _Lane() for tier in TIERS}
-            self._lanes[pool] = lanes
-        return lanes
+    def _pool(self, pool: str) -> dict[int, _TierState]:
+        states = self._states.get(pool)
+        if states is None:
+            states = {tier: _TierState() for tier in TIERS}
+            self._states[pool] = states
+        return states
 
-    def _lane(self, request: RequestInfo) -> _Lane:
+    def _state(self, request: RequestInfo) -> _TierState:
         return self._pool(request.pool)[request.tier]
 
     def _report(
--- a/packages/coordination/src/hollyknot_coordination/admission/_queue.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_queue.py
@@ -19,8 +19,8 @@
     AdmissionOptions,
 )
 from hollyknot_coordination.admission._pool import PoolQueue
-from hollyknot_coordination.admission._returns import ReturnCalendar
-from hollyknot_coordination.admission._room import Room
+from hollyknot_coordination.admission._queue_bound import QueueBound
+from hollyknot_coordination.admission._retry_schedule import RetrySchedule
 from hollyknot_state import (
     TIERS,
     Outcome,
@@ -50,10 +50,10 @@
         """
         self._options = options
         self._rng = rng
-        self._room = Room(options)
-        self._estimator = ServiceEstimator(options.estimate_keys)
+        self._queue_bound = QueueBound(options)
+        self._estimator = ServiceEstimator(options.max_estimated_customers)
         self._pools: dict[str, PoolQueue] = {}
-        self._calendars: dict[tuple[str, int], ReturnCalendar] = {}
+        self._retry_schedules: dict[tuple[str, int], RetrySchedule] = {}
         self._waiting: dict[str, Entry] = {}
         self._in_flight: dict[str, Entry] = {}
         self._now_s = 0.0
@@ -98,8 +98,8 @@
         entry = Entry(request, flow, estimate.mean_s, latest_s)
         self._waiting[request.request_id] = entry
         tier.push(entry)
-        self._room.add(entry)
-        return self._make_room(now_s)
+        self._queue_bound.add(entry)
+        return self._shed_excess(now_s)
 
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
@@ -161,7 +161,7 @@
         self._now_s = now_s
         for pressure in pressures:
             at_s = now_s - pressure.age_ms / _MS_PER_S
-            self._pool(pressure.pool).hear_pressure(pressure.tier, at_s)
+            self._pool(pressure.pool).record_peer_pressure(pressure.tier, at_s)
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
         """Returns where this host is or was just now short of capacity."""
@@ -169,7 +169,7 @@
         pressed: list[TierPressure] = []
         for name, tier in itertools.product(self._pools, TIERS):
             age_s = self._pools[name].pressure_age_s(tier, now_s)
-            if age_s < self._options.pressure_fresh_s:
+            if age_s < self._options.pressure_ttl_s:
                 age_ms = int(age_s * _MS_PER_S)
                 pressed.append(TierPressure(name, tier, age_ms))
         return tuple(pressed)
@@ -199,7 +199,7 @@
     def _pool(self, name: str) -> PoolQueue:
         pool = self._pools.get(name)
         if pool is None:
-            pool = PoolQueue(self._options, self._room.set_late)
+            pool = PoolQueue(self._options, self._queue_bound.mark_late)
             self._pools[name] = pool
         return pool
 
@@ -213,16 +213,16 @@
                 break
             request_id = entry.request.request_id
             pool.admit(entry, now_s)
-            self._room.remove(entry)
+            self._queue_bound.remove(entry)
             del self._waiting[request_id]
             self._in_flight[request_id] = entry
             admitted.append(Admit(request_id))
         return tuple(admitted)
 
-    def _make_room(self, now_s: float) -> tuple[AdmissionCommand, ...]:
+    def _shed_excess(self, now_s: float) -> tuple[AdmissionCommand, ...]:
         refused: list[AdmissionCommand] = []
-        while self._room.is_over:
-            entry = self._room.victim()
+        while self._queue_bound.is_exceeded:
+            entry = self._queue_bound.victim()
             self._remove(entry)
             refused.append(self._refuse_shed(entry, now_s))
         return tuple(refused)
@@ -230,7 +230,7 @@
     def _remove(self, entry: Entry) -> None:
         request = entry.request
         self._pool(request.pool).tier(request.tier).remove(entry)
-        self._room.remove(entry)
+        self._queue_bound.remove(entry)
         del self._waiting[request.request_id]
 
     def _refuse_unreachable(
@@ -259,15 +259,15 @@
         now_s: float,
     ) -> Refuse:
         pool = self._pool(request.pool)
-        pool.note_pressure(request.tier, now_s)
+        pool.record_local_pressure(request.tier, now_s)
         key = (request.pool, request.tier)
-        calendar = self._calendars.get(key)
-        if calendar is None:
-            calendar = ReturnCalendar(self._options, self._rng)
-            self._calendars[key] = calendar
+        schedule = self._retry_schedules.get(key)
+        if schedule is None:
+            schedule = RetrySchedule(self._options, self._rng)
+            self._retry_schedules[key] = schedule
         cost_s = self._estimator.expect(request).mean_s
         step_s = cost_s / max(1, pool.in_flight)
-        after_s = calendar.retry_after_s(wait_s, step_s, now_s)
+        after_s = schedule.retry_after_s(wait_s, step_s, now_s)
         verdict = Verdict(Outcome.NOT_RUN, reason, detail, after_s)
         return Refuse(request.request_id, verdict)
 
--- a/packages/coordination/src/hollyknot_coordination/admission/_room.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_queue_bound.py
@@ -25,10 +25,10 @@
         factory=collections.OrderedDict
     )
     by_units: "dict[int, dict[Flow, None]]" = attrs.field(factory=dict)
-    most_units: int = 0
+    max_units: int = 0
 
 
-class Room:
+class QueueBound:
     """What waits, by tier, and who has to give way."""
 
     def __init__(self, options: AdmissionOptions) -> None:
@@ -38,12 +38,12 @@
         self._units: dict[Flow, int] = {}
 
     @property
-    def is_over(self) -> bool:
+    def is_exceeded(self) -> bool:
         """Whether more waits than the shared bound allows."""
         options = self._options
         tiers = self._tiers.values()
-        count = sum(max(0, t.count - options.room) for t in tiers)
-        size = sum(max(0, t.input_size - options.room_bytes) for t in tiers)
+        count = sum(max(0, t.count - options.reserved_requests) for t in tiers)
+        size = sum(max(0, t.input_size - options.reserved_bytes) for t in tiers)
         return count > options.max_waiting or size > options.max_waiting_bytes
 
     def add(self, entry: Entry) -> None:
@@ -51,7 +51,7 @@
         usage = self._tiers[entry.request.tier]
         usage.count += 1
         usage.input_size += entry.request.input_size
-        self._place(usage, entry.flow)
+        self._reindex(usage, entry.flow)
 
     def remove(self, entry: Entry) -> None:
         """Counts a request no more that its flow has let go."""
@@ -59,9 +59,9 @@
         usage.count -= 1
         usage.input_size -= entry.request.input_size
         usage.late.pop(entry.request.request_id, None)
-        self._place(usage, entry.flow)
+        self._reindex(usage, entry.flow)
 
-    def set_late(self, entry: Entry) -> None:
+    def mark_late(self, entry: Entry) -> None:
         """Notes that a request has missed its target."""
         usage = self._tiers[entry.request.tier]
         usage.late[entry.request.request_id] = entry
@@ -76,23 +76,23 @@
         usage = self._lowest_beyond_room()
         if usage.late:
             return next(iter(usage.late.values()))
-        while not usage.by_units.get(usage.most_units):
-            usage.by_units.pop(usage.most_units, None)
-            usage.most_units -= 1
-        flow = next(iter(usage.by_units[usage.most_units]))
+        while not usage.by_units.get(usage.max_units):
+            usage.by_units.pop(usage.max_units, None)
+            usage.max_units -= 1
+        flow = next(iter(usage.by_units[usage.max_units]))
         return next(reversed(flow.entries.values()))
 
     def _lowest_beyond_room(self) -> _TierUsage:
         options = self._options
         for tier in reversed(TIERS):
             usage = self._tiers[tier]
-            if usage.count > options.room:
+            if usage.count > options.reserved_requests:
                 return usage
-            if usage.input_size > options.room_bytes:
+            if usage.input_size > options.reserved_bytes:
                 return usage
         raise AssertionError("victim() was called with is_over false")
 
-    def _place(self, usage: _TierUsage, flow: Flow) -> None:
+    def _reindex(self, usage: _TierUsage, flow: Flow) -> None:
         """Files a flow under the share of the queue that it now fills."""
         earlier = self._units.pop(flow, 0)
         if earlier:
@@ -102,7 +102,7 @@
             return
         self._units[flow] = units
         usage.by_units.setdefault(units, {})[flow] = None
-        usage.most_units = max(usage.most_units, units)
+        usage.max_units = max(usage.max_units, units)
 
     def _units_of(self, flow: Flow) -> int:
         """Returns the larger of a flow's shares of count and bytes."""
--- a/packages/coordination/src/hollyknot_coordination/admission/_returns.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_retry_schedule.py
@@ -4,11 +4,11 @@
 
 from hollyknot_coordination.admission._options import AdmissionOptions
 
-_SPREAD = 0.5
+_JITTER = 0.5
 """By how much, as a share, a time to come back is moved at random, at most."""
 
 
-class ReturnCalendar:
+class RetrySchedule:
     """Hands out times to come back, one after the other.
 
     Callers that never give up come back when they are told to. Told the same
@@ -40,6 +40,6 @@
         earliest_s = now_s + max(options.retry_min_s, wait_s)
         latest_s = now_s + options.retry_max_s
         self._next_s = min(max(self._next_s, earliest_s) + step_s, latest_s)
-        spread = self._rng.uniform(1 - _SPREAD, 1 + _SPREAD)
-        after_s = (self._next_s - now_s) * spread
+        jitter = self._rng.uniform(1 - _JITTER, 1 + _JITTER)
+        after_s = (self._next_s - now_s) * jitter
         return max(options.retry_min_s, after_s)
--- a/packages/coordination/src/hollyknot_coordination/admission/_tier.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_tier.py
@@ -99,7 +99,7 @@
         while on_time is not None and on_time.latest_start_s < now_s:
             # A class whose budget was shortened holds requests that are late
             # behind older ones that are not; `expire` stops at the older.
-            self._set_late(self._queue_of(on_time), on_time)
+            self._mark_late(self._queue_of(on_time), on_time)
             on_time = self._on_time_head()
         if on_time is not None and self._late_credit < FULL_CREDIT:
             return on_time
@@ -110,7 +110,7 @@
         for queue in self._classes.values():
             oldest = queue.oldest
             while oldest is not None and oldest.latest_start_s < now_s:
-                self._set_late(queue, oldest)
+                self._mark_late(queue, oldest)
                 oldest = queue.oldest
 
     def ahead_s(
@@ -135,7 +135,7 @@
             total_s *= FULL_CREDIT / (FULL_CREDIT - LATE_CREDIT)
         return total_s
 
-    def is_pressed(self, now_s: float, share: float) -> bool:
+    def is_pressed(self, now_s: float, fraction: float) -> bool:
         """Tells whether a request has waited a share of its budget."""
         if len(self._late):
             return True
@@ -144,7 +144,7 @@
             if oldest is None or oldest.request.budget_s <= 0:
                 continue
             waited_s = now_s - oldest.request.arrived_s
-            if waited_s >= share * oldest.request.budget_s:
+            if waited_s >= fraction * oldest.request.budget_s:
                 return True
         return False
 
@@ -163,7 +163,7 @@
                 best = head
         return best
 
-    def _set_late(self, queue: FairQueue, entry: Entry) -> None:
+    def _mark_late(self, queue: FairQueue, entry: Entry) -> None:
         queue.remove(entry)
         entry.is_late = True
         self._late.push(entry)
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/_builders.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/_builders.py
@@ -58,7 +58,7 @@
         self.refusals += [c for c in commands if isinstance(c, Refuse)]
         return request
 
-    def take(self, slots: int, now_s: float = 0.0) -> list[RequestInfo]:
+    def offer_slots(self, slots: int, now_s: float = 0.0) -> list[RequestInfo]:
         """Offers slots and returns what was admitted, in order."""
         commands = self.queue.on_capacity(POOL, slots, now_s)
         ids = [c.request_id for c in commands if isinstance(c, Admit)]
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_machine.py
@@ -21,7 +21,10 @@
 from hollyknot_state import TargetKind, TierPressure
 
 _OPTIONS = AdmissionOptions(
-    max_waiting=6, max_waiting_bytes=4000, room=2, room_bytes=1000
+    max_waiting=6,
+    max_waiting_bytes=4000,
+    reserved_requests=2,
+    reserved_bytes=1000,
 )
 _POOLS = ("finder", "drafter")
 
@@ -74,7 +77,7 @@
                 self._waiting.remove(command.request_id)
 
     @rule(pool=st.sampled_from(_POOLS), slots=st.integers(0, 5))
-    def free(self, pool: str, slots: int) -> None:
+    def offer_slots(self, pool: str, slots: int) -> None:
         for command in self._queue.on_capacity(pool, slots, self._now_s):
             self._start(command.request_id, isinstance(command, Admit))
 
@@ -106,7 +109,7 @@
         tier=st.integers(1, 3),
         age_ms=st.sampled_from((0, 1000, 4000)),
     )
-    def hear(self, pool: str, tier: int, age_ms: int) -> None:
+    def receive_pressure(self, pool: str, tier: int, age_ms: int) -> None:
         pressure = TierPressure(pool, tier, age_ms)
         self._queue.on_peer_pressure((pressure,), self._now_s)
 
@@ -128,7 +131,7 @@
         for _ in range(20 + 2 * len(self._waiting)):
             self._now_s += _OPTIONS.floor_interval_max_s
             for pool in _POOLS:
-                self.free(pool, 1)
+                self.offer_slots(pool, 1)
         assert self._waiting == []
         self.keeps_the_rules()
 
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_order.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_order.py
@@ -29,7 +29,7 @@
         host = Host()
         for tier in (3, 2, 1, 3, 2, 1):
             host.offer(build_request(tier))
-        assert _tiers(host.take(4)) == [1, 1, 2, 2]
+        assert _tiers(host.offer_slots(4)) == [1, 1, 2, 2]
 
     @pytest.mark.fault(
         fault="burst",
@@ -47,21 +47,21 @@
             (3, 30.0, 1.0, 20),
         ],
     )
-    def test_floor_by_cost(
+    def test_floor_is_scaled_by_cost(
         self, tier: int, high_s: float, low_s: float, every: int
     ) -> None:
         """A lower tier gets one admission in so many, dearer ones fewer."""
         host = Host()
-        for klass, service_s in ((1, high_s), (tier, low_s)):
+        for filled_tier, service_s in ((1, high_s), (tier, low_s)):
             for _ in range(30):
-                host.offer(build_request(klass, budget_s=0))
-                host.take(1)
+                host.offer(build_request(filled_tier, budget_s=0))
+                host.offer_slots(1)
                 host.finish(service_s)
         for _ in range(1000):
             host.offer(build_request(1, budget_s=0))
         host.offer(build_request(tier, budget_s=0))
         host.offer(build_request(tier, budget_s=0))
-        admitted = _tiers(host.take(1002))
+        admitted = _tiers(host.offer_slots(1002))
         first = admitted.index(tier)
         second = admitted.index(tier, first + 1)
         assert second - first == every + 1
@@ -71,7 +71,7 @@
 class TestCustomers:
     """Shares within a tier."""
 
-    def test_crowding_customer_gets_its_share_only(self) -> None:
+    def test_burst_of_one_customer_does_not_delay_others(self) -> None:
         """A small customer waits behind a large one's burst.
 
         Symptom: an office's few questions wait behind another's thousand.
@@ -82,17 +82,17 @@
         for customer, count in (("crowd", 1000), ("b", 50), ("c", 50)):
             for _ in range(count):
                 host.offer(build_request(customer=customer, budget_s=0))
-        counts = collections.Counter(r.customer for r in host.take(90))
+        counts = collections.Counter(r.customer for r in host.offer_slots(90))
         assert counts == {"crowd": 30, "b": 30, "c": 30}
 
-    def test_use_while_nobody_waits_is_not_held_against(self) -> None:
+    def test_past_use_does_not_delay_returning_customer(self) -> None:
         host = Host()
         for _ in range(100):
             host.offer(build_request(customer="early"))
-            host.take(1)
+            host.offer_slots(1)
         for customer in ("early", "other") * 10:
             host.offer(build_request(customer=customer))
-        counts = collections.Counter(r.customer for r in host.take(10))
+        counts = collections.Counter(r.customer for r in host.offer_slots(10))
         assert counts == {"early": 5, "other": 5}
 
     def test_long_answers_count_for_more(self) -> None:
@@ -100,14 +100,14 @@
         for customer, service_s in (("long", 3.0), ("short", 1.0)):
             for _ in range(200):
                 host.offer(build_request(customer=customer, budget_s=0))
-                host.take(1)
+                host.offer_slots(1)
                 host.finish(service_s)
         for customer in ("long", "short") * 100:
             host.offer(build_request(customer=customer, budget_s=0))
-        counts = collections.Counter(r.customer for r in host.take(100))
+        counts = collections.Counter(r.customer for r in host.offer_slots(100))
         assert counts["short"] == pytest.approx(75, abs=3)
 
-    def test_estimate_that_was_wrong_is_made_good(self) -> None:
+    def test_underestimated_cost_is_charged_later(self) -> None:
         """A customer with long answers takes most of the slots' time.
 
         Symptom: among new customers one gets nine times the others' share.
@@ -119,13 +119,13 @@
             host.offer(build_request(customer=customer, budget_s=0))
         used = {"long": 0.0, "short": 0.0}
         for _ in range(22):
-            (request,) = host.take(1)
+            (request,) = host.offer_slots(1)
             service_s = 9.0 if request.customer == "long" else 1.0
             used[request.customer] += service_s
             host.finish(service_s)
         assert abs(used["long"] - used["short"]) <= 9.0
 
-    def test_back_after_sweep_of_idle_customers(self) -> None:
+    def test_returning_customer_gets_no_extra_share_after_sweep(self) -> None:
         """A customer gets more than its share after a clean-up.
 
         Symptom: one customer is served without end while others wait.
@@ -142,7 +142,9 @@
             host.offer(build_request(customer=f"c{index}", budget_s=0.01))
         for customer in ("back", "other") * 20:
             host.offer(build_request(customer=customer, at_s=5.0), 5.0)
-        counts = collections.Counter(r.customer for r in host.take(24, 5.0))
+        counts = collections.Counter(
+            r.customer for r in host.offer_slots(24, 5.0)
+        )
         assert abs(counts["back"] - counts["other"]) <= 2
 
 
@@ -154,19 +156,22 @@
         for name, budget_s in (("night", 3600.0), ("desk", 5.0), ("kiosk", 2)):
             request = build_request(budget_s=budget_s, request_class=name)
             host.offer(request)
-        names = [r.request_class for r in host.take(3)]
+        names = [r.request_class for r in host.offer_slots(3)]
         assert names == ["kiosk", "desk", "night"]
 
-    def test_whole_answer_needs_its_own_time(self) -> None:
+    def test_start_of_whole_answer_leaves_time_for_service(self) -> None:
         host = Host()
         whole = {"request_class": "whole", "kind": TargetKind.WHOLE_ANSWER}
         for _ in range(20):
             host.offer(build_request(budget_s=10, **whole))  # type: ignore[arg-type]
-            host.take(1)
+            host.offer_slots(1)
             host.finish(3.0)
         host.offer(build_request(budget_s=9, request_class="token"))
         host.offer(build_request(budget_s=10, **whole))  # type: ignore[arg-type]
-        assert [r.request_class for r in host.take(2)] == ["whole", "token"]
+        assert [r.request_class for r in host.offer_slots(2)] == [
+            "whole",
+            "token",
+        ]
 
     def test_class_that_once_ran_long_is_not_late_on_arrival(self) -> None:
         """A class is late for ever after a few long answers.
@@ -180,17 +185,20 @@
         whole = {"request_class": "whole", "kind": TargetKind.WHOLE_ANSWER}
         for _ in range(20):
             host.offer(build_request(budget_s=10, **whole))  # type: ignore[arg-type]
-            host.take(1)
+            host.offer_slots(1)
             host.finish(500.0)
         host.offer(build_request(budget_s=6, request_class="token"))
         host.offer(build_request(budget_s=10, **whole))  # type: ignore[arg-type]
-        assert [r.request_class for r in host.take(2)] == ["whole", "token"]
+        assert [r.request_class for r in host.offer_slots(2)] == [
+            "whole",
+            "token",
+        ]
 
 
 class TestLateWork:
     """Work that has missed its target."""
 
-    def test_goes_after_work_that_can_meet_it(self) -> None:
+    def test_late_request_goes_after_on_time_requests(self) -> None:
         """Each request starts just after it stopped being of use.
 
         Symptom: in overload nearly every answer is late, though half of the
@@ -202,16 +210,16 @@
         late = [host.offer(build_request(budget_s=1)) for _ in range(20)]
         for _ in range(20):
             host.offer(build_request(at_s=5.0, budget_s=1), 5.0)
-        taken = host.take(18, 5.0)
-        assert sum(r in late for r in taken) == 2
+        started = host.offer_slots(18, 5.0)
+        assert sum(r in late for r in started) == 2
 
-    def test_still_goes_before_a_lower_tier(self) -> None:
+    def test_late_request_goes_before_lower_tier(self) -> None:
         host = Host()
         host.offer(build_request(1, budget_s=1))
         host.offer(build_request(2, budget_s=60))
-        assert _tiers(host.take(1, 5.0)) == [1]
+        assert _tiers(host.offer_slots(1, 5.0)) == [1]
 
-    def test_in_no_order_of_deadlines(self) -> None:
+    def test_late_request_behind_longer_budget_is_found(self) -> None:
         """Late work behind work with a longer budget is found all the same.
 
         Symptom: a late request starts in front of one that isn't.
@@ -221,18 +229,18 @@
         """
         host = Host()
         host.offer(build_request(customer="a", budget_s=600))
-        host.take(1)
+        host.offer_slots(1)
         host.offer(build_request(customer="a", budget_s=600))
         late = host.offer(build_request(customer="b", budget_s=1))
         fresh = build_request(customer="c", at_s=5.0, budget_s=1)
         host.offer(fresh, 5.0)
-        assert host.take(3, 5.0)[-1] is late
+        assert host.offer_slots(3, 5.0)[-1] is late
 
 
 class TestPressure:
     """What peers' pressure does to the lower tiers."""
 
-    def test_peer_short_of_tier_1_holds_tier_3(self) -> None:
+    def test_peer_pressure_of_tier_1_throttles_tier_3(self) -> None:
         """A host runs overnight work while its neighbour sheds citizens.
 
         Symptom: tier 1 is refused on one host, tier 3 runs on the next.
@@ -245,9 +253,9 @@
         pressure = (TierPressure(POOL, 1, 0),)
         for second in range(20):
             host.queue.on_peer_pressure(pressure, second)
-            host.take(10, second)
+            host.offer_slots(10, second)
         assert len(host.running) == 10
-        assert len(host.take(30, 30.0)) == 30
+        assert len(host.offer_slots(30, 30.0)) == 30
 
     @pytest.mark.parametrize(
         ("tier", "age_ms", "after_s", "admitted"),
@@ -259,7 +267,7 @@
             (1, 0, 0.0, 5),
         ],
     )
-    def test_freshness(
+    def test_peer_pressure_expires(
         self, tier: int, age_ms: int, after_s: float, admitted: int
     ) -> None:
         host = Host()
@@ -267,14 +275,14 @@
             host.offer(build_request(tier, budget_s=0))
         pressure = (TierPressure(POOL, 1, age_ms),)
         host.queue.on_peer_pressure(pressure, 0.0)
-        assert len(host.take(5, after_s)) == admitted
+        assert len(host.offer_slots(5, after_s)) == admitted
 
-    def test_next_deadline_and_tick(self) -> None:
+    def test_tick_admits_at_next_deadline(self) -> None:
         host = Host()
         host.queue.on_peer_pressure((TierPressure(POOL, 1, 0),), 0.0)
         for _ in range(5):
             host.offer(build_request(2, budget_s=0))
-        assert len(host.take(4)) == 1
+        assert len(host.offer_slots(4)) == 1
         assert host.queue.next_deadline() == pytest.approx(2.0)
         assert host.queue.tick(1.9) == ()
         assert len(host.queue.tick(2.0)) == 1
@@ -293,14 +301,14 @@
         host.queue.on_peer_pressure(ages, 0.0)
         for _ in range(3):
             host.offer(build_request(2, budget_s=0))
-        assert len(host.take(3)) == 1
+        assert len(host.offer_slots(3)) == 1
         assert host.queue.next_deadline() == pytest.approx(0.5)
 
     @pytest.mark.parametrize(
         ("budget_s", "now_s", "is_pressed"),
         [(10, 4.9, False), (10, 5.0, True), (10, 99.0, True), (0, 99.0, False)],
     )
-    def test_local(
+    def test_local_pressure_from_time_waited(
         self, budget_s: float, now_s: float, is_pressed: bool
     ) -> None:
         host = Host()
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_refusals.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_refusals.py
@@ -6,7 +6,7 @@
     AdmissionOptions,
     Admitted,
     Offered,
-    PressureHeard,
+    PressureReceived,
     Refused,
     Rule,
     RunEvent,
@@ -22,7 +22,10 @@
 from hollyknot_state import Outcome, Reason, TierPressure, Verdict
 
 _SMALL = AdmissionOptions(
-    max_waiting=4, max_waiting_bytes=4000, room=1, room_bytes=1000
+    max_waiting=4,
+    max_waiting_bytes=4000,
+    reserved_requests=1,
+    reserved_bytes=1000,
 )
 
 
@@ -47,7 +50,7 @@
             ((1, 1, 1, 1, 1, 2, 3, 2), [2]),
         ],
     )
-    def test_lowest_tier_beyond_its_room_gives_way(
+    def test_lowest_tier_beyond_its_reserve_is_shed(
         self, offered: tuple[int, ...], refused: list[int]
     ) -> None:
         host = Host(_SMALL)
@@ -56,7 +59,7 @@
         assert [r.tier for r in host.refused] == refused
         assert host.queue.checker.violations == ()
 
-    def test_bytes(self) -> None:
+    def test_bound_in_bytes_sheds_lowest_tier(self) -> None:
         host = Host(_SMALL)
         small = [host.offer(build_request(3, size=900)) for _ in range(2)]
         host.offer(build_request(1, size=4000))
@@ -64,7 +67,7 @@
         host.offer(build_request(2, "large", size=2000))
         assert host.refused == [small[1]]
 
-    def test_largest_customer_gives_way(self) -> None:
+    def test_largest_customer_is_shed(self) -> None:
         host = Host(_SMALL)
         for customer in "aaab":
             host.offer(build_request(customer=customer, budget_s=0))
@@ -72,7 +75,7 @@
         host.offer(build_request(customer="c", budget_s=0))
         assert [r.customer for r in host.refused] == ["a"]
 
-    def test_late_gives_way_first(self) -> None:
+    def test_late_request_is_shed_first(self) -> None:
         """Requests that missed their target fill the queue.
 
         Symptom: under lasting overload every new request is shed at once, and
@@ -90,27 +93,27 @@
 class TestUnreachableTarget:
     """Refusals of what would wait too long."""
 
-    def _busy(self, service_s: float) -> Host:
+    def _build_busy_host(self, service_s: float) -> Host:
         """Builds a host with ten slots, all in use, and known costs."""
         host = Host()
         for tier in (1, 3):
             for _ in range(20):
                 host.offer(build_request(tier, budget_s=0))
-                host.take(1)
+                host.offer_slots(1)
                 host.finish(service_s)
         for _ in range(10):
             host.offer(build_request(1, budget_s=0))
-        host.take(10)
+        host.offer_slots(10)
         return host
 
     @pytest.mark.parametrize(
         ("ahead", "budget_s", "is_refused"),
         [(19, 2.0, False), (21, 2.0, True), (21, 2.2, False), (99, 0, False)],
     )
-    def test_by_wait(
+    def test_refused_by_predicted_wait(
         self, ahead: int, budget_s: float, is_refused: bool
     ) -> None:
-        host = self._busy(1.0)
+        host = self._build_busy_host(1.0)
         for _ in range(ahead):
             host.offer(build_request(1, budget_s=0))
         request = host.offer(build_request(1, budget_s=budget_s))
@@ -121,47 +124,47 @@
             assert verdict.reason is Reason.TARGET_UNREACHABLE
             assert verdict.retry_after_s >= 1.0
 
-    def test_lower_tiers_get_nobody_refused(self) -> None:
+    def test_waiting_lower_tiers_cause_no_refusal(self) -> None:
         """A citizen is refused because of overnight work.
 
         Symptom: tier 1 is refused while only tier 3 waits.
         Sequence: 500 of tier 3 wait, one of tier 1 with a short budget comes.
         Cause: the predicted wait counts work that doesn't go before it.
         """
-        host = self._busy(1.0)
+        host = self._build_busy_host(1.0)
         for _ in range(500):
             host.offer(build_request(3, budget_s=0))
         host.offer(build_request(1, budget_s=0.1))
         assert host.refusals == []
 
-    def test_crowding_customer_is_refused_not_another(self) -> None:
-        host = self._busy(1.0)
+    def test_burst_of_one_customer_gets_only_it_refused(self) -> None:
+        host = self._build_busy_host(1.0)
         for _ in range(100):
             host.offer(build_request(customer="crowd", budget_s=5.0))
         other = host.offer(build_request(customer="other", budget_s=5.0))
         assert {r.customer for r in host.refused} == {"crowd"}
         assert other not in host.refused
 
-    def test_estimate_recovers(self) -> None:
+    def test_estimate_recovers_after_long_answers(self) -> None:
         """A class is refused for ever after a few long answers.
 
         Symptom: a class with nothing before it is refused or never in time.
         Sequence: answers run longer than the budget, then short ones return.
         Cause: the estimate that refuses is learnt only from what runs.
         """
-        host = self._busy(500.0)
+        host = self._build_busy_host(500.0)
         host.finish(500.0)
         for _ in range(200):
             request = host.offer(build_request(1, budget_s=1.0))
-            assert host.take(1) == [request]
+            assert host.offer_slots(1) == [request]
             host.finish(0.1)
         assert host.refusals == []
 
 
-class TestTimeToComeBack:
+class TestRetryAfter:
     """Times to come back are spread."""
 
-    def test_crowd_does_not_come_back_together(self) -> None:
+    def test_refused_callers_do_not_retry_together(self) -> None:
         """The burst repeats itself when the refused come back.
 
         Symptom: refusals in waves, one each few seconds.
@@ -171,7 +174,7 @@
         host = Host(_SMALL)
         for _ in range(20):
             host.offer(build_request(budget_s=0))
-            host.take(1)
+            host.offer_slots(1)
             host.finish(1.0)
         for _ in range(1000):
             host.offer(build_request(budget_s=0))
@@ -180,7 +183,7 @@
         assert max(times.count(t) for t in set(times)) < 50
 
 
-def _run(*tiers: int) -> list[RunEvent]:
+def _offers(*tiers: int) -> list[RunEvent]:
     return [Offered(build_request(t, budget_s=0), 0.0) for t in tiers]
 
 
@@ -195,16 +198,16 @@
     index: int,
     reason: Reason,
     at_s: float = 0.0,
-    back_s: float = 1.0,
+    retry_s: float = 1.0,
 ) -> list[RunEvent]:
     ids = [e.request.request_id for e in events if isinstance(e, Offered)]
-    verdict = Verdict(Outcome.NOT_RUN, reason, "", back_s)
+    verdict = Verdict(Outcome.NOT_RUN, reason, "", retry_s)
     return [*events, Refused(ids[index], verdict, at_s)]
 
 
 _END = SlotsOffered(POOL, 0, 0.0)
-_PRESSED = PressureHeard((TierPressure(POOL, 1, 0),), 0.0)
-_PASSED = floor_gap(3) + 1
+_PEER_PRESSURE = PressureReceived((TierPressure(POOL, 1, 0),), 0.0)
+_OVER_FLOOR_GAP = floor_gap(3) + 1
 
 
 class TestPredicates:
@@ -213,48 +216,59 @@
     @pytest.mark.parametrize(
         ("events", "broken"),
         [
-            (_admit(_run(1, 2, 3), 0, 1, 2), set()),
-            (_admit(_run(1), 0, 0), {Rule.ONE_ANSWER}),
-            (_admit(_run(1, 3, 3), 1, 2, 0), {Rule.TIER_ORDER}),
-            (_admit(_run(1, 3, 3), 1, 0, 2), set()),
+            (_admit(_offers(1, 2, 3), 0, 1, 2), set()),
+            (_admit(_offers(1), 0, 0), {Rule.ONE_ANSWER}),
+            (_admit(_offers(1, 3, 3), 1, 2, 0), {Rule.TIER_ORDER}),
+            (_admit(_offers(1, 3, 3), 1, 0, 2), set()),
             (
-                _refuse(_run(3, 3, 3, 1), 3, Reason.SHED),
+                _refuse(_offers(3, 3, 3, 1), 3, Reason.SHED),
                 {Rule.NO_LOWER_KEPT},
             ),
-            (_refuse(_run(1, 3), 0, Reason.SHED), {Rule.NO_LOWER_KEPT}),
-            (_refuse(_run(3, 1), 0, Reason.SHED), set()),
+            (_refuse(_offers(1, 3), 0, Reason.SHED), {Rule.NO_LOWER_KEPT}),
+            (_refuse(_offers(3, 1), 0, Reason.SHED), set()),
             (
-                _refuse(_run(3, 1), 1, Reason.TARGET_UNREACHABLE),
+                _refuse(_offers(3, 1), 1, Reason.TARGET_UNREACHABLE),
                 {Rule.HONEST_REFUSAL},
             ),
             (
-                _refuse(_run(1, 1), 0, Reason.TARGET_UNREACHABLE),
+                _refuse(_offers(1, 1), 0, Reason.TARGET_UNREACHABLE),
                 {Rule.IMMEDIATE},
             ),
-            (_refuse(_run(1, 1), 1, Reason.SHED, 9.0), {Rule.IMMEDIATE}),
+            (_refuse(_offers(1, 1), 1, Reason.SHED, 9.0), {Rule.IMMEDIATE}),
             (
-                _admit(_run(3, *(1,) * _PASSED), *range(1, _PASSED + 1)),
+                _admit(
+                    _offers(3, *(1,) * _OVER_FLOOR_GAP),
+                    *range(1, _OVER_FLOOR_GAP + 1),
+                ),
                 {Rule.FLOOR},
             ),
             (
-                _admit(_run(3, *(1,) * _PASSED), *range(1, _PASSED)),
+                _admit(
+                    _offers(3, *(1,) * _OVER_FLOOR_GAP),
+                    *range(1, _OVER_FLOOR_GAP),
+                ),
                 set(),
             ),
-            ([*_run(1), SlotsOffered(POOL, 1, 0.0)], {Rule.WORK_CONSERVING}),
-            (_run(*(1,) * 6), {Rule.BOUNDED}),
-            (_admit([*_run(3, 3), _PRESSED], 0, 1), set()),
-            (_admit([*_run(3, 3, 3), _PRESSED], 0, 1, 2), {Rule.FLOOR_CAP}),
+            ([*_offers(1), SlotsOffered(POOL, 1, 0.0)], {Rule.WORK_CONSERVING}),
+            (_offers(*(1,) * 6), {Rule.BOUNDED}),
+            (_admit([*_offers(3, 3), _PEER_PRESSURE], 0, 1), set()),
             (
-                [*_run(1), Refused("r", Verdict(Outcome.FAILED), 0.0)],
+                _admit([*_offers(3, 3, 3), _PEER_PRESSURE], 0, 1, 2),
+                {Rule.FLOOR_CAP},
+            ),
+            (
+                [*_offers(1), Refused("r", Verdict(Outcome.FAILED), 0.0)],
                 {Rule.ONE_ANSWER},
             ),
             (
-                _refuse(_run(1, 1), 1, Reason.SHED, 0.0, 0.0),
+                _refuse(_offers(1, 1), 1, Reason.SHED, 0.0, 0.0),
                 {Rule.HONEST_REFUSAL},
             ),
         ],
     )
-    def test_finds(self, events: list[RunEvent], broken: set[Rule]) -> None:
+    def test_finds_broken_rule(
+        self, events: list[RunEvent], broken: set[Rule]
+    ) -> None:
         options = _SMALL
         if len(events) > 100:
             options = AdmissionOptions()
