--- a/packages/coordination/src/hollyknot_coordination/admission/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/__init__.py
@@ -1,8 +1,9 @@
-"""Admission: which request may start now, and which is refused at once.
+"""Decides which requests start now, wait or are refused at once.
 
-Pure decisions: requests, free slots, peers' pressure and the time come in;
-`Admit` and `Refuse` go out. The exact rules are in
-`docs/decisions/0005-admission.md`, and `check_run` tests a run against them.
+The decisions do no I/O. Their inputs are requests, free slots, peers' reports
+of pressure (shortage of capacity) and the time; their outputs are `Admit` and
+`Refuse`. The exact rules are in `docs/decisions/0005-admission.md`, and
+`check_run` checks a recorded run against them.
 """
 
 from hollyknot_coordination.admission._checked import (
--- a/packages/coordination/src/hollyknot_coordination/admission/_checked.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_checked.py
@@ -1,4 +1,4 @@
-"""A queue whose every call is checked against the rules as it happens."""
+"""Checks each call of an admission queue against the rules of admission."""
 
 from typing import Protocol
 
@@ -17,20 +17,20 @@
 
 
 class Admission(Protocol):
-    """What decides on admission: `AdmissionQueue`, or one to compare it to."""
+    """The interface of `AdmissionQueue` and of policies compared with it."""
 
     def offer(
         self, request: RequestInfo, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Takes a request in, or refuses it or another at once."""
+        """Queues a request, or refuses it or another one at once."""
 
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Admits what may start on a pool's free slots."""
+        """Admits the requests that may start on a pool's free slots."""
 
     def withdraw(self, request_id: str, now_s: float) -> None:
-        """Forgets a request, waiting or admitted."""
+        """Removes a request that is waiting or admitted."""
 
     def on_finished(
         self,
@@ -39,32 +39,32 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Learns from an admitted request that has ended."""
+        """Records the service time of an admitted request that has ended."""
 
     def on_peer_pressure(
         self, pressures: tuple[TierPressure, ...], now_s: float
     ) -> None:
-        """Takes peers' pressure in."""
+        """Records the pressure that peers report."""
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
-        """Returns where this host is short of capacity."""
+        """Returns the pools and tiers for which this host lacks capacity."""
 
     def tick(self, now_s: float) -> tuple[AdmissionCommand, ...]:
-        """Admits what has become due by time."""
+        """Admits the requests that have become due by time."""
 
     def next_deadline(self) -> float:
-        """Returns when `tick` has something to do."""
+        """Returns the time of the next call of `tick` that is needed."""
 
 
 class CheckedAdmission:
-    """Passes calls on to a queue and shows them to a checker of the rules."""
+    """Forwards calls to a queue and has a checker observe them."""
 
     def __init__(self, queue: Admission, options: AdmissionOptions) -> None:
-        """Wraps a queue that is empty.
+        """Builds a wrapper around an empty queue.
 
         Args:
-            queue: What decides.
-            options: The sizes and times that the rules speak of.
+            queue: Queue to which calls are forwarded.
+            options: Sizes and times that the rules refer to.
         """
         self._queue = queue
         self._checker = RunChecker(options)
@@ -73,13 +73,13 @@
 
     @property
     def checker(self) -> RunChecker:
-        """The checker, with what it found."""
+        """The checker, which holds the violations found so far."""
         return self._checker
 
     def offer(
         self, request: RequestInfo, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Takes a request in, or refuses it or another at once."""
+        """Queues a request, or refuses it or another one at once."""
         self._pools[request.request_id] = request.pool
         self._checker.observe(Offered(request, now_s))
         return self._record_commands(self._queue.offer(request, now_s), now_s)
@@ -87,13 +87,13 @@
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Admits what may start on a pool's free slots."""
+        """Admits the requests that may start on a pool's free slots."""
         self._free_slots[pool] = free_slots
         commands = self._queue.on_capacity(pool, free_slots, now_s)
         return self._record_slots(pool, commands, now_s)
 
     def withdraw(self, request_id: str, now_s: float) -> None:
-        """Forgets a request, waiting or admitted."""
+        """Removes a request that is waiting or admitted."""
         self._checker.observe(Withdrawn(request_id, now_s))
         self._queue.withdraw(request_id, now_s)
 
@@ -104,7 +104,7 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Learns from an admitted request that has ended."""
+        """Records the service time of an admitted request that has ended."""
         self._queue.on_finished(
             request_id, service_time_s, output_tokens, now_s
         )
@@ -112,23 +112,23 @@
     def on_peer_pressure(
         self, pressures: tuple[TierPressure, ...], now_s: float
     ) -> None:
-        """Takes peers' pressure in."""
+        """Records the pressure that peers report."""
         self._checker.observe(PressureReceived(pressures, now_s))
         self._queue.on_peer_pressure(pressures, now_s)
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
-        """Returns where this host is short of capacity."""
+        """Returns the pools and tiers for which this host lacks capacity."""
         return self._queue.local_pressure(now_s)
 
     def tick(self, now_s: float) -> tuple[AdmissionCommand, ...]:
-        """Admits what has become due by time."""
+        """Admits the requests that have become due by time."""
         commands = self._queue.tick(now_s)
         for pool in tuple(self._free_slots):
             self._record_slots(pool, commands, now_s)
         return commands
 
     def next_deadline(self) -> float:
-        """Returns when `tick` has something to do."""
+        """Returns the time of the next call of `tick` that is needed."""
         return self._queue.next_deadline()
 
     def _record_slots(
--- a/packages/coordination/src/hollyknot_coordination/admission/_commands.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_commands.py
@@ -1,4 +1,4 @@
-"""What admission tells its owner to do."""
+"""Commands that the admission queue returns to its owner."""
 
 import attrs
 
@@ -7,10 +7,11 @@
 
 @attrs.frozen
 class Admit:
-    """Dispatch a request now.
+    """Tells the owner to dispatch a request now.
 
     Attributes:
-        request_id: The request, which has left the queue for a slot.
+        request_id: ID of the request, which has left the queue and holds a
+            slot.
     """
 
     request_id: str
@@ -18,11 +19,13 @@
 
 @attrs.frozen
 class Refuse:
-    """Answer a request at once: it was not run.
+    """Tells the owner to answer at once that a request was not run.
 
     Attributes:
-        request_id: The request; not always the one just offered.
-        verdict: Not run, with the reason and the time to come back.
+        request_id: ID of the refused request, which may be another than the
+            one just offered.
+        verdict: Verdict with the outcome "not run", the reason and the time
+            after which to retry.
     """
 
     request_id: str
--- a/packages/coordination/src/hollyknot_coordination/admission/_estimates.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_estimates.py
@@ -1,9 +1,10 @@
-"""Service times learnt online, by class and customer.
+"""Estimates the service time of a request from earlier ones.
 
-The length of an answer is unknown until it ends, so what a request will cost
-is estimated from those before it. Each estimate is an exponentially weighted
-mean with its mean absolute error. A customer of whom little is known is
-estimated mostly by its class, a class of which nothing is known by its pool.
+The length of an answer is unknown until it ends, so the service time of a
+request is estimated from earlier requests of its customer and class. Each
+estimate is an exponentially weighted mean with its mean absolute error. A
+customer with few observations is estimated mostly by its class, and a class
+without observations by its pool.
 """
 
 import collections
@@ -13,22 +14,22 @@
 from hollyknot_state import RequestInfo
 
 _WEIGHT_MIN = 0.05
-"""The weight of the newest observation once there are 20 or more."""
+"""Weight of the newest observation in a mean of 20 or more."""
 
 _CLASS_WEIGHT = 8
-"""How many observations of a customer weigh as much as its class's mean."""
+"""Number of a customer's observations that weigh as much as its class."""
 
 _DEFAULT_SERVICE_S = 1.0
-"""The service time assumed before anything has ended."""
+"""Service time in seconds that is assumed while a pool has no observation."""
 
 
 @attrs.frozen
 class Estimate:
-    """What a request is expected to cost.
+    """The expected service time of a request.
 
     Attributes:
-        mean_s: Seconds on a slot.
-        error_s: The mean absolute error of such estimates until now.
+        mean_s: Expected seconds on a slot.
+        error_s: Mean absolute error of earlier estimates, in seconds.
     """
 
     mean_s: float
@@ -37,13 +38,13 @@
 
 @attrs.frozen
 class EstimateError:
-    """The error measured over all observations since the start.
+    """The error of all estimates since the start.
 
     Attributes:
-        observations: Requests that ended.
-        mean_s: Their mean service time.
-        absolute_s: The mean absolute error of the estimate made for each.
-        bias_s: The mean of estimate less truth.
+        observations: Number of requests that ended.
+        mean_s: Mean service time of these requests, in seconds.
+        absolute_s: Mean absolute error of their estimates, in seconds.
+        bias_s: Mean of the estimate minus the actual time, in seconds.
     """
 
     observations: int
@@ -66,15 +67,15 @@
 
 
 class ServiceEstimator:
-    """Estimates of service times by pool, class and customer."""
+    """Estimates service times by pool, class and customer."""
 
     def __init__(self, max_customers: int) -> None:
-        """Makes an estimator that has seen nothing.
+        """Builds an estimator without observations.
 
         Args:
-            max_customers: Pairs of class and customer that are remembered; the
-                one used longest ago is forgotten first, and is then estimated
-                by its class.
+            max_customers: Number of pairs of class and customer that are kept.
+                The least recently observed pair is evicted first, and its
+                requests are then estimated by their class.
         """
         self._max_customers = max_customers
         self._pools: dict[str, _Average] = {}
@@ -89,7 +90,7 @@
 
     @property
     def measured_error(self) -> EstimateError:
-        """The error over all that ended, each against its own estimate."""
+        """The error over all ended requests, each against its own estimate."""
         count = max(1, self._observations)
         return EstimateError(
             self._observations,
@@ -119,12 +120,12 @@
     def observe(
         self, request: RequestInfo, service_time_s: float, expected_s: float
     ) -> None:
-        """Learns from a request that ended.
+        """Updates the estimates with a request that ended.
 
         Args:
             request: The request.
-            service_time_s: Seconds that it held its slot.
-            expected_s: What was expected when it was offered.
+            service_time_s: Seconds for which it held its slot.
+            expected_s: Seconds that were expected when it was offered.
         """
         self._observations += 1
         self._sum_s += service_time_s
--- a/packages/coordination/src/hollyknot_coordination/admission/_events.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_events.py
@@ -1,4 +1,4 @@
-"""What happened at an admission queue, in order: the matter of the checks."""
+"""Events of an admission queue, by which a run is checked."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Offered:
-    """A request was offered."""
+    """Records that a request was offered."""
 
     request: RequestInfo
     at_s: float
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Admitted:
-    """A request was given a slot."""
+    """Records that a request was given a slot."""
 
     request_id: str
     at_s: float
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Refused:
-    """A request was refused."""
+    """Records that a request was refused."""
 
     request_id: str
     verdict: Verdict
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Withdrawn:
-    """A request was withdrawn, waiting or running."""
+    """Records that a waiting or running request was withdrawn."""
 
     request_id: str
     at_s: float
@@ -40,7 +40,10 @@
 
 @attrs.frozen
 class SlotsOffered:
-    """Free slots of a pool were offered; the admissions on them follow."""
+    """Records that free slots of a pool were offered.
+
+    The admissions to these slots follow as separate events.
+    """
 
     pool: str
     slots: int
@@ -49,7 +52,7 @@
 
 @attrs.frozen
 class PressureReceived:
-    """Peers' pressure was heard."""
+    """Records that peers' pressure was received."""
 
     pressures: tuple[TierPressure, ...]
     at_s: float
--- a/packages/coordination/src/hollyknot_coordination/admission/_fair.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_fair.py
@@ -1,10 +1,11 @@
-"""Fair queueing between the customers of one tier of one pool.
-
-Start-time fair queueing: each customer has a tag that rises by the expected
-cost of what is admitted for it, and the waiting customer with the least tag is
-next. A customer that comes back after a pause starts at the present virtual
-time: what it used while nobody else wanted the capacity isn't held against it.
-An operation costs O(log customers), whatever the number that waits.
+"""Shares the slots fairly between the customers of one tier of one pool.
+
+The algorithm is start-time fair queueing. Each customer has a tag that rises by
+the expected cost of each request admitted for it, and the waiting customer with
+the lowest tag is next. A customer that returns after a pause starts at the
+current virtual time, so that capacity which it used while nobody else wanted it
+does not delay it later. An operation costs O(log customers), whatever the
+number of waiting requests.
 """
 
 import collections
@@ -16,7 +17,7 @@
 from hollyknot_state import RequestInfo
 
 _MIN_COST_S = 1e-3
-"""The least that an admission counts, so that each one raises the tag."""
+"""Minimum cost of an admission in seconds, so that each one raises the tag."""
 
 
 @attrs.define(eq=False)
@@ -24,11 +25,14 @@
     """A customer's requests in one tier of one pool.
 
     Attributes:
-        customer: Its name.
-        finish_tag: The virtual time at which its last admission is used up.
-        debt_s: By how much its ended requests cost more than was expected.
-        entries: All that wait, in the order of arrival.
-        input_size: Bytes of their input.
+        customer: Name of the customer.
+        finish_tag: Virtual time at which the customer has used up the cost of
+            its last admission.
+        debt_s: Seconds that its ended requests took beyond their expected
+            cost and that no admission has been charged for yet; negative if
+            they took less.
+        entries: Waiting requests by ID, in the order of arrival.
+        input_size: Total input of the waiting requests, in bytes.
     """
 
     customer: str
@@ -42,14 +46,14 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """A request in the queue or on a slot.
+    """A request that waits in the queue or holds a slot.
 
     Attributes:
         request: The request.
-        flow: Its customer's flow.
-        cost_s: Its expected service time.
-        latest_start_s: When it must have started to meet its target.
-        is_late: Whether it was found to have missed that.
+        flow: Flow of its customer.
+        cost_s: Expected service time in seconds.
+        latest_start_s: Latest time at which it can start and meet its target.
+        is_late: Whether the queue has found that this time has passed.
     """
 
     request: RequestInfo
@@ -61,16 +65,16 @@
 
 @attrs.define
 class VirtualClock:
-    """The virtual time that the queues of a tier share.
+    """The virtual time that the queues of one tier share.
 
     Attributes:
-        now: The start tag of the last admission.
+        now: Start tag of the last admission.
     """
 
     now: float = 0.0
 
     def charge(self, entry: Entry) -> None:
-        """Raises a flow's tag by an admission's cost and earlier debt."""
+        """Raises a flow's tag by the cost of an admission and its debt."""
         flow = entry.flow
         self.now = max(self.now, flow.finish_tag)
         due_s = entry.cost_s + flow.debt_s
@@ -80,13 +84,14 @@
 
 
 class FairQueue:
-    """Requests of several customers, served fairly."""
+    """Waiting requests of several customers, served in fair order."""
 
     def __init__(self, clock: VirtualClock) -> None:
-        """Makes an empty queue.
+        """Builds an empty queue.
 
         Args:
-            clock: Shared by the queues between which customers must be fair.
+            clock: Virtual clock, shared by all queues over which the shares of
+                the customers are balanced.
         """
         self._clock = clock
         self._sequence = itertools.count()
@@ -103,16 +108,16 @@
 
     @property
     def backlog_s(self) -> float:
-        """The expected service time of all that waits."""
+        """The expected service time of all waiting requests, in seconds."""
         return self._backlog_s
 
     @property
     def oldest(self) -> Entry | None:
-        """What has waited longest."""
+        """The request that has waited longest, if any."""
         return next(iter(self._order.values()), None)
 
     def push(self, entry: Entry) -> None:
-        """Appends a request to its customer's."""
+        """Appends a request to those of its customer."""
         flow = entry.flow
         own = self._by_customer.get(flow.customer)
         if own is None:
@@ -128,7 +133,7 @@
         self._backlog_s += entry.cost_s
 
     def remove(self, entry: Entry) -> None:
-        """Takes a request out, wherever it stands."""
+        """Removes a request from any position."""
         request_id = entry.request.request_id
         own = self._by_customer[entry.flow.customer]
         del own[request_id]
@@ -140,7 +145,7 @@
             self._backlog_s = 0.0
 
     def head(self) -> Entry | None:
-        """Returns the request whose turn it is."""
+        """Returns the request that is next, if any."""
         while self._heap:
             tag, _, customer = self._heap[0]
             own = self._by_customer[customer]
@@ -156,10 +161,15 @@
         return None
 
     def ahead_s(self, customer: str, cost_s: float) -> float:
-        """Returns the most service time that goes before a new request.
+        """Returns an upper bound on the service time ahead of a new request.
+
+        Until the request is next, each other customer is served at most as
+        much as this one, so the burst of one customer doesn't lengthen the
+        wait of another.
 
-        Each customer gets at most as much as this one until its turn, so that
-        a customer that crowds the queue doesn't lengthen another's wait.
+        Args:
+            customer: Name of the customer that sends the request.
+            cost_s: Expected service time of the request, in seconds.
         """
         own = self._by_customer.get(customer)
         turns = len(own) + 1 if own else 1
