--- a/packages/coordination/src/hollyknot_coordination/admission/_pool.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_pool.py
@@ -1,9 +1,10 @@
-"""The requests of one pool: the order of the tiers, and their floors.
+"""Orders the waiting requests of one pool by tier, with a floor per tier.
 
-A free slot goes to the highest tier that waits. Two things set that aside. A
-lower tier earns credit by the others' admissions while it waits, and is next
-when its credit is full: its floor. And while a peer reports that a higher tier
-is short of capacity in this pool, lower tiers get their floor and no more.
+A free slot goes to the highest tier that waits, with two exceptions. A lower
+tier earns credit from the admissions of other tiers while it waits, and is next
+when its credit is full; this minimum share is its floor. And while a peer
+reports pressure, which means that a higher tier is short of capacity in this
+pool, the tiers below that one are throttled to their floors.
 """
 
 import math
@@ -22,16 +23,17 @@
 
 
 class PoolQueue:
-    """Waiting requests of one pool."""
+    """The waiting requests of one pool."""
 
     def __init__(
         self, options: AdmissionOptions, on_late: Callable[[Entry], None]
     ) -> None:
-        """Makes an empty queue.
+        """Builds an empty queue.
 
         Args:
-            options: Sizes and times.
-            on_late: Called with each request found to have missed its target.
+            options: Sizes and times of the host's admission.
+            on_late: Callback for each request that can no longer meet its
+                target.
         """
         self._options = options
         self._tiers = {tier: TierQueue(on_late) for tier in TIERS}
@@ -44,17 +46,17 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return sum(len(queue) for queue in self._tiers.values())
 
     @property
     def free_slots(self) -> int:
-        """Slots that were free after the last call of `set_free_slots`."""
+        """Slots that remain of those set by `set_free_slots`."""
         return self._free_slots
 
     @property
     def in_flight(self) -> int:
-        """Requests of this host that hold a slot."""
+        """Number of requests of this host that hold a slot."""
         return self._in_flight
 
     def tier(self, tier: int) -> TierQueue:
@@ -62,19 +64,19 @@
         return self._tiers[tier]
 
     def set_free_slots(self, free_slots: int) -> None:
-        """Notes how many slots the pool's upstreams can take now."""
+        """Sets how many requests the pool's upstreams can take now."""
         self._free_slots = free_slots
 
     def record_peer_pressure(self, tier: int, at_s: float) -> None:
-        """Notes that a peer was short of capacity for a tier."""
+        """Records that a peer was short of capacity for a tier at a time."""
         self._peer_pressed_s[tier] = max(self._peer_pressed_s[tier], at_s)
 
     def record_local_pressure(self, tier: int, now_s: float) -> None:
-        """Notes that this host is short of capacity for a tier."""
+        """Records that this host is short of capacity for a tier now."""
         self._pressed_s[tier] = now_s
 
     def pressure_age_s(self, tier: int, now_s: float) -> float:
-        """Returns for how long a tier has not been short here."""
+        """Returns the seconds since a tier was last under pressure here."""
         fraction = self._options.pressure_wait_fraction
         if self._tiers[tier].is_pressed(now_s, fraction):
             self._pressed_s[tier] = now_s
@@ -83,16 +85,16 @@
     def predicted_wait_s(
         self, request: RequestInfo, cost_s: float, by_s: float
     ) -> float:
-        """Returns how long a request would wait if no lower tier existed.
+        """Returns the seconds that a request would wait without lower tiers.
 
-        Neither the floors of lower tiers nor the slots that they hold count:
-        a wait that is too long only because of them must not get a request of
-        a higher tier refused.
+        The floors of lower tiers and the slots that they hold do not count: a
+        request of a higher tier must not be refused because of a wait that is
+        too long only through them.
 
         Args:
             request: The request, not yet in the queue.
-            cost_s: Its expected service time.
-            by_s: When it must start.
+            cost_s: Expected service time of the request, in seconds.
+            by_s: Time by which the request must start to meet its target.
         """
         if self._in_flight == 0:
             return 0.0
@@ -103,7 +105,7 @@
         return ahead_s / self._in_flight
 
     def next_entry(self, now_s: float) -> Entry | None:
-        """Returns the request that the next free slot goes to."""
+        """Returns the request that gets the next free slot, if any."""
         waiting = [t for t in TIERS if len(self._tiers[t])]
         if not waiting:
             return None
@@ -133,11 +135,11 @@
         self._in_flight += 1
 
     def release(self) -> None:
-        """Notes that an admitted request holds its slot no more."""
+        """Records that an admitted request no longer holds its slot."""
         self._in_flight -= 1
 
     def next_due_s(self, now_s: float) -> float:
-        """Returns when time alone will let a request start on a free slot."""
+        """Returns the earliest time at which a request may get a free slot."""
         waiting = [t for t in TIERS if len(self._tiers[t])]
         if not waiting or self._free_slots <= 0:
             return math.inf
@@ -149,7 +151,7 @@
         return min(next_end_s, *(self._due_s(tier) for tier in waiting))
 
     def _lowest_unthrottled(self, now_s: float) -> int:
-        """Returns the tier below which peers' pressure holds tiers back."""
+        """Returns the lowest tier that peers' pressure does not throttle."""
         oldest_s = now_s - self._options.pressure_ttl_s
         for tier in TIERS:
             if self._peer_pressed_s[tier] > oldest_s:
@@ -157,7 +159,7 @@
         return TIERS[-1]
 
     def _due_s(self, tier: int) -> float:
-        """Returns when a tier that only peers hold back is due by time."""
+        """Returns when a tier that only peers' pressure throttles is due."""
         options = self._options
         interval_s = self._tiers[tier].mean_cost_s / FLOOR_SLOT_FRACTION
         interval_s = max(interval_s, options.floor_interval_min_s)
@@ -165,7 +167,7 @@
         return self._admitted_s[tier] + interval_s
 
     def _add_credit(self, admitted: int, cost_s: float) -> None:
-        """Credits the lower tiers that wait while another is admitted."""
+        """Adds credit to the lower tiers that wait during an admission."""
         for tier, full in FLOOR_CREDITS.items():
             queue = self._tiers[tier]
             if tier == admitted or not len(queue):
--- a/packages/coordination/src/hollyknot_coordination/admission/_predicates.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_predicates.py
@@ -1,8 +1,8 @@
-"""The rules of admission as predicates over a run of one host's queue.
+"""Checks a run of one host's admission queue against the rules of admission.
 
-They read only what went in and came out, in order, so that they judge this
-queue, a naive one or a later one alike. `docs/decisions/0005-admission.md`
-states each rule in words under the same name.
+The checks read only the ordered inputs and outputs of a queue, so that they
+apply to any implementation. `docs/decisions/0005-admission.md` states each rule
+in words under the same name.
 """
 
 import enum
@@ -29,7 +29,27 @@
 
 
 class Rule(enum.Enum):
-    """The rules that a run can break."""
+    """The rules that a run can break.
+
+    Attributes:
+        ONE_ANSWER: Each request is admitted or refused at most once.
+        TIER_ORDER: While a higher tier waits, a lower one gets no more than
+            its floor.
+        NO_LOWER_KEPT: No request is shed while a lower tier keeps requests
+            beyond its reserve.
+        FLOOR: A lower tier that waits is next after a bounded number of
+            admissions of other tiers.
+        FLOOR_CAP: A tier that peers' pressure throttles gets no more than its
+            floor.
+        WORK_CONSERVING: No slot stays free while a waiting request may start.
+        IMMEDIATE: A request is refused only when a request is offered, and
+            for an unreachable target only when it is offered itself.
+        HONEST_REFUSAL: A refused request was not run, the refusal says when to
+            retry, and a target is called unreachable only if other requests
+            of its tier or above wait.
+        BOUNDED: The waiting requests stay within the reserves and the shared
+            bound.
+    """
 
     ONE_ANSWER = "one-answer"
     TIER_ORDER = "tier-order"
@@ -44,7 +64,14 @@
 
 @attrs.frozen
 class Violation:
-    """One place where a run broke a rule."""
+    """One event at which a run broke a rule.
+
+    Attributes:
+        rule: The broken rule.
+        subject: ID of the request, name of the pool, or `host`.
+        at_s: Time of the event, in seconds.
+        detail: Description of what was found.
+    """
 
     rule: Rule
     subject: str
@@ -54,7 +81,18 @@
 
 @attrs.define
 class _TierState:
-    """What the rules need to know of one tier of one pool."""
+    """The state of one tier of one pool that the checks need.
+
+    Attributes:
+        waiting: Number of waiting requests.
+        credit: Credit for admissions by the floor.
+        passed_over: Number of admissions of other tiers since the tier began
+            to wait or was last admitted.
+        since_s: Time at which the tier began to wait or was last admitted.
+        admitted_s: Time of the tier's last admission.
+        peer_pressed_s: Latest time at which a peer was short of capacity for
+            the tier.
+    """
 
     waiting: int = 0
     credit: int = FULL_CREDIT
@@ -65,20 +103,25 @@
 
 
 def floor_gap(tier: int) -> int:
-    """Returns how many admissions of others may go before one of a tier.
+    """Returns how many admissions of other tiers may precede one of a tier.
 
-    All that its floor needs at the least credit, and one more for each other
-    lower tier whose floor may be due at the same moment.
+    The number is the admissions that fill the tier's credit at the lowest rate,
+    and one more for each other lower tier whose floor may be due at the same
+    time.
     """
     needed = math.ceil(FULL_CREDIT * COST_RATIO_MAX / FLOOR_CREDITS[tier])
     return needed + len(FLOOR_CREDITS) - 1
 
 
 class RunChecker:
-    """Checks the events of one queue as they come, each in constant time."""
+    """Checks each event of one queue in constant time as it occurs."""
 
     def __init__(self, options: AdmissionOptions) -> None:
-        """Makes a checker of a run that starts empty."""
+        """Builds a checker for a run that starts with an empty queue.
+
+        Args:
+            options: Sizes and times that the rules refer to.
+        """
         self._options = options
         self._violations: list[Violation] = []
         self._waiting: dict[str, RequestInfo] = {}
@@ -92,16 +135,16 @@
 
     @property
     def violations(self) -> tuple[Violation, ...]:
-        """What was found, in order."""
+        """The violations found so far, in order."""
         return tuple(self._violations)
 
     @property
     def waiting(self) -> int:
-        """Requests that have had no answer and were not withdrawn."""
+        """Number of requests not yet admitted, refused or withdrawn."""
         return len(self._waiting)
 
     def observe(self, event: RunEvent) -> None:
-        """Takes the next event in."""
+        """Checks the next event of the run."""
         if not isinstance(event, Admitted):
             self._check_slots_used()
         match event:
@@ -125,7 +168,9 @@
         self._last_offer = event
         request = event.request
         if request.request_id in self._seen:
-            self._report(Rule.ONE_ANSWER, request, event.at_s, "seen before")
+            self._report(
+                Rule.ONE_ANSWER, request, event.at_s, "offered a second time"
+            )
         self._seen.add(request.request_id)
         self._waiting[request.request_id] = request
         self._count[request.tier] += 1
@@ -153,7 +198,7 @@
         self._remove_waiting(event.request_id)
 
     def _check_order(self, request: RequestInfo, at_s: float) -> None:
-        """TIER_ORDER and FLOOR_CAP: a lower tier gets its floor, no more."""
+        """Checks TIER_ORDER and FLOOR_CAP: a lower tier gets only its floor."""
         states = self._pool(request.pool)
         higher = [t for t in TIERS if t < request.tier]
         lowest_unthrottled = self._lowest_unthrottled(request.pool, at_s)
@@ -171,12 +216,14 @@
             state.credit -= FULL_CREDIT
             return
         rule = Rule.TIER_ORDER if local else Rule.FLOOR_CAP
-        self._report(rule, request, at_s, f"credit is {state.credit}")
+        self._report(
+            rule, request, at_s, f"admitted with a credit of {state.credit}"
+        )
 
     def _count_passed_over(
         self, tier: int, state: _TierState, request: RequestInfo, at_s: float
     ) -> None:
-        """FLOOR: a lower tier that waits is not passed over for ever."""
+        """Checks FLOOR: a lower tier that waits is admitted eventually."""
         if tier not in FLOOR_CREDITS:
             return
         earned = state.credit + FLOOR_CREDITS[tier]
@@ -196,10 +243,12 @@
         verdict = event.verdict
         retry_s = verdict.retry_after_s
         if verdict.outcome is not Outcome.NOT_RUN or retry_s <= 0:
-            detail = f"{verdict.outcome}, come back in {retry_s}"
+            detail = f"refused as {verdict.outcome}, retry after {retry_s} s"
             self._report(Rule.HONEST_REFUSAL, request, event.at_s, detail)
         if self._last_offer is None or self._last_offer.at_s != event.at_s:
-            self._report(Rule.IMMEDIATE, request, event.at_s, "no offer")
+            self._report(
+                Rule.IMMEDIATE, request, event.at_s, "refused without an offer"
+            )
             return
         if verdict.reason is Reason.TARGET_UNREACHABLE:
             self._check_unreachable(request, event.at_s)
@@ -207,21 +256,25 @@
             self._check_shed(request, self._last_offer.request, event.at_s)
 
     def _check_unreachable(self, request: RequestInfo, at_s: float) -> None:
-        """IMMEDIATE, HONEST_REFUSAL: at its own offer, behind its equals."""
+        """Checks a refusal for an unreachable target.
+
+        IMMEDIATE: the request is refused when it is offered.
+        HONEST_REFUSAL: another request of its tier or above waits.
+        """
         offered = self._last_offer
         if offered is None or offered.request is not request:
             self._report(Rule.IMMEDIATE, request, at_s, "refused after a wait")
         states = self._pool(request.pool)
         if not any(states[t].waiting for t in TIERS if t <= request.tier):
-            detail = "no request of its tier or above waits"
+            detail = "refused though no request of its tier or above waits"
             self._report(Rule.HONEST_REFUSAL, request, at_s, detail)
 
     def _check_shed(
         self, request: RequestInfo, offered: RequestInfo, at_s: float
     ) -> None:
-        """NO_LOWER_KEPT: none lower stays, but what its own room holds."""
+        """Checks NO_LOWER_KEPT: lower tiers keep only their reserves."""
         if offered.tier > request.tier:
-            detail = f"shed for tier {offered.tier}"
+            detail = f"shed in favour of tier {offered.tier}"
             self._report(Rule.NO_LOWER_KEPT, request, at_s, detail)
         options = self._options
         for tier in TIERS:
@@ -229,15 +282,15 @@
                 continue
             is_over = self._count[tier] > options.reserved_requests
             if is_over or self._size[tier] > options.reserved_bytes:
-                detail = f"tier {tier} was kept beyond its room"
+                detail = f"tier {tier} was kept beyond its reserve"
                 self._report(Rule.NO_LOWER_KEPT, request, at_s, detail)
 
     def _check_slots_used(self) -> None:
-        """WORK_CONSERVING: no slot stays free before work that may start."""
+        """Checks WORK_CONSERVING: no slot is free while a request may start."""
         slots = self._slots
         self._slots = SlotsOffered("", 0, slots.at_s)
         if slots.slots < 0:
-            detail = f"{-slots.slots} more than were offered"
+            detail = f"{-slots.slots} more admissions than free slots"
             self._add(Rule.WORK_CONSERVING, slots.pool, slots.at_s, detail)
         if slots.slots <= 0:
             return
@@ -247,11 +300,13 @@
             is_throttled = tier > lowest_unthrottled
             may_hold = slots.at_s - state.since_s < max_hold_s
             if state.waiting and not (is_throttled and may_hold):
-                detail = f"tier {tier} waits before {slots.slots} free slots"
+                detail = (
+                    f"tier {tier} waits though {slots.slots} slots are free"
+                )
                 self._add(Rule.WORK_CONSERVING, slots.pool, slots.at_s, detail)
 
     def _check_bounds(self, at_s: float) -> None:
-        """BOUNDED: the rooms and the shared bound hold all that waits.
+        """Checks BOUNDED: what waits fits the reserves and the shared bound.
 
         A queue that stays above its bound is reported once, not at each event.
         """
@@ -265,7 +320,7 @@
         is_long = count > options.max_waiting
         self._is_over = is_long or size > options.max_waiting_bytes
         if self._is_over and not was_over:
-            detail = f"{count} requests, {size} bytes beyond the rooms"
+            detail = f"{count} requests, {size} bytes beyond the reserves"
             self._add(Rule.BOUNDED, "host", at_s, detail)
 
     def _on_pressure(self, event: PressureReceived) -> None:
@@ -284,10 +339,10 @@
     def _waiting_request(
         self, request_id: str, at_s: float
     ) -> RequestInfo | None:
-        """ONE_ANSWER: only a request that waits is answered."""
+        """Checks ONE_ANSWER: only a waiting request is admitted or refused."""
         request = self._waiting.get(request_id)
         if request is None:
-            detail = "answered though it does not wait"
+            detail = "admitted or refused though it is not waiting"
             self._add(Rule.ONE_ANSWER, request_id, at_s, detail)
         return request
 
@@ -319,7 +374,7 @@
 def check_run(
     events: tuple[RunEvent, ...], options: AdmissionOptions
 ) -> tuple[Violation, ...]:
-    """Returns where a whole run breaks the rules."""
+    """Returns the violations of the rules in a complete run."""
     checker = RunChecker(options)
     for event in events:
         checker.observe(event)
--- a/packages/coordination/src/hollyknot_coordination/admission/_queue.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_queue.py
@@ -1,4 +1,4 @@
-"""The admission queue of one host."""
+"""Admits, queues and refuses the requests of one host."""
 
 import itertools
 import math
@@ -35,18 +35,19 @@
 
 
 class AdmissionQueue:
-    """Requests that wait for a slot, and those that hold one.
+    """The requests of one host that wait for a slot or hold one.
 
-    The owner calls `offer` for each request, `on_capacity` after it and
-    whenever a slot frees, and then one of `on_finished` and `withdraw`.
+    The owner calls `offer` for each request, `on_capacity` after that and
+    whenever a slot becomes free, and finally either `on_finished` or `withdraw`
+    for the request.
     """
 
     def __init__(self, options: AdmissionOptions, rng: random.Random) -> None:
-        """Makes an empty queue.
+        """Builds an empty queue.
 
         Args:
-            options: Sizes and times.
-            rng: Spreads the times to come back.
+            options: Sizes and times of the queue.
+            rng: Source of the jitter of retry times.
         """
         self._options = options
         self._rng = rng
@@ -60,28 +61,28 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     @property
     def estimate_error(self) -> EstimateError:
-        """The error of the service times that were expected."""
+        """The error of the expected service times since the start."""
         return self._estimator.measured_error
 
     def offer(
         self, request: RequestInfo, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Takes a request in, or refuses it or a lower one at once.
+        """Queues a request, or refuses it or another one at once.
 
         Args:
-            request: A request whose id was not offered before.
-            now_s: The time.
+            request: A request whose ID was not offered before.
+            now_s: Current time in seconds.
 
         Returns:
-            Refusals, if any; what may start, `on_capacity` tells.
+            The refusals, if any. Admissions are returned by `on_capacity`.
 
         Raises:
-            ValueError: The request's id waits or runs already.
+            ValueError: A request with this ID is waiting or running already.
         """
         self._now_s = now_s
         self._check_new(request)
@@ -104,12 +105,13 @@
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Admits what may start on a pool's free slots.
+        """Admits the requests that may start on a pool's free slots.
 
         Args:
-            pool: The pool.
-            free_slots: What its upstreams can take now, all told.
-            now_s: The time.
+            pool: Name of the pool.
+            free_slots: Total number of requests that the pool's upstreams can
+                take now.
+            now_s: Current time in seconds.
         """
         self._now_s = now_s
         queue = self._pool(pool)
@@ -117,7 +119,7 @@
         return self._admit_some(queue, now_s)
 
     def withdraw(self, request_id: str, now_s: float) -> None:
-        """Forgets a request, waiting or admitted, that needs no answer."""
+        """Removes a waiting or admitted request that needs no answer."""
         self._now_s = now_s
         entry = self._waiting.get(request_id)
         if entry is not None:
@@ -134,17 +136,17 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Learns from an admitted request that has ended.
+        """Frees the slot of a request that has ended and updates estimates.
 
         Args:
-            request_id: The request; an unknown one is ignored, as its caller
-                may have gone just before.
-            service_time_s: Seconds that it held its slot.
-            output_tokens: Tokens of its answer.
-            now_s: The time.
+            request_id: ID of the request. An unknown ID is ignored, since the
+                caller may have disconnected just before.
+            service_time_s: Seconds for which the request held its slot.
+            output_tokens: Number of tokens of the answer.
+            now_s: Current time in seconds.
         """
-        # A slot's time is what others wait for, and it holds the tokens' time
-        # already; their number would count it twice.
+        # Other requests wait for the time on the slot, which includes the time
+        # of the output tokens; counting the tokens too would count it twice.
         del output_tokens
         self._now_s = now_s
         entry = self._in_flight.pop(request_id, None)
@@ -157,14 +159,14 @@
     def on_peer_pressure(
         self, pressures: tuple[TierPressure, ...], now_s: float
     ) -> None:
-        """Takes in where other hosts of the data centre are short."""
+        """Records the pressure that hosts of the data centre report."""
         self._now_s = now_s
         for pressure in pressures:
             at_s = now_s - pressure.age_ms / _MS_PER_S
             self._pool(pressure.pool).record_peer_pressure(pressure.tier, at_s)
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
-        """Returns where this host is or was just now short of capacity."""
+        """Returns where this host lacks capacity or recently lacked it."""
         self._now_s = now_s
         pressed: list[TierPressure] = []
         for name, tier in itertools.product(self._pools, TIERS):
@@ -175,7 +177,7 @@
         return tuple(pressed)
 
     def tick(self, now_s: float) -> tuple[AdmissionCommand, ...]:
-        """Admits what has become due by time, on slots offered earlier."""
+        """Admits requests that have become due, on slots offered earlier."""
         self._now_s = now_s
         admitted: list[AdmissionCommand] = []
         for pool in self._pools.values():
@@ -183,7 +185,7 @@
         return tuple(admitted)
 
     def next_deadline(self) -> float:
-        """Returns when `tick` has something to do; infinity for never."""
+        """Returns the time of the next `tick` that is needed, or infinity."""
         pools = self._pools.values()
         due_s = (pool.next_due_s(self._now_s) for pool in pools)
         return min(due_s, default=math.inf)
@@ -193,7 +195,7 @@
         if request_id in self._waiting or request_id in self._in_flight:
             raise ValueError(
                 f"request {request_id} was offered before and has not ended:"
-                " withdraw it first, or give the new one an id of its own"
+                " withdraw it first, or give the new request its own ID"
             )
 
     def _pool(self, name: str) -> PoolQueue:
@@ -237,8 +239,8 @@
         self, request: RequestInfo, wait_s: float, now_s: float
     ) -> Refuse:
         detail = (
-            f"the wait would be {wait_s:.1f} s, longer than the target of"
-            f" class {request.request_class} allows"
+            f"the predicted wait of {wait_s:.1f} s is longer than the latency"
+            f" target of class {request.request_class} allows"
         )
         reason = Reason.TARGET_UNREACHABLE
         return self._refuse(request, reason, detail, wait_s, now_s)
@@ -247,7 +249,9 @@
         request = entry.request
         pool = self._pool(request.pool)
         wait_s = pool.predicted_wait_s(request, entry.cost_s, math.inf)
-        detail = f"too many requests of tier {request.tier} or above wait"
+        detail = (
+            f"too many requests of tier {request.tier} or above are waiting"
+        )
         return self._refuse(request, Reason.SHED, detail, wait_s, now_s)
 
     def _refuse(
@@ -273,12 +277,17 @@
 
 
 def _latest_start_s(request: RequestInfo, reserve_s: float) -> float:
-    """Returns when a request must start at the latest to meet its target.
+    """Returns the latest time at which a request can start and be on time.
+
+    The budget of a whole answer includes its own service time, so `reserve_s`
+    of it must remain at the start. At most half of the budget is reserved. With
+    more, a class whose answers were long for a while would be late on arrival
+    and never start on time again, so that its estimate, which causes this,
+    would never be corrected.
 
-    A whole answer needs its own service time out of the budget too. At most
-    half of the budget is set aside for that: were it all, a class whose answers
-    once ran long would be late on arrival, never start in time again, and the
-    estimate that causes it would never be corrected.
+    Args:
+        request: The request.
+        reserve_s: Seconds that a whole answer is expected to take at most.
     """
     if request.budget_s <= 0:
         return math.inf
--- a/packages/coordination/src/hollyknot_coordination/admission/_retry_schedule.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_retry_schedule.py
@@ -1,24 +1,29 @@
-"""The times at which refused callers are told to come back."""
+"""Chooses the times after which refused callers should retry."""
 
 import random
 
 from hollyknot_coordination.admission._options import AdmissionOptions
 
 _JITTER = 0.5
-"""By how much, as a share, a time to come back is moved at random, at most."""
+"""Largest fraction by which a retry time is randomly changed."""
 
 
 class RetrySchedule:
-    """Hands out times to come back, one after the other.
+    """Assigns successive retry times to refused requests.
 
-    Callers that never give up come back when they are told to. Told the same
-    time they would come back together, and the burst would repeat itself; one
-    would notice refusals in waves. So each refusal takes the next place in a
-    calendar that moves on at the rate at which the slots take work.
+    Callers that never give up retry when the refusal says. With the same time
+    for all they would retry together, so that the burst repeats itself and
+    refusals come in waves. Each refusal therefore gets the next time of a
+    schedule that advances at the rate at which the slots take requests.
     """
 
     def __init__(self, options: AdmissionOptions, rng: random.Random) -> None:
-        """Makes an empty calendar."""
+        """Builds an empty schedule.
+
+        Args:
+            options: Sizes and times, of which the retry times are used.
+            rng: Source of the jitter.
+        """
         self._options = options
         self._rng = rng
         self._next_s = 0.0
@@ -26,15 +31,15 @@
     def retry_after_s(
         self, wait_s: float, step_s: float, now_s: float
     ) -> float:
-        """Takes the next place.
+        """Assigns the next retry time.
 
         Args:
-            wait_s: The wait that was predicted for the refused request.
-            step_s: The time that the slots need for one such request.
-            now_s: The time.
+            wait_s: Predicted wait of the refused request, in seconds.
+            step_s: Mean seconds between two starts of such requests.
+            now_s: Current time in seconds.
 
         Returns:
-            Seconds after which to come back.
+            Seconds after which the caller should retry.
         """
         options = self._options
         earliest_s = now_s + max(options.retry_min_s, wait_s)
--- a/packages/coordination/src/hollyknot_coordination/admission/_tier.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_tier.py
@@ -1,8 +1,9 @@
-"""The requests of one tier of one pool.
+"""Orders the waiting requests of one tier of one pool.
 
-Classes are ordered by the latest time at which the request whose turn it is
-can start and meet its target. Requests that have missed that time wait apart:
-they go after those that can still meet theirs, but for a fixed share.
+Classes are ordered by the latest time at which their next request can start and
+meet its target. Late requests, which have missed that time, wait in a queue of
+their own. They go after the requests that are on time, except for a fixed share
+of the admissions.
 """
 
 from collections.abc import Callable
@@ -17,17 +18,18 @@
 from hollyknot_state import RequestInfo
 
 _SWEEP_MIN = 1024
-"""Flows that are kept before idle ones are looked for."""
+"""Number of flows from which idle flows are searched for and dropped."""
 
 
 class TierQueue:
-    """Waiting requests of one tier of one pool."""
+    """The waiting requests of one tier of one pool."""
 
     def __init__(self, on_late: Callable[[Entry], None]) -> None:
-        """Makes an empty queue.
+        """Builds an empty queue.
 
         Args:
-            on_late: Called with each request found to have missed its target.
+            on_late: Callback for each request that can no longer meet its
+                target.
         """
         self._on_late = on_late
         self._clock = VirtualClock()
@@ -43,17 +45,17 @@
 
     @property
     def backlog_s(self) -> float:
-        """The expected service time of all that waits."""
+        """The expected service time of all waiting requests, in seconds."""
         on_time_s = sum(q.backlog_s for q in self._classes.values())
         return on_time_s + self._late.backlog_s
 
     @property
     def mean_cost_s(self) -> float:
-        """The mean expected service time of what waits."""
+        """The mean expected service time of a waiting request, in seconds."""
         return self.backlog_s / max(1, self._count)
 
     def flow(self, customer: str) -> Flow:
-        """Returns a customer's flow, a new one if it has none."""
+        """Returns a customer's flow, which is created if it doesn't exist."""
         flow = self._flows.get(customer)
         if flow is None:
             self._sweep()
@@ -62,7 +64,7 @@
         return flow
 
     def push(self, entry: Entry) -> None:
-        """Takes a request in."""
+        """Adds a request."""
         name = entry.request.request_class
         queue = self._classes.get(name)
         if queue is None:
@@ -74,14 +76,14 @@
         self._count += 1
 
     def remove(self, entry: Entry) -> None:
-        """Takes a request out without admitting it."""
+        """Removes a request without admitting it."""
         self._queue_of(entry).remove(entry)
         del entry.flow.entries[entry.request.request_id]
         entry.flow.input_size -= entry.request.input_size
         self._count -= 1
 
     def admit(self, entry: Entry) -> None:
-        """Takes a request out and counts it as its customer's turn."""
+        """Removes a request and charges its customer for the admission."""
         if not len(self._late):
             self._late_credit = 0
         elif entry.is_late:
@@ -93,12 +95,12 @@
         self.remove(entry)
 
     def head(self, now_s: float) -> Entry | None:
-        """Returns the request whose turn it is."""
+        """Returns the request that is next, if any."""
         self.expire(now_s)
         on_time = self._on_time_head()
         while on_time is not None and on_time.latest_start_s < now_s:
-            # A class whose budget was shortened holds requests that are late
-            # behind older ones that are not; `expire` stops at the older.
+            # If the budget of a class was shortened, late requests may wait
+            # behind older ones that are on time; `expire` stops at the older.
             self._mark_late(self._queue_of(on_time), on_time)
             on_time = self._on_time_head()
         if on_time is not None and self._late_credit < FULL_CREDIT:
@@ -106,7 +108,7 @@
         return self._late.head() or on_time
 
     def expire(self, now_s: float) -> None:
-        """Sets apart the requests that can't meet their target any more."""
+        """Marks the requests that can no longer meet their target as late."""
         for queue in self._classes.values():
             oldest = queue.oldest
             while oldest is not None and oldest.latest_start_s < now_s:
@@ -116,13 +118,13 @@
     def ahead_s(
         self, request: RequestInfo, cost_s: float, by_s: float
     ) -> float:
-        """Returns the service time that goes before a new request.
+        """Returns the seconds of service time ahead of a new request.
 
         Args:
             request: The request, not yet in the queue.
-            cost_s: Its expected service time.
-            by_s: When it must start; classes that must start later than that
-                don't go before it.
+            cost_s: Expected service time of the request, in seconds.
+            by_s: Time by which the request must start. Classes whose next
+                request may start later than that don't go before it.
         """
         total_s = 0.0
         for name, queue in self._classes.items():
@@ -136,7 +138,15 @@
         return total_s
 
     def is_pressed(self, now_s: float, fraction: float) -> bool:
-        """Tells whether a request has waited a share of its budget."""
+        """Returns whether the tier is short of capacity here.
+
+        It is if a request is late or has waited too long.
+
+        Args:
+            now_s: Current time in seconds.
+            fraction: Fraction of its budget after which a request has waited
+                too long.
+        """
         if len(self._late):
             return True
         for queue in self._classes.values():
@@ -170,12 +180,12 @@
         self._on_late(entry)
 
     def _sweep(self) -> None:
-        """Drops idle flows whose tag has passed.
+        """Drops idle flows whose finish tag has passed.
 
-        Without this a host would keep a flow for each customer it ever saw, in
-        each pool and tier; one would notice memory that grows for days. The
-        next sweep waits until the flows have doubled, so that its cost for
-        each new flow stays constant.
+        Otherwise a host would keep a flow for each customer that it ever saw,
+        in each pool and tier, and its memory use would grow without bound. The
+        next sweep waits until the number of flows has doubled, so that the
+        cost per new flow stays constant.
         """
         if len(self._flows) < self._sweep_at:
             return
