--- a/packages/coordination/src/hollyknot_coordination/admission/tests/_builders.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/_builders.py
@@ -1,4 +1,4 @@
-"""Requests and queues for the tests."""
+"""Builds requests and a checked queue for the tests of admission."""
 
 import itertools
 import random
@@ -26,7 +26,7 @@
     size: int = 100,
     kind: TargetKind = TargetKind.FIRST_TOKEN,
 ) -> RequestInfo:
-    """Builds a request with an id of its own."""
+    """Builds a request with a unique ID."""
     return RequestInfo(
         request_id=f"r{next(_IDS)}",
         customer=customer,
@@ -42,7 +42,7 @@
 
 
 class Host:
-    """A checked queue that remembers who was admitted and refused."""
+    """A checked queue that records admitted and refused requests."""
 
     def __init__(self, options: AdmissionOptions | None = None) -> None:
         options = options or AdmissionOptions()
@@ -59,14 +59,14 @@
         return request
 
     def offer_slots(self, slots: int, now_s: float = 0.0) -> list[RequestInfo]:
-        """Offers slots and returns what was admitted, in order."""
+        """Offers slots and returns the admitted requests in order."""
         commands = self.queue.on_capacity(POOL, slots, now_s)
         ids = [c.request_id for c in commands if isinstance(c, Admit)]
         self.running += ids
         return [self.requests[i] for i in ids]
 
     def finish(self, service_s: float, now_s: float = 0.0) -> None:
-        """Ends all that run."""
+        """Ends all running requests."""
         for request_id in self.running:
             self.queue.on_finished(request_id, service_s, 10, now_s)
         self.running.clear()
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Any order of calls keeps the rules."""
+"""Tests that the queue keeps its rules under random sequences of calls."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Offers, slots, ends, withdrawals, pressure and time, in any order."""
+    """Makes calls of all kinds and advances the time, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -127,7 +127,7 @@
         assert self._queue.checker.waiting == len(self._waiting)
 
     def teardown(self) -> None:
-        """All that waits starts in the end, given slots and time."""
+        """Checks that all waiting requests start, given slots and time."""
         for _ in range(20 + 2 * len(self._waiting)):
             self._now_s += _OPTIONS.floor_interval_max_s
             for pool in _POOLS:
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_order.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_order.py
@@ -1,4 +1,4 @@
-"""Who goes first: tiers, floors, customers, classes, late work."""
+"""Tests the order of admission by tier, customer, class and lateness."""
 
 import collections
 
@@ -18,7 +18,7 @@
 
 
 class TestTiers:
-    """The order of the tiers on one host."""
+    """Tests of the order of tiers and of their floors."""
 
     @pytest.mark.fault(
         fault="burst",
@@ -50,7 +50,7 @@
     def test_floor_is_scaled_by_cost(
         self, tier: int, high_s: float, low_s: float, every: int
     ) -> None:
-        """A lower tier gets one admission in so many, dearer ones fewer."""
+        """A lower tier starves, or its long requests take too many slots."""
         host = Host()
         for filled_tier, service_s in ((1, high_s), (tier, low_s)):
             for _ in range(30):
@@ -69,21 +69,19 @@
 
 
 class TestCustomers:
-    """Shares within a tier."""
+    """Tests of the shares of customers within a tier."""
 
     def test_burst_of_one_customer_does_not_delay_others(self) -> None:
-        """A small customer waits behind a large one's burst.
+        """The burst of one customer delays the few requests of others.
 
-        Symptom: an office's few questions wait behind another's thousand.
-        Sequence: one customer offers 1000, then two offer 50 each.
-        Cause: one queue for all, in the order of arrival.
+        This happens if all customers share one queue in the order of arrival.
         """
         host = Host()
-        for customer, count in (("crowd", 1000), ("b", 50), ("c", 50)):
+        for customer, count in (("large", 1000), ("b", 50), ("c", 50)):
             for _ in range(count):
                 host.offer(build_request(customer=customer, budget_s=0))
         counts = collections.Counter(r.customer for r in host.offer_slots(90))
-        assert counts == {"crowd": 30, "b": 30, "c": 30}
+        assert counts == {"large": 30, "b": 30, "c": 30}
 
     def test_past_use_does_not_delay_returning_customer(self) -> None:
         host = Host()
@@ -108,11 +106,10 @@
         assert counts["short"] == pytest.approx(75, abs=3)
 
     def test_underestimated_cost_is_charged_later(self) -> None:
-        """A customer with long answers takes most of the slots' time.
+        """A new customer with long answers takes most of the slots' time.
 
-        Symptom: among new customers one gets nine times the others' share.
-        Sequence: two unknown customers wait; one's answers run 9 s, not 1 s.
-        Cause: only what was expected is counted, never what was used.
+        This happens if only the expected cost of a request is charged, and
+        never the time that it used.
         """
         host = Host()
         for customer in ("long", "short") * 40:
@@ -126,13 +123,11 @@
         assert abs(used["long"] - used["short"]) <= 9.0
 
     def test_returning_customer_gets_no_extra_share_after_sweep(self) -> None:
-        """A customer gets more than its share after a clean-up.
+        """A returning customer is always served before the others.
 
-        Symptom: one customer is served without end while others wait.
-        Sequence: it goes idle, 2000 others pass, its record is dropped, it
-        returns.
-        Cause: the order still reads the tag of the dropped record, which no
-        admission raises any more.
+        This happens if its idle flow is dropped while many other customers
+        arrive, and the queue still reads the tag of the dropped flow, which no
+        admission raises.
         """
         host = Host()
         back = host.offer(build_request(customer="back"))
@@ -149,7 +144,7 @@
 
 
 class TestClasses:
-    """Classes of a tier, by their slack."""
+    """Tests of the order of classes by the time left to meet their target."""
 
     def test_least_slack_first(self) -> None:
         host = Host()
@@ -174,12 +169,10 @@
         ]
 
     def test_class_that_once_ran_long_is_not_late_on_arrival(self) -> None:
-        """A class is late for ever after a few long answers.
+        """A class of whole answers goes last for ever after long answers.
 
-        Symptom: a class of whole answers always goes last in its tier.
-        Sequence: answers run longer than the whole budget, others wait.
-        Cause: the expected service time is more than the budget, so that the
-        latest start lies before the arrival, and nothing new is learnt.
+        This happens if the expected service time exceeds the budget: the latest
+        start then lies before the arrival, and the estimate is never updated.
         """
         host = Host()
         whole = {"request_class": "whole", "kind": TargetKind.WHOLE_ANSWER}
@@ -196,15 +189,13 @@
 
 
 class TestLateWork:
-    """Work that has missed its target."""
+    """Tests of requests that have missed their target."""
 
     def test_late_request_goes_after_on_time_requests(self) -> None:
-        """Each request starts just after it stopped being of use.
+        """Nearly all answers are late under overload.
 
-        Symptom: in overload nearly every answer is late, though half of the
-        callers could have been served in time.
-        Sequence: 20 requests wait past their target, 20 fresh ones arrive.
-        Cause: the late ones are started in front of the fresh ones.
+        This happens if late requests start before new ones, which could still
+        meet their target.
         """
         host = Host()
         late = [host.offer(build_request(budget_s=1)) for _ in range(20)]
@@ -220,12 +211,11 @@
         assert _tiers(host.offer_slots(1, 5.0)) == [1]
 
     def test_late_request_behind_longer_budget_is_found(self) -> None:
-        """Late work behind work with a longer budget is found all the same.
+        """A late request starts before one that is on time.
 
-        Symptom: a late request starts in front of one that isn't.
-        Sequence: an operator shortens a class's target while its queue holds
-        requests of the longer one.
-        Cause: only the oldest of a class is looked at.
+        This happens if only the oldest request of a class is checked: after an
+        operator shortens the target of the class, late requests wait behind
+        older ones with a longer budget.
         """
         host = Host()
         host.offer(build_request(customer="a", budget_s=600))
@@ -238,14 +228,13 @@
 
 
 class TestPressure:
-    """What peers' pressure does to the lower tiers."""
+    """Tests of the pressure that peers report and that this host reports."""
 
     def test_peer_pressure_of_tier_1_throttles_tier_3(self) -> None:
-        """A host runs overnight work while its neighbour sheds citizens.
+        """A host runs tier 3 while a peer sheds requests of tier 1.
 
-        Symptom: tier 1 is refused on one host, tier 3 runs on the next.
-        Sequence: host 2 reports pressure of tier 1; host 1 has only tier 3.
-        Cause: host 1 knows of no waiting tier 1.
+        This happens if a host without waiting requests of tier 1 ignores the
+        pressure that the peer reports.
         """
         host = Host()
         for _ in range(100):
@@ -290,11 +279,10 @@
         assert len(host.queue.tick(3.0)) == 2
 
     def test_next_deadline_is_the_first_signal_to_expire(self) -> None:
-        """Work is held for longer than the signal that holds it is fresh.
+        """Tier 2 waits at free slots after the pressure of tier 1 has expired.
 
-        Symptom: tier 2 waits before free slots after tier 1's pressure ended.
-        Sequence: pressure of tier 1, then a newer one of tier 2, is heard.
-        Cause: the wake-up is set for the end of the newest.
+        This happens if the deadline is set to the expiry of the newest report,
+        here that of tier 2, and not to the first expiry.
         """
         host = Host()
         ages = (TierPressure(POOL, 1, 2500), TierPressure(POOL, 2, 0))
--- a/packages/coordination/src/hollyknot_coordination/admission/tests/test_refusals.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Who is refused, why, and when they are told to come back."""
+"""Tests which requests are refused, why, and when they should retry."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 class TestBound:
-    """The bound on what waits."""
+    """Tests of the bound on waiting requests."""
 
     @pytest.mark.fault(
         fault="burst",
@@ -76,12 +76,10 @@
         assert [r.customer for r in host.refused] == ["a"]
 
     def test_late_request_is_shed_first(self) -> None:
-        """Requests that missed their target fill the queue.
+        """Late requests fill the queue under lasting overload.
 
-        Symptom: under lasting overload every new request is shed at once, and
-        what runs is late.
-        Sequence: the queue fills, its requests become late, new ones arrive.
-        Cause: the newest gives way, which alone could still be in time.
+        This happens if the newest request is shed, which is the only one that
+        could still meet its target: all running requests are then late.
         """
         host = Host(_SMALL)
         late = [host.offer(build_request(budget_s=1)) for _ in range(5)]
@@ -91,10 +89,10 @@
 
 
 class TestUnreachableTarget:
-    """Refusals of what would wait too long."""
+    """Tests of refusals because the predicted wait is too long."""
 
     def _build_busy_host(self, service_s: float) -> Host:
-        """Builds a host with ten slots, all in use, and known costs."""
+        """Builds a host with ten running requests and known service times."""
         host = Host()
         for tier in (1, 3):
             for _ in range(20):
@@ -125,11 +123,10 @@
             assert verdict.retry_after_s >= 1.0
 
     def test_waiting_lower_tiers_cause_no_refusal(self) -> None:
-        """A citizen is refused because of overnight work.
+        """A request of tier 1 is refused while only tier 3 waits.
 
-        Symptom: tier 1 is refused while only tier 3 waits.
-        Sequence: 500 of tier 3 wait, one of tier 1 with a short budget comes.
-        Cause: the predicted wait counts work that doesn't go before it.
+        This happens if the predicted wait counts requests that don't go before
+        the new one.
         """
         host = self._build_busy_host(1.0)
         for _ in range(500):
@@ -140,17 +137,16 @@
     def test_burst_of_one_customer_gets_only_it_refused(self) -> None:
         host = self._build_busy_host(1.0)
         for _ in range(100):
-            host.offer(build_request(customer="crowd", budget_s=5.0))
+            host.offer(build_request(customer="large", budget_s=5.0))
         other = host.offer(build_request(customer="other", budget_s=5.0))
-        assert {r.customer for r in host.refused} == {"crowd"}
+        assert {r.customer for r in host.refused} == {"large"}
         assert other not in host.refused
 
     def test_estimate_recovers_after_long_answers(self) -> None:
-        """A class is refused for ever after a few long answers.
+        """A class is refused or late for ever after a few long answers.
 
-        Symptom: a class with nothing before it is refused or never in time.
-        Sequence: answers run longer than the budget, then short ones return.
-        Cause: the estimate that refuses is learnt only from what runs.
+        This happens if an estimate that exceeds the budget refuses all requests
+        of the class, as only requests that run correct the estimate.
         """
         host = self._build_busy_host(500.0)
         host.finish(500.0)
@@ -162,14 +158,13 @@
 
 
 class TestRetryAfter:
-    """Times to come back are spread."""
+    """Tests that the retry times of refusals are spread."""
 
     def test_refused_callers_do_not_retry_together(self) -> None:
-        """The burst repeats itself when the refused come back.
+        """A burst repeats itself when its refused callers retry.
 
-        Symptom: refusals in waves, one each few seconds.
-        Sequence: 1000 are refused at once and told to come back.
-        Cause: all are told about the same time.
+        This happens if all of them get about the same retry time, and shows as
+        waves of refusals.
         """
         host = Host(_SMALL)
         for _ in range(20):
@@ -211,7 +206,7 @@
 
 
 class TestPredicates:
-    """Each predicate finds the run that breaks it: no check that can't fail."""
+    """Tests that each rule is reported for a run that breaks it."""
 
     @pytest.mark.parametrize(
         ("events", "broken"),
