--- a/packages/bench/src/hollyknot_bench/_suspects_model.py
+++ b/packages/bench/src/hollyknot_bench/_suspects_model.py
@@ -37,7 +37,7 @@
         upstreams: Upstreams that all of them use.
         batch: Requests that an upstream runs at once under the load.
         is_defended: Whether hosts use the register.
-        together: Suspects of one crash that may share an upstream.
+        max_per_upstream: Suspects of one crash that may share an upstream.
         seed: Of the run's randomness.
         length_s: Time that a request runs.
         poison_after_s: Time after which the culprit crashes its upstream.
@@ -51,7 +51,7 @@
     upstreams: int
     batch: int
     is_defended: bool
-    together: int
+    max_per_upstream: int
     seed: int
     length_s: float = 2.0
     poison_after_s: float = 0.3
@@ -218,7 +218,9 @@
     """Plays one scenario."""
     run = _Run(scenario, random.Random(scenario.seed))
     run.registers = [
-        SuspectRegister(SuspectOptions(together=scenario.together))
+        SuspectRegister(
+            SuspectOptions(max_per_upstream=scenario.max_per_upstream)
+        )
         for _ in range(scenario.hosts)
     ]
     run.running = [{} for _ in range(scenario.upstreams)]
@@ -245,21 +247,23 @@
     """Prints the table of the decision record on suspects."""
     print("batch hosts defence crashes last_s lost refused delayed max_delay_s")
     for batch, hosts in itertools.product((8, 64), (1, 4, 8)):
-        for together in (0, 1, 8):
+        for max_per_upstream in (0, 1, 8):
             for seed in (1, 2, 3):
-                _print_run(batch, hosts, together, seed)
+                _print_run(batch, hosts, max_per_upstream, seed)
 
 
-def _print_run(batch: int, hosts: int, together: int, seed: int) -> None:
-    is_defended = together > 0
+def _print_run(
+    batch: int, hosts: int, max_per_upstream: int, seed: int
+) -> None:
+    is_defended = max_per_upstream > 0
     scenario = SuspectsScenario(
-        hosts, UPSTREAMS, batch, is_defended, together, seed
+        hosts, UPSTREAMS, batch, is_defended, max_per_upstream, seed
     )
     result = run_suspects(scenario)
     print(
         batch,
         hosts,
-        f"together={together}" if is_defended else "none",
+        f"together={max_per_upstream}" if is_defended else "none",
         result.crashes,
         f"{result.last_crash_s:.1f}",
         result.lost,
--- a/packages/bench/src/hollyknot_bench/slopes/_suspects.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_suspects.py
@@ -47,7 +47,7 @@
 
 
 def _crashed(crashes: int) -> SuspectRegister:
-    register = SuspectRegister(SuspectOptions(memory_s=1e9))
+    register = SuspectRegister(SuspectOptions(retention_s=1e9))
     for crash in range(crashes):
         records = tuple(
             SuspectRecord(
--- a/packages/coordination/src/hollyknot_coordination/classification/_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_classify.py
@@ -107,7 +107,7 @@
 
 
 @attrs.frozen
-class _Kind:
+class _CallKind:
     """The part of a classification that follows from what is called."""
 
     pool: str
@@ -145,7 +145,7 @@
             Reason.UNKNOWN_CLASS,
             "the customer may use " + ", ".join(declared.classes),
         )
-    kind = _find_kind(declarations, call)
+    kind = _classify_call(declarations, call)
     if isinstance(kind, Verdict):
         return kind
     return Classification(
@@ -162,46 +162,46 @@
     )
 
 
-def _find_kind(
+def _classify_call(
     declarations: Declarations, call: ModelCall | ServiceCall
-) -> _Kind | Verdict:
+) -> _CallKind | Verdict:
     if isinstance(call, ModelCall):
         if call.model not in declarations.models:
             return _refusal(Reason.UNKNOWN_MODEL, "no such model is declared")
-        return _Kind(call.model, Nature.IDEMPOTENT, NatureReason.MODEL_CALL)
+        return _CallKind(call.model, Nature.IDEMPOTENT, NatureReason.MODEL_CALL)
     service = declarations.services.get(call.service)
     if service is None:
         return _refusal(Reason.UNKNOWN_SERVICE, "no such service is declared")
     path = normalise_path(call.path)
     if isinstance(path, PathFault):
         return _refusal(Reason.BAD_REQUEST, f"the path has {path.value}")
-    return _service_kind(service, call, path)
+    return _classify_service_call(service, call, path)
 
 
-def _service_kind(
+def _classify_service_call(
     service: ServiceDeclaration, call: ServiceCall, path: str
-) -> _Kind:
+) -> _CallKind:
     """Decides the nature of a service's call; where in doubt, it runs once."""
     pattern = _first_match(service.non_idempotent, call.method, path)
     if pattern:
         reason = NatureReason.DECLARED_NON_IDEMPOTENT
-        return _once(service, call, reason, pattern)
+        return _non_idempotent_kind(service, call, reason, pattern)
     if call.method in IDEMPOTENT_METHODS:
-        return _Kind(call.service, Nature.IDEMPOTENT, NatureReason.METHOD)
+        return _CallKind(call.service, Nature.IDEMPOTENT, NatureReason.METHOD)
     pattern = _first_match(service.idempotent, call.method, path)
     if pattern:
         reason = NatureReason.DECLARED_IDEMPOTENT
-        return _Kind(call.service, Nature.IDEMPOTENT, reason, pattern)
-    return _once(service, call, NatureReason.METHOD)
+        return _CallKind(call.service, Nature.IDEMPOTENT, reason, pattern)
+    return _non_idempotent_kind(service, call, NatureReason.METHOD)
 
 
-def _once(
+def _non_idempotent_kind(
     service: ServiceDeclaration,
     call: ServiceCall,
     reason: NatureReason,
     pattern: str = "",
-) -> _Kind:
-    return _Kind(
+) -> _CallKind:
+    return _CallKind(
         call.service,
         Nature.NON_IDEMPOTENT,
         reason,
--- a/packages/coordination/src/hollyknot_coordination/classification/_explain.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_explain.py
@@ -60,7 +60,7 @@
     refusals: tuple[PossibleRefusal, ...] = ()
 
 
-_ANY: tuple[tuple[Reason, Outcome, str], ...] = (
+_COMMON_ENDS: tuple[tuple[Reason, Outcome, str], ...] = (
     (Reason.BAD_REQUEST, Outcome.NOT_RUN, "the request is malformed"),
     (Reason.TOO_LARGE, Outcome.NOT_RUN, "its body exceeds max_body_bytes"),
     (Reason.NOT_READY, Outcome.NOT_RUN, "the host has just started"),
@@ -102,7 +102,7 @@
     (Reason.UPSTREAM_ERROR, Outcome.FAILED, "the upstream answered an error"),
     (Reason.INTERNAL, Outcome.MAY_HAVE_RUN, "hollyknot itself has a fault"),
 )
-_NON_IDEMPOTENT: tuple[tuple[Reason, Outcome, str], ...] = (
+_NON_IDEMPOTENT_ENDS: tuple[tuple[Reason, Outcome, str], ...] = (
     (
         Reason.IDEMPOTENCY_KEY,
         Outcome.NOT_RUN,
@@ -143,7 +143,9 @@
     found = classify(declarations, customer, class_name, call)
     if isinstance(found, Verdict):
         return Explanation(found, http_status(found))
-    ends = _ANY + (_NON_IDEMPOTENT if found.needs_idempotency_key else ())
+    ends = _COMMON_ENDS + (
+        _NON_IDEMPOTENT_ENDS if found.needs_idempotency_key else ()
+    )
     return Explanation(
         result=found,
         is_retried_if_not_run=_is_retried(
@@ -152,11 +154,13 @@
         is_retried_if_lost=_is_retried(
             found.nature, Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
         ),
-        refusals=tuple(_possible(*end) for end in ends),
+        refusals=tuple(_possible_refusal(*end) for end in ends),
     )
 
 
-def _possible(reason: Reason, outcome: Outcome, when: str) -> PossibleRefusal:
+def _possible_refusal(
+    reason: Reason, outcome: Outcome, when: str
+) -> PossibleRefusal:
     is_upstreams = outcome is Outcome.FAILED
     status = 0 if is_upstreams else http_status(Verdict(outcome, reason))
     return PossibleRefusal(reason, outcome, status, when)
--- a/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
@@ -59,7 +59,7 @@
         )
     },
 )
-_ONCE = NatureReason.DECLARED_NON_IDEMPOTENT
+_DECLARED_NON_IDEMPOTENT = NatureReason.DECLARED_NON_IDEMPOTENT
 
 
 def _call(method: str, path: str) -> Classification | Verdict:
@@ -151,9 +151,14 @@
             ("PATCH", "/a", NatureReason.METHOD, ""),
             ("put", "/a", NatureReason.METHOD, ""),
             ("MERGE", "/a", NatureReason.METHOD, ""),
-            ("PUT", "/orders/7", _ONCE, "PUT /orders*"),
-            ("POST", "/search/run", _ONCE, "POST /search/run"),
-            ("GET", "/next", _ONCE, "GET /next"),
+            ("PUT", "/orders/7", _DECLARED_NON_IDEMPOTENT, "PUT /orders*"),
+            (
+                "POST",
+                "/search/run",
+                _DECLARED_NON_IDEMPOTENT,
+                "POST /search/run",
+            ),
+            ("GET", "/next", _DECLARED_NON_IDEMPOTENT, "GET /next"),
         ],
     )
     def test_non_idempotent(
@@ -232,7 +237,7 @@
     def test_every_reason_is_told(self) -> None:
         call = ServiceCall("permits", "POST", "/a")
         found = explain(_DECLARED, "desk", Absent.CLASS, call)
-        told = {refusal.reason for refusal in found.refusals}
+        reasons = {refusal.reason for refusal in found.refusals}
         by_classification = {
             Reason.BAD_KEY,
             Reason.UNKNOWN_CLASS,
@@ -240,4 +245,4 @@
             Reason.UNKNOWN_SERVICE,
         }
         unanswered = {Reason.NONE, Reason.CALLER_GONE}
-        assert told == set(Reason) - by_classification - unanswered
+        assert reasons == set(Reason) - by_classification - unanswered
--- a/packages/coordination/src/hollyknot_coordination/limits/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/__init__.py
@@ -3,8 +3,8 @@
 from hollyknot_coordination.limits._aimd import ConcurrencyLimit, LimitOptions
 from hollyknot_coordination.limits._latency import (
     LatencyOptions,
+    MedianLatency,
     Slowness,
-    UsualLatency,
 )
 
 __all__ = [
@@ -12,5 +12,5 @@
     "LatencyOptions",
     "LimitOptions",
     "Slowness",
-    "UsualLatency",
+    "MedianLatency",
 ]
--- a/packages/coordination/src/hollyknot_coordination/limits/_aimd.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/_aimd.py
@@ -29,11 +29,11 @@
 
     start: int = 8
     share: float = 2.0
-    largest: int = 256
-    cut: float = 0.7
-    cut_every_s: float = 1.0
-    late_floor: float = 0.25
-    used_share: float = 0.5
+    max_limit: int = 256
+    decrease_factor: float = 0.7
+    min_decrease_interval_s: float = 1.0
+    late_floor_fraction: float = 0.25
+    min_used_fraction: float = 0.5
 
 
 class ConcurrencyLimit:
@@ -44,9 +44,9 @@
         self._options = options
         self._start = float(options.start)
         self._limit = self._start
-        self._was_moved = False
-        self._slow_start_to = 0.0
-        self._cut_s = float("-inf")
+        self._was_adjusted = False
+        self._slow_start_threshold = 0.0
+        self._last_decrease_s = float("-inf")
 
     @property
     def value(self) -> int:
@@ -56,35 +56,35 @@
     @property
     def is_restarting(self) -> bool:
         """Whether it still grows back after `restart`."""
-        return self._limit < self._slow_start_to
+        return self._limit < self._slow_start_threshold
 
     def on_slots(self, slots: int, sharers: int) -> None:
         """Starts from a report's slots, as long as nothing was delivered."""
-        if self._was_moved or slots <= 0:
+        if self._was_adjusted or slots <= 0:
             return
         share = self._options.share * slots / max(1, sharers)
         self._start = self._clamp(min(share, slots))
         self._limit = self._start
 
-    def on_good(self, in_flight: int) -> None:
+    def on_met_target(self, in_flight: int) -> None:
         """Notes a request that ended in target.
 
         Args:
             in_flight: Requests there just before it ended, itself included.
         """
-        if in_flight < self._limit * self._options.used_share:
+        if in_flight < self._limit * self._options.min_used_fraction:
             return
-        self._was_moved = True
+        self._was_adjusted = True
         step = 1.0 if self.is_restarting else 1.0 / self._limit
         self._limit = self._clamp(self._limit + step)
 
     def on_refused(self, now_s: float) -> None:
         """Notes a refusal or a latency far above the pool's."""
-        self._cut(1.0, now_s)
+        self._decrease(1.0, now_s)
 
     def on_late(self, now_s: float) -> None:
         """Notes an answer that missed its target, or a queue inside."""
-        self._cut(self._start * self._options.late_floor, now_s)
+        self._decrease(self._start * self._options.late_floor_fraction, now_s)
 
     def restart(self) -> None:
         """Starts again at 1 after an ejection.
@@ -93,19 +93,26 @@
         it was, then grows as usual: a crashed engine comes back with a cold
         cache, and all hosts come back to it at once.
         """
-        self._was_moved = True
-        self._slow_start_to = max(self._slow_start_to, self._limit / 2)
+        self._was_adjusted = True
+        self._slow_start_threshold = max(
+            self._slow_start_threshold, self._limit / 2
+        )
         self._limit = 1.0
 
-    def _cut(self, floor: float, now_s: float) -> None:
-        if now_s - self._cut_s < self._options.cut_every_s:
+    def _decrease(self, floor: float, now_s: float) -> None:
+        if (
+            now_s - self._last_decrease_s
+            < self._options.min_decrease_interval_s
+        ):
             return
         if self._limit <= floor:
             return
-        self._was_moved = True
-        self._cut_s = now_s
-        self._slow_start_to = 0.0
-        self._limit = self._clamp(max(floor, self._limit * self._options.cut))
+        self._was_adjusted = True
+        self._last_decrease_s = now_s
+        self._slow_start_threshold = 0.0
+        self._limit = self._clamp(
+            max(floor, self._limit * self._options.decrease_factor)
+        )
 
     def _clamp(self, limit: float) -> float:
-        return min(max(1.0, limit), float(self._options.largest))
+        return min(max(1.0, limit), float(self._options.max_limit))
--- a/packages/coordination/src/hollyknot_coordination/limits/_latency.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/_latency.py
@@ -26,12 +26,12 @@
 
     median_step: float = 0.05
     weight: float = 0.2
-    sample_max: float = 10.0
+    max_ratio: float = 10.0
     half_life_s: float = 10.0
-    straggler: float = 2.5
+    straggler_ratio: float = 2.5
 
 
-class UsualLatency:
+class MedianLatency:
     """The median first-byte latency of a pool's class, tracked by steps.
 
     A median, since one straggler's samples would pull a mean up until the
@@ -56,7 +56,7 @@
         ratio = latency_s / self._median_s
         step = 1.0 + self._options.median_step
         self._median_s *= step if ratio > 1.0 else 1.0 / step
-        return min(ratio, self._options.sample_max)
+        return min(ratio, self._options.max_ratio)
 
 
 class Slowness:
@@ -66,22 +66,22 @@
         """Starts as usual."""
         self._options = options
         self._value = 1.0
-        self._noted_s = 0.0
+        self._sampled_s = 0.0
 
     def at(self, now_s: float) -> float:
         """Returns the slowness, which moves to 1 without samples."""
         if self._value == 1.0:
             return 1.0
-        age = max(0.0, now_s - self._noted_s)
-        fade = math.exp2(-age / self._options.half_life_s)
-        return 1.0 + (self._value - 1.0) * fade
+        age = max(0.0, now_s - self._sampled_s)
+        decay = math.exp2(-age / self._options.half_life_s)
+        return 1.0 + (self._value - 1.0) * decay
 
     def note(self, ratio: float, now_s: float) -> None:
         """Averages one sample in."""
         before = self.at(now_s)
         self._value = before + (ratio - before) * self._options.weight
-        self._noted_s = now_s
+        self._sampled_s = now_s
 
     def is_straggler(self, now_s: float) -> bool:
         """Whether the upstream is far slower than its pool."""
-        return self.at(now_s) >= self._options.straggler
+        return self.at(now_s) >= self._options.straggler_ratio
--- a/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
@@ -4,8 +4,8 @@
     ConcurrencyLimit,
     LatencyOptions,
     LimitOptions,
+    MedianLatency,
     Slowness,
-    UsualLatency,
 )
 
 
@@ -30,10 +30,10 @@
     def test_grows_only_while_in_use(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         for _ in range(100):
-            limit.on_good(in_flight=1)
+            limit.on_met_target(in_flight=1)
         assert limit.value == 8
         for _ in range(9):
-            limit.on_good(in_flight=8)
+            limit.on_met_target(in_flight=8)
         assert limit.value == 9
 
     def test_never_below_one_and_cuts_are_spaced(self) -> None:
@@ -61,9 +61,9 @@
         limit.restart()
         assert (limit.value, limit.is_restarting) == (1, True)
         for _ in range(7):
-            limit.on_good(in_flight=limit.value)
+            limit.on_met_target(in_flight=limit.value)
         assert (limit.value, limit.is_restarting) == (8, False)
-        limit.on_good(in_flight=8)
+        limit.on_met_target(in_flight=8)
         assert limit.value == 8
 
 
@@ -76,13 +76,13 @@
         Sequence: two of five upstreams slow down; the latency that counts as
         usual follows them. Cause: a mean in place of a median.
         """
-        usual = UsualLatency(LatencyOptions())
+        median = MedianLatency(LatencyOptions())
         slow = Slowness(LatencyOptions())
         for i in range(200):
             for _ in range(3):
-                usual.ratio(0.1)
+                median.ratio(0.1)
             for _ in range(2):
-                slow.note(usual.ratio(0.4), i * 0.1)
+                slow.note(median.ratio(0.4), i * 0.1)
         assert slow.is_straggler(20.0)
 
     def test_fades(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/retries/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/__init__.py
@@ -9,10 +9,13 @@
     Answer,
     Attempt,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
 )
-from hollyknot_coordination.retries._next_step import next_step, whole_verdict
+from hollyknot_coordination.retries._next_step import (
+    combined_verdict,
+    next_step,
+)
 
 __all__ = [
     "Answer",
@@ -20,10 +23,10 @@
     "RetryBudgetOptions",
     "RetryBudgets",
     "RetryElsewhere",
-    "RetryNow",
+    "RetryOnNewConnection",
     "Step",
     "http_status",
     "next_step",
     "retry_after_s",
-    "whole_verdict",
+    "combined_verdict",
 ]
--- a/packages/coordination/src/hollyknot_coordination/retries/_answers.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_answers.py
@@ -5,7 +5,7 @@
 
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 
-SPREAD = 1.0
+RETRY_AFTER_JITTER = 1.0
 """Callers that are told to come back after t seconds are told a time between
 t and t * (1 + SPREAD), so that a crowd does not return at once."""
 
@@ -73,15 +73,15 @@
     back could only run it again or be refused. An upstream's own error gets
     none either: what the upstream said of it goes to the caller as it is.
     """
-    if not _is_return_useful(verdict, nature):
+    if not _is_retry_useful(verdict, nature):
         return 0.0
-    least_s = verdict.retry_after_s or _RETRY_AFTER_S.get(
+    min_s = verdict.retry_after_s or _RETRY_AFTER_S.get(
         verdict.reason, DEFAULT_RETRY_AFTER_S
     )
-    return least_s * (1.0 + SPREAD * rng.random())
+    return min_s * (1.0 + RETRY_AFTER_JITTER * rng.random())
 
 
-def _is_return_useful(verdict: Verdict, nature: Nature) -> bool:
+def _is_retry_useful(verdict: Verdict, nature: Nature) -> bool:
     if verdict.reason in _FINAL_REASONS:
         return False
     match verdict.outcome:
--- a/packages/coordination/src/hollyknot_coordination/retries/_budgets.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_budgets.py
@@ -19,8 +19,8 @@
             retry a request.
     """
 
-    share: float = 0.1
-    largest: float = 20.0
+    tokens_per_first_try: float = 0.1
+    capacity: float = 20.0
     start: float = 5.0
 
 
@@ -38,8 +38,8 @@
 
     def on_first_try(self, pool: str) -> None:
         """Adds a first try's share."""
-        tokens = self.tokens(pool) + self._options.share
-        self._tokens[pool] = min(tokens, self._options.largest)
+        tokens = self.tokens(pool) + self._options.tokens_per_first_try
+        self._tokens[pool] = min(tokens, self._options.capacity)
 
     def spend(self, pool: str) -> None:
         """Takes what a retry costs."""
--- a/packages/coordination/src/hollyknot_coordination/retries/_messages.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_messages.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class RetryNow:
+class RetryOnNewConnection:
     """Try again by a new connection, at any upstream, the last one included.
 
     Attributes:
@@ -62,4 +62,4 @@
     verdict: Verdict
 
 
-Step = RetryNow | RetryElsewhere | Answer
+Step = RetryOnNewConnection | RetryElsewhere | Answer
--- a/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
@@ -21,18 +21,18 @@
     Answer,
     Attempt,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
 )
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 
-TRIES_MAX = 3
+MAX_TRIES = 3
 """Tries of one request at one host, the first included."""
 
-DELAY_S = 0.02
+RETRY_DELAY_S = 0.02
 """Mean delay before a second retry; none before the first."""
 
-_AT_UPSTREAM = frozenset(
+_UPSTREAM_REASONS = frozenset(
     {
         Reason.CONNECT_FAILED,
         Reason.UPSTREAM_REFUSED,
@@ -43,7 +43,9 @@
 )
 """Reasons that lie in one upstream, so that another one may do better."""
 
-_CONNECTION_LOST = frozenset({Reason.UPSTREAM_LOST, Reason.UPSTREAM_SILENT})
+_STALE_CONNECTION_REASONS = frozenset(
+    {Reason.UPSTREAM_LOST, Reason.UPSTREAM_SILENT}
+)
 """Reasons that an old connection alone can have."""
 
 
@@ -65,16 +67,19 @@
         rng: Source of randomness for the delay.
     """
     if not _may_retry(verdict, attempt) or tokens < 1.0:
-        return Answer(whole_verdict(verdict, attempt))
+        return Answer(combined_verdict(verdict, attempt))
     delay_s = _delay_s(attempt.tries, rng)
-    if attempt.tries >= TRIES_MAX or now_s + delay_s >= attempt.deadline_s:
-        return Answer(whole_verdict(verdict, attempt))
-    if attempt.connection_reused and verdict.reason in _CONNECTION_LOST:
-        return RetryNow(delay_s)
+    if attempt.tries >= MAX_TRIES or now_s + delay_s >= attempt.deadline_s:
+        return Answer(combined_verdict(verdict, attempt))
+    if (
+        attempt.connection_reused
+        and verdict.reason in _STALE_CONNECTION_REASONS
+    ):
+        return RetryOnNewConnection(delay_s)
     return RetryElsewhere(delay_s)
 
 
-def whole_verdict(verdict: Verdict, attempt: Attempt) -> Verdict:
+def combined_verdict(verdict: Verdict, attempt: Attempt) -> Verdict:
     """Returns the verdict of all tries from that of the last.
 
     A request whose second try was refused may have run by its first: "not
@@ -86,7 +91,7 @@
 
 
 def _may_retry(verdict: Verdict, attempt: Attempt) -> bool:
-    if attempt.bytes_relayed or verdict.reason not in _AT_UPSTREAM:
+    if attempt.bytes_relayed or verdict.reason not in _UPSTREAM_REASONS:
         return False
     match verdict.outcome:
         case Outcome.NOT_RUN:
@@ -100,4 +105,4 @@
 def _delay_s(tries: int, rng: random.Random) -> float:
     if tries <= 1:
         return 0.0
-    return DELAY_S * rng.uniform(0.5, 1.5)
+    return RETRY_DELAY_S * rng.uniform(0.5, 1.5)
--- a/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
@@ -12,7 +12,7 @@
     RetryBudgetOptions,
     RetryBudgets,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
     http_status,
     next_step,
@@ -84,20 +84,22 @@
         part was relayed, and is sent again. Cause: a retry that follows from
         less than verdict, nature and what the caller has.
         """
-        wanted = (
+        is_retried = (
             RETRIED[outcome, nature]
             and reason in UPSTREAM_REASONS
             and not relayed
             and tokens >= 1.0
         )
         found = step(outcome, nature, reason, relayed=relayed, tokens=tokens)
-        if wanted:
+        if is_retried:
             assert found == RetryElsewhere(0.0)
         else:
             assert found == Answer(Verdict(outcome, reason))
 
     def test_reused_connection_blames_the_connection(self) -> None:
-        assert step(Outcome.MAY_HAVE_RUN, reused=True) == RetryNow(0.0)
+        assert step(Outcome.MAY_HAVE_RUN, reused=True) == RetryOnNewConnection(
+            0.0
+        )
         refused = step(
             Outcome.NOT_RUN, reason=Reason.UPSTREAM_REFUSED, reused=True
         )
@@ -125,7 +127,9 @@
     """Retries are a share of first tries."""
 
     def test_share(self) -> None:
-        budgets = RetryBudgets(RetryBudgetOptions(share=0.1, start=0.0))
+        budgets = RetryBudgets(
+            RetryBudgetOptions(tokens_per_first_try=0.1, start=0.0)
+        )
         retries = 0
         for _ in range(1000):
             budgets.on_first_try("m")
@@ -136,7 +140,7 @@
         assert budgets.tokens("other") == 0.0
 
     def test_is_bounded(self) -> None:
-        budgets = RetryBudgets(RetryBudgetOptions(largest=3.0))
+        budgets = RetryBudgets(RetryBudgetOptions(capacity=3.0))
         for _ in range(1000):
             budgets.on_first_try("m")
         assert budgets.tokens("m") == 3.0
@@ -179,7 +183,7 @@
     """Status and time to come back, by outcome and reason."""
 
     @pytest.mark.parametrize(
-        ("outcome", "reason", "upstream", "status", "returns"), ANSWERS
+        ("outcome", "reason", "upstream", "status", "has_retry_after"), ANSWERS
     )
     def test_table(
         self,
@@ -187,13 +191,13 @@
         reason: Reason,
         upstream: int,
         status: int,
-        returns: tuple[bool, bool],
+        has_retry_after: tuple[bool, bool],
     ) -> None:
         verdict = Verdict(outcome, reason, upstream_status=upstream)
         assert http_status(verdict) == status
         rng = random.Random(1)
-        told = tuple(retry_after_s(verdict, n, rng) > 0 for n in Nature)
-        assert told == returns
+        retry_after = tuple(retry_after_s(verdict, n, rng) > 0 for n in Nature)
+        assert retry_after == has_retry_after
 
     def test_crowd_is_spread(self) -> None:
         """Symptom: each wave of refused callers returns as one wave.
@@ -203,10 +207,12 @@
         """
         shed = Verdict(Outcome.NOT_RUN, Reason.SHED, retry_after_s=4.0)
         rng = random.Random(1)
-        told = [
+        retry_after = [
             retry_after_s(shed, Nature.IDEMPOTENT, rng) for _ in range(1000)
         ]
-        assert min(told) >= 4.0
-        assert max(told) <= 8.0
-        seconds = [sum(s <= t < s + 1 for t in told) for s in (4, 5, 6, 7)]
+        assert min(retry_after) >= 4.0
+        assert max(retry_after) <= 8.0
+        seconds = [
+            sum(s <= t < s + 1 for t in retry_after) for s in (4, 5, 6, 7)
+        ]
         assert max(seconds) < 350
--- a/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_feedback.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from hollyknot_coordination.limits import UsualLatency
+from hollyknot_coordination.limits import MedianLatency
 from hollyknot_coordination.routing._upstream import Flight, Upstream
 from hollyknot_state import Outcome, Reason, Verdict
 
@@ -37,7 +37,7 @@
 
 
 def note_first_byte(
-    upstream: Upstream, flight: Flight, usual: UsualLatency, now_s: float
+    upstream: Upstream, flight: Flight, usual: MedianLatency, now_s: float
 ) -> None:
     """Takes in the time from dispatch to first byte."""
     upstream.waiting.pop(flight.request.request_id, None)
@@ -73,7 +73,7 @@
     upstream.good_s = now_s
     upstream.losses = 0
     if met_target:
-        upstream.limit.on_good(upstream.in_flight)
+        upstream.limit.on_met_target(upstream.in_flight)
         return
     request = flight.request
     waited_s = flight.chosen_s - request.arrived_s
--- a/packages/coordination/src/hollyknot_coordination/routing/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/routing/_table.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Iterator, Set
 
-from hollyknot_coordination.limits import LatencyOptions, UsualLatency
+from hollyknot_coordination.limits import LatencyOptions, MedianLatency
 from hollyknot_coordination.routing import _health
 from hollyknot_coordination.routing._candidates import (
     candidates,
@@ -76,7 +76,7 @@
         self._pools: dict[str, Pool] = {}
         self._upstreams: dict[str, Upstream] = {}
         self._members: set[str] = set()
-        self._usual: dict[tuple[str, str], UsualLatency] = {}
+        self._usual: dict[tuple[str, str], MedianLatency] = {}
         self._latency_options = LatencyOptions()
         self._self_suspicion = SelfSuspicion(options)
 
@@ -141,7 +141,7 @@
         key = (flight.request.pool, flight.request.request_class)
         usual = self._usual.get(key)
         if usual is None:
-            usual = UsualLatency(self._latency_options)
+            usual = MedianLatency(self._latency_options)
             self._usual[key] = usual
         note_first_byte(known, flight, usual, now_s)
 
--- a/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
@@ -37,16 +37,16 @@
     size: int = 0
 
     @property
-    def hidden(self) -> int:
+    def unreported(self) -> int:
         """Requests in it whose fingerprints this host was not told."""
         return max(0, self.size - len(self.suspects) - self.cleared)
 
-    def blame(self, fingerprint: int, new_share: float) -> float:
+    def blame(self, fingerprint: int, new_fraction: float) -> float:
         """Returns one fingerprint's part of the blame, at most 1."""
         if not self.known:
-            return 1.0 / (len(self.suspects) + self.hidden)
-        new = len(self.suspects) - len(self.known) + self.hidden
-        kept_for_new = new_share if new else 0.0
+            return 1.0 / (len(self.suspects) + self.unreported)
+        new = len(self.suspects) - len(self.known) + self.unreported
+        kept_for_new = new_fraction if new else 0.0
         if fingerprint in self.known:
             return (1.0 - kept_for_new) / len(self.known)
         return kept_for_new / new
@@ -61,12 +61,12 @@
         self._crashes: deque[Crash] = deque()
         self._by_fingerprint: dict[int, list[Crash]] = {}
         self._cleared: OrderedDict[int, float] = OrderedDict()
-        self._often: set[int] = set()
+        self._refusable: set[int] = set()
 
     @property
-    def often(self) -> frozenset[int]:
+    def refusable(self) -> frozenset[int]:
         """Suspects of so many crashes that they may be refused for it."""
-        return frozenset(self._often)
+        return frozenset(self._refusable)
 
     def add(
         self, fingerprint: int, upstream: str, size: int, at_s: float
@@ -82,16 +82,16 @@
         """
         if self._cleared.get(fingerprint, float("-inf")) >= at_s:
             return None
-        crash = self._crash(upstream, at_s)
+        crash = self._find_or_add_crash(upstream, at_s)
         crash.size = max(crash.size, size)
-        is_full = len(crash.suspects) >= self._options.fingerprints_max
+        is_full = len(crash.suspects) >= self._options.max_fingerprints
         if fingerprint in crash.suspects or is_full:
             return crash
         crash.suspects.add(fingerprint)
         before = self._by_fingerprint.setdefault(fingerprint, [])
         before.append(crash)
         if len(before) >= self._options.refuse_crashes:
-            self._often.add(fingerprint)
+            self._refusable.add(fingerprint)
         # A peer may tell of the earlier of two crashes after the later one.
         first_s = min(c.at_s for c in before)
         for later in before:
@@ -105,10 +105,10 @@
             crash.suspects.discard(fingerprint)
             crash.known.discard(fingerprint)
             crash.cleared += 1
-        self._often.discard(fingerprint)
+        self._refusable.discard(fingerprint)
         self._cleared[fingerprint] = now_s
         self._cleared.move_to_end(fingerprint)
-        if len(self._cleared) > self._options.cleared_max:
+        if len(self._cleared) > self._options.max_cleared:
             self._cleared.popitem(last=False)
 
     def crashes(self, fingerprint: int) -> list[Crash]:
@@ -119,22 +119,24 @@
         """Returns all crashes, the newest first."""
         return reversed(self._crashes)
 
-    def expire(self, now_s: float, is_kept: set[int]) -> None:
+    def expire(self, now_s: float, refused_fingerprints: set[int]) -> None:
         """Forgets what is too old, but for crashes of refused fingerprints."""
         options = self._options
         for crash in list(self._crashes):
             age_s = now_s - crash.at_s
-            is_refused = not is_kept.isdisjoint(crash.suspects)
-            most = options.quarantine_s if is_refused else options.memory_s
-            if age_s > most:
+            is_refused = not refused_fingerprints.isdisjoint(crash.suspects)
+            max_age_s = (
+                options.quarantine_s if is_refused else options.retention_s
+            )
+            if age_s > max_age_s:
                 self._drop(crash)
 
-    def _crash(self, upstream: str, at_s: float) -> Crash:
+    def _find_or_add_crash(self, upstream: str, at_s: float) -> Crash:
         for crash in self._crashes:
             is_near = abs(crash.at_s - at_s) <= self._options.merge_s
             if crash.upstream == upstream and is_near:
                 return crash
-        if len(self._crashes) >= self._options.crashes_max:
+        if len(self._crashes) >= self._options.max_crashes:
             self._drop(self._crashes[0])
         crash = Crash(upstream, at_s)
         self._crashes.append(crash)
@@ -143,9 +145,9 @@
     def _drop(self, crash: Crash) -> None:
         self._crashes.remove(crash)
         for fingerprint in crash.suspects:
-            rest = self._by_fingerprint[fingerprint]
-            rest.remove(crash)
-            if len(rest) < self._options.refuse_crashes:
-                self._often.discard(fingerprint)
-            if not rest:
+            remaining = self._by_fingerprint[fingerprint]
+            remaining.remove(crash)
+            if len(remaining) < self._options.refuse_crashes:
+                self._refusable.discard(fingerprint)
+            if not remaining:
                 del self._by_fingerprint[fingerprint]
--- a/packages/coordination/src/hollyknot_coordination/suspects/_messages.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_messages.py
@@ -35,15 +35,15 @@
     settle_s: float = 1.0
     refuse_score: float = 1.9
     refuse_crashes: int = 3
-    together: int = 8
-    new_share: float = 0.1
-    memory_s: float = 600.0
+    max_per_upstream: int = 8
+    new_fraction: float = 0.1
+    retention_s: float = 600.0
     quarantine_s: float = 3600.0
-    tell_s: float = 10.0
-    crashes_max: int = 256
-    fingerprints_max: int = 512
-    cleared_max: int = 4096
-    told_max: int = 128
+    report_duration_s: float = 10.0
+    max_crashes: int = 256
+    max_fingerprints: int = 512
+    max_cleared: int = 4096
+    max_records: int = 128
 
 
 @attrs.frozen
--- a/packages/coordination/src/hollyknot_coordination/suspects/_register.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_register.py
@@ -15,10 +15,10 @@
 NO_FINGERPRINT = 0
 """Of a request that has none; it is never a suspect."""
 
-AGAIN_S = 1.0
+RETRY_AFTER_S = 1.0
 """When to come back if the same suspect is in flight already."""
 
-_LOSSES = frozenset({Reason.UPSTREAM_LOST, Reason.TRUNCATED})
+_CRASH_REASONS = frozenset({Reason.UPSTREAM_LOST, Reason.TRUNCATED})
 """Ends that a crash has. Silence is left out: it is a connection's far more
 often than a crash, and would blame long requests."""
 
@@ -33,7 +33,9 @@
         self._in_flight: dict[str, Counter[int]] = {}
         self._refused: dict[int, float] = {}
         # Evidence that is to be passed on, by fingerprint.
-        self._news: deque[tuple[int, Crash]] = deque(maxlen=options.told_max)
+        self._unsent: deque[tuple[int, Crash]] = deque(
+            maxlen=options.max_records
+        )
 
     def gate(self, fingerprint: int, now_s: float) -> Gate:
         """Says how a request may be sent, before each try.
@@ -47,9 +49,9 @@
             return Clear()
         if self._is_culprit(fingerprint, crashes):
             return self._refuse(fingerprint, crashes, now_s)
-        running = self._upstreams_of(fingerprint)
+        running = self._upstreams_running(fingerprint)
         if running:
-            return _refusal("the same request is being tried", AGAIN_S)
+            return _refusal("the same request is being tried", RETRY_AFTER_S)
         return Isolate(self._excluded(len(crashes)))
 
     def on_dispatch(self, fingerprint: int, upstream: str) -> None:
@@ -65,17 +67,17 @@
         survived it. One that was lost is a suspect, and so are all others
         that were in flight there, until they end otherwise.
         """
-        there = self._in_flight.get(upstream, Counter())
+        in_flight = self._in_flight.get(upstream, Counter())
         if verdict.outcome in (Outcome.COMPLETE, Outcome.FAILED):
             if fingerprint != NO_FINGERPRINT:
                 self._evidence.clear(fingerprint, now_s)
                 self._refused.pop(fingerprint, None)
-        elif verdict.reason in _LOSSES:
-            self._on_loss(fingerprint, upstream, there, now_s)
-        there[fingerprint] -= 1
-        if there[fingerprint] <= 0:
-            del there[fingerprint]
-        if not there:
+        elif verdict.reason in _CRASH_REASONS:
+            self._on_loss(fingerprint, upstream, in_flight, now_s)
+        in_flight[fingerprint] -= 1
+        if in_flight[fingerprint] <= 0:
+            del in_flight[fingerprint]
+        if not in_flight:
             self._in_flight.pop(upstream, None)
 
     def on_records(
@@ -86,9 +88,9 @@
         Returns:
             What was not known.
         """
-        return tuple(r for r in records if self._is_news(r, now_s))
+        return tuple(r for r in records if self._is_new_evidence(r, now_s))
 
-    def _is_news(self, record: SuspectRecord, now_s: float) -> bool:
+    def _is_new_evidence(self, record: SuspectRecord, now_s: float) -> bool:
         """Takes in one record and returns whether it was not known."""
         fingerprint = record.fingerprint
         if fingerprint == NO_FINGERPRINT:
@@ -107,21 +109,21 @@
         crash = self._evidence.add(fingerprint, upstream, size, at_s)
         is_new = len(self._evidence.crashes(fingerprint)) > before
         if crash is not None and is_new:
-            self._news.append((fingerprint, crash))
+            self._unsent.append((fingerprint, crash))
         return crash
 
-    def take_news(self, now_s: float) -> tuple[SuspectRecord, ...]:
+    def next_updates(self, now_s: float) -> tuple[SuspectRecord, ...]:
         """Returns what was learnt since the last call, to be passed on once.
 
         Evidence against those who were in most crashes comes first, since
         there may be no room for all.
         """
         news = sorted(
-            ((f, crash) for f, crash in self._news if f in crash.suspects),
+            ((f, crash) for f, crash in self._unsent if f in crash.suspects),
             key=lambda item: len(self._evidence.crashes(item[0])),
             reverse=True,
         )
-        self._news.clear()
+        self._unsent.clear()
         return tuple(_record(f, crash, now_s) for f, crash in news)
 
     def is_repeated(self, fingerprint: int) -> bool:
@@ -135,14 +137,14 @@
         that may be refused for as long as it counts: a host that has just
         started would else run each of them again.
         """
-        lasting = self._evidence.often | self._refused.keys()
-        told: list[SuspectRecord] = []
+        lasting = self._evidence.refusable | self._refused.keys()
+        reported: list[SuspectRecord] = []
         for crash in self._evidence.all_crashes():
-            is_fresh = now_s - crash.at_s <= self._options.tell_s
+            is_fresh = now_s - crash.at_s <= self._options.report_duration_s
             own = crash.own & crash.suspects if is_fresh else set()
             wanted = own | (lasting & crash.suspects)
-            told += [_record(f, crash, now_s) for f in sorted(wanted)]
-        return tuple(told[: self._options.told_max])
+            reported += [_record(f, crash, now_s) for f in sorted(wanted)]
+        return tuple(reported[: self._options.max_records])
 
     def expire(self, now_s: float) -> None:
         """Forgets old evidence; to be called every few seconds."""
@@ -163,7 +165,7 @@
 
     def score(self, fingerprint: int) -> float:
         """Returns the blame summed over crashes."""
-        share = self._options.new_share
+        share = self._options.new_fraction
         crashes = self._evidence.crashes(fingerprint)
         return sum(c.blame(fingerprint, share) for c in crashes)
 
@@ -187,35 +189,37 @@
             wait_s = self._options.settle_s - age_s
             return _refusal("evidence against it is being gathered", wait_s)
         self._refused.setdefault(fingerprint, now_s)
-        left_s = max(AGAIN_S, self._options.quarantine_s - age_s)
-        return _refusal("upstreams that ran it have crashed", left_s)
+        remaining_s = max(RETRY_AFTER_S, self._options.quarantine_s - age_s)
+        return _refusal("upstreams that ran it have crashed", remaining_s)
 
     def _on_loss(
         self,
         fingerprint: int,
         upstream: str,
-        there: Counter[int],
+        in_flight: Counter[int],
         now_s: float,
     ) -> None:
-        size = there.total()
-        for other in {fingerprint, *there} - {NO_FINGERPRINT}:
+        size = in_flight.total()
+        for other in {fingerprint, *in_flight} - {NO_FINGERPRINT}:
             crash = self._add(other, upstream, size, now_s)
             if crash is not None:
                 crash.own.add(other)
 
-    def _upstreams_of(self, fingerprint: int) -> list[str]:
+    def _upstreams_running(self, fingerprint: int) -> list[str]:
         return [
-            u for u, there in self._in_flight.items() if fingerprint in there
+            u
+            for u, in_flight in self._in_flight.items()
+            if fingerprint in in_flight
         ]
 
     def _excluded(self, crashes: int) -> frozenset[str]:
         """Returns where a suspect of this many crashes must not be sent."""
-        together = self._options.together if crashes == 1 else 1
+        max_per_upstream = self._options.max_per_upstream if crashes == 1 else 1
         excluded = set()
-        for upstream, there in self._in_flight.items():
-            counts = [len(self._evidence.crashes(f)) for f in there]
+        for upstream, in_flight in self._in_flight.items():
+            counts = [len(self._evidence.crashes(f)) for f in in_flight]
             suspects = sum(c > 0 for c in counts)
-            if suspects >= together or max(counts) > 1:
+            if suspects >= max_per_upstream or max(counts) > 1:
                 excluded.add(upstream)
         return frozenset(excluded)
 
--- a/packages/coordination/src/hollyknot_coordination/suspects/tests/test_suspects.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/tests/test_suspects.py
@@ -137,16 +137,16 @@
         """A request goes on crashing upstreams while others fill the news."""
         found = register()
         crash(found, "u0", [POISON], 0.0)
-        assert [r.fingerprint for r in found.take_news(0.1)] == [POISON]
+        assert [r.fingerprint for r in found.next_updates(0.1)] == [POISON]
         crash(found, "u1", [1, 2, POISON], 10.0)
         complete(found, 2, 10.5)
-        news = found.take_news(10.6)
+        news = found.next_updates(10.6)
         assert [r.fingerprint for r in news] == [POISON, 1]
-        assert found.take_news(10.7) == ()
+        assert found.next_updates(10.7) == ()
         peer = register()
         assert peer.on_records(news, 10.7) == news
         assert peer.on_records(news, 10.8) == ()
-        assert len(peer.take_news(10.9)) == 2
+        assert len(peer.next_updates(10.9)) == 2
 
     def test_new_host_learns_of_refused_requests(self) -> None:
         """Symptom: each replaced host costs three more crashes.
@@ -179,7 +179,7 @@
         assert not found.is_suspect(1)
 
     def test_lost_memory_is_bounded_and_expires(self) -> None:
-        options = SuspectOptions(crashes_max=10, fingerprints_max=5)
+        options = SuspectOptions(max_crashes=10, max_fingerprints=5)
         found = SuspectRegister(options)
         rng = random.Random(1)
         for number in range(100):
--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -13,9 +13,9 @@
     Attempt,
     RetryBudgetOptions,
     RetryBudgets,
+    combined_verdict,
     next_step,
     retry_after_s,
-    whole_verdict,
 )
 from hollyknot_coordination.routing import Choice, timeouts
 from hollyknot_daemon._claiming import Claim, Granted
@@ -278,7 +278,7 @@
     def _whole(self, job: Job, history: _History, result: Result) -> Result:
         if not history.tries:
             return result
-        verdict = whole_verdict(result.verdict, _attempt(job, history))
+        verdict = combined_verdict(result.verdict, _attempt(job, history))
         return _with_verdict(result, verdict)
 
     def _record(self, job: Job, history: _History, result: Result) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -255,7 +255,7 @@
         brings many requests under suspicion that were only in flight there.
         """
         suspects = self._shared.suspects
-        records = suspects.take_news(now_s)
+        records = suspects.next_updates(now_s)
         if records and not self._rate.affordable(self._report_bytes, now_s):
             records = tuple(
                 r for r in records if suspects.is_repeated(r.fingerprint)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -126,7 +126,7 @@
 
     def gossip(self, now_s: float, rng: random.Random) -> None:
         """Gossips new records to random peers; some datagrams are lost."""
-        data = self.suspects.take_news(now_s)
+        data = self.suspects.next_updates(now_s)
         if not data:
             return
         message = decode_message(encode_suspect_news(data))
