--- a/packages/coordination/src/hollyknot_coordination/classification/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/__init__.py
@@ -1,4 +1,4 @@
-"""Who calls, in which class, and whether the call may run twice."""
+"""Finds a request's customer, class of work and idempotency."""
 
 from hollyknot_coordination.classification._authenticate import (
     authenticate,
--- a/packages/coordination/src/hollyknot_coordination/classification/_authenticate.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_authenticate.py
@@ -10,9 +10,10 @@
 
 
 def index_keys(customers: Mapping[str, CustomerDeclaration]) -> dict[str, str]:
-    """Returns the customers' names by the SHA-256 of their keys.
+    """Returns the customers' names by the SHA-256 digests of their keys.
 
-    It costs the number of customers: build it once for a version.
+    The time taken grows with the number of customers, so the index should be
+    built once for each version of the declarations.
     """
     return {c.key_sha256: name for name, c in customers.items()}
 
@@ -20,17 +21,18 @@
 def authenticate(
     owners: Mapping[str, str], authorization: str
 ) -> str | Verdict:
-    """Finds the customer of a request.
+    """Finds the customer that sent a request.
 
-    A key is looked up by its hash: the time this takes tells nothing of how
-    much of a guessed key is right.
+    A key is looked up by its hash, so that the time of the lookup doesn't
+    reveal how much of a guessed key is right.
 
     Args:
-        owners: What `index_keys` returned.
-        authorization: The header `Authorization`; empty if there was none.
+        owners: Customer names by key digest, as `index_keys` returns them.
+        authorization: Value of the header `Authorization`, empty if the
+            request had none.
 
     Returns:
-        The customer's name, or the refusal.
+        The customer's name, or the refusal of the request.
     """
     scheme, _, key = authorization.strip(_BLANKS).partition(" ")
     key = key.strip(_BLANKS)
--- a/packages/coordination/src/hollyknot_coordination/classification/_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_classify.py
@@ -1,4 +1,4 @@
-"""Gives a request its class, tier and nature, from the declarations alone."""
+"""Decides a request's class, tier and nature from the declarations alone."""
 
 import enum
 
@@ -18,25 +18,25 @@
 )
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-"""Methods that HTTP defines as idempotent and that services are called by."""
+"""Methods of service calls that HTTP defines as idempotent."""
 
 
 class Absent(enum.Enum):
-    """That a request left something out, where that has a meaning."""
+    """Marks an optional part of a request that was left out."""
 
     CLASS = "class"
-    """It named no class; the customer's default applies."""
+    """The request named no class, so the customer's default class applies."""
 
 
 class ClassReason(enum.Enum):
-    """Why a request is in its class."""
+    """Why a request is in its class; the value is a phrase for `explain`."""
 
     NAMED = "the request names it"
     DEFAULT = "it is the customer's default"
 
 
 class NatureReason(enum.Enum):
-    """Why a request may or may not run twice."""
+    """Why a request may or may not run twice, as a phrase for `explain`."""
 
     MODEL_CALL = "calls of models are idempotent"
     METHOD = "its method decides"
@@ -46,10 +46,10 @@
 
 @attrs.frozen
 class ModelCall:
-    """A call of a model.
+    """A call to a model.
 
     Attributes:
-        model: The name in the request's body.
+        model: Model name from the request's body.
     """
 
     model: str
@@ -57,12 +57,13 @@
 
 @attrs.frozen
 class ServiceCall:
-    """A call of a plain service.
+    """A call to a plain HTTP service.
 
     Attributes:
-        service: The name in the request's path.
-        method: As received.
-        path: Below the service, as received: percent-encoded, no query.
+        service: Service name from the request's path.
+        method: HTTP method as received.
+        path: Path below the service as received, percent-encoded and without
+            the query.
     """
 
     service: str
@@ -72,21 +73,21 @@
 
 @attrs.frozen
 class Classification:
-    """What a request is.
+    """The properties of a request that decide how it is served.
 
     Attributes:
-        customer: The customer's name.
-        request_class: The name of its class of work.
-        class_reason: Why it is in this class.
-        tier: 1 is the highest.
-        target: What its caller waits for.
-        pool: The model's or service's name.
-        nature: Whether it may run twice.
-        nature_reason: Why it has this nature.
-        pattern: The pattern that decided the nature, such as `POST /orders*`;
-            empty if none did.
-        remember_s: Seconds for which its idempotency key is remembered; 0 for
-            an idempotent request.
+        customer: Name of the customer that sent the request.
+        request_class: Name of the request's class of work.
+        class_reason: Why the request is in this class.
+        tier: Priority of the class; 1 is the highest.
+        target: Latency target of the class.
+        pool: Name of the model or service, which is its pool of upstreams.
+        nature: Whether the request may run twice.
+        nature_reason: Why the request has this nature.
+        pattern: Declared pattern that decided the nature, such as
+            `POST /orders*`; empty if no pattern did.
+        remember_s: Seconds for which the request's idempotency key is stored;
+            0 for an idempotent request.
     """
 
     customer: str
@@ -102,13 +103,21 @@
 
     @property
     def needs_idempotency_key(self) -> bool:
-        """Whether it is refused without the header `Idempotency-Key`."""
+        """Whether the request needs the header `Idempotency-Key`."""
         return self.nature is Nature.NON_IDEMPOTENT
 
 
 @attrs.frozen
 class _CallKind:
-    """The part of a classification that follows from what is called."""
+    """The part of a classification that depends on the called model or service.
+
+    Attributes:
+        pool: Name of the model or service.
+        nature: Whether the call may run twice.
+        reason: Why the call has this nature.
+        pattern: Declared pattern that decided the nature, empty if none did.
+        remember_s: Seconds for which the call's idempotency key is stored.
+    """
 
     pool: str
     nature: Nature
@@ -126,24 +135,25 @@
     """Classifies a request.
 
     Args:
-        declarations: The version in force.
-        customer: The customer's name, authenticated.
-        class_name: The header `X-Request-Class`.
-        call: What is called.
+        declarations: Declarations in force.
+        customer: Authenticated name of the customer.
+        class_name: Value of the header `X-Request-Class`.
+        call: Model or service that the request calls.
 
     Returns:
-        The classification, or why the request is refused; a refused request
-        has reached no upstream.
+        The classification, or the refusal of the request, which has then
+        reached no upstream.
     """
     declared = declarations.customers.get(customer)
     if declared is None:
-        return _refusal(Reason.BAD_KEY, "the customer is not declared any more")
+        return _refusal(Reason.BAD_KEY, "the customer is no longer declared")
     by_default = class_name is Absent.CLASS
     name = declared.default_class if by_default else str(class_name)
     if name not in declared.classes or name not in declarations.classes:
         return _refusal(
             Reason.UNKNOWN_CLASS,
-            "the customer may use " + ", ".join(declared.classes),
+            "the class is unknown or not allowed to the customer, which may"
+            " use " + ", ".join(declared.classes),
         )
     kind = _classify_call(declarations, call)
     if isinstance(kind, Verdict):
@@ -181,7 +191,11 @@
 def _classify_service_call(
     service: ServiceDeclaration, call: ServiceCall, path: str
 ) -> _CallKind:
-    """Decides the nature of a service's call; where in doubt, it runs once."""
+    """Decides the nature of a call to a service.
+
+    A call that neither its method nor a pattern makes idempotent is treated as
+    non-idempotent, and so is one that patterns of both kinds match.
+    """
     pattern = _first_match(service.non_idempotent, call.method, path)
     if pattern:
         reason = NatureReason.DECLARED_NON_IDEMPOTENT
@@ -213,8 +227,9 @@
 def _first_match(
     patterns: tuple[CallPattern, ...], method: str, path: str
 ) -> str:
-    # Many services answer HEAD by running the code of GET: a GET that may not
-    # run twice would, under the other method.
+    # Many services answer HEAD by running their code for GET, so a pattern
+    # for GET covers HEAD too: otherwise a non-idempotent GET could be retried
+    # when it is called by HEAD.
     methods = (method, "GET") if method == "HEAD" else (method,)
     for pattern in patterns:
         if any(pattern.matches(m, path) for m in methods):
--- a/packages/coordination/src/hollyknot_coordination/classification/_explain.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_explain.py
@@ -1,4 +1,4 @@
-"""Says ahead what would happen to a request, by the code that decides it."""
+"""Predicts how a request would be served, using the code that serves it."""
 
 import math
 import random
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class PossibleRefusal:
-    """An end other than a complete answer that a request can have.
+    """A way in which a request can end other than with a complete answer.
 
     Attributes:
-        reason: What the caller reads in `X-Reason`.
-        outcome: What the caller reads in `X-Verdict`.
-        status: The HTTP status of the answer; 0 where the upstream's own goes
-            to the caller.
-        when: What leads to it.
+        reason: Value of the header `X-Reason` in the answer.
+        outcome: Value of the header `X-Verdict` in the answer.
+        status: HTTP status of the answer; 0 if the upstream's own status is
+            passed on.
+        when: Phrase that says in which case the request ends so.
     """
 
     reason: Reason
@@ -41,16 +41,17 @@
 
 @attrs.frozen
 class Explanation:
-    """What would happen to a request.
+    """The predicted handling of a request.
 
     Attributes:
-        result: What the request is, or the refusal that it gets.
-        status: The HTTP status of that refusal; 0 if it is not refused.
-        is_retried_if_not_run: Whether hollyknot itself tries it at another
-            upstream after one proved that it did not run it.
-        is_retried_if_lost: Whether it does so after an upstream was lost that
-            may have run it.
-        refusals: The ends it can still have; none if it is refused.
+        result: Classification of the request, or its refusal.
+        status: HTTP status of the refusal; 0 if the request is not refused.
+        is_retried_if_not_run: Whether hollyknot itself retries the request at
+            another upstream after one proved that it did not run it.
+        is_retried_if_lost: Whether hollyknot retries the request after the
+            loss of an upstream that may have run it.
+        refusals: Ways in which the request can still fail; empty if it is
+            refused already.
     """
 
     result: Classification | Verdict
@@ -75,7 +76,7 @@
     (
         Reason.RATE_LIMITED,
         Outcome.NOT_RUN,
-        "the rate limits that its upstreams have named are used up",
+        "the rate limits that its upstreams announced are used up",
     ),
     (
         Reason.UPSTREAM_REFUSED,
@@ -86,32 +87,36 @@
     (
         Reason.QUARANTINED,
         Outcome.NOT_RUN,
-        "upstreams were lost while they ran the same request",
+        "upstreams crashed while they ran the same request",
     ),
     (
         Reason.UPSTREAM_LOST,
         Outcome.MAY_HAVE_RUN,
-        "an upstream was lost after it was sent the request",
+        "an upstream was lost after the request was sent to it",
     ),
     (
         Reason.UPSTREAM_SILENT,
         Outcome.MAY_HAVE_RUN,
-        "an upstream fell silent after it was sent the request",
+        "an upstream stopped answering after the request was sent to it",
     ),
-    (Reason.TRUNCATED, Outcome.MAY_HAVE_RUN, "the answer broke off"),
-    (Reason.UPSTREAM_ERROR, Outcome.FAILED, "the upstream answered an error"),
-    (Reason.INTERNAL, Outcome.MAY_HAVE_RUN, "hollyknot itself has a fault"),
+    (
+        Reason.TRUNCATED,
+        Outcome.MAY_HAVE_RUN,
+        "the answer ended before it was complete",
+    ),
+    (Reason.UPSTREAM_ERROR, Outcome.FAILED, "the upstream returned an error"),
+    (Reason.INTERNAL, Outcome.MAY_HAVE_RUN, "an internal error in hollyknot"),
 )
 _NON_IDEMPOTENT_ENDS: tuple[tuple[Reason, Outcome, str], ...] = (
     (
         Reason.IDEMPOTENCY_KEY,
         Outcome.NOT_RUN,
-        "Idempotency-Key is missing or no UUID of version 7",
+        "Idempotency-Key is missing or is not a UUID of version 7",
     ),
     (
         Reason.CLAIM_UNDECIDED,
         Outcome.NOT_RUN,
-        "too few holders of the key could be asked",
+        "too few of the hosts that store the key could be reached",
     ),
     (
         Reason.CLAIMED_BEFORE,
@@ -121,7 +126,7 @@
     (
         Reason.KEY_EXPIRED,
         Outcome.MAY_HAVE_RUN,
-        "the key is older than remember_s: what it ran before is forgotten",
+        "the key is older than remember_s, so earlier uses of it are unknown",
     ),
 )
 
@@ -132,13 +137,13 @@
     class_name: str | Absent,
     call: ModelCall | ServiceCall,
 ) -> Explanation:
-    """Explains a request as a host with these declarations would serve it.
+    """Explains how a host with these declarations would serve a request.
 
     Args:
-        declarations: A version, in force or not.
-        customer: The customer's name.
-        class_name: The header `X-Request-Class`.
-        call: What is called.
+        declarations: Declarations to apply, in force or not.
+        customer: Name of the customer.
+        class_name: Value of the header `X-Request-Class`.
+        call: Model or service that the request calls.
     """
     found = classify(declarations, customer, class_name, call)
     if isinstance(found, Verdict):
@@ -167,7 +172,11 @@
 
 
 def _is_retried(nature: Nature, verdict: Verdict) -> bool:
-    """Asks the code that decides it, with nothing else in the way."""
+    """Returns whether a failed first try would be retried.
+
+    The attempt has no deadline and the retry budget suffices, so that only
+    verdict and nature count.
+    """
     attempt = Attempt(
         nature=nature,
         tries=1,
--- a/packages/coordination/src/hollyknot_coordination/limits/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/__init__.py
@@ -1,4 +1,4 @@
-"""How much at once each upstream is given, by what it delivers."""
+"""Limits each upstream's concurrency by the latencies that it delivers."""
 
 from hollyknot_coordination.limits._aimd import ConcurrencyLimit, LimitOptions
 from hollyknot_coordination.limits._latency import (
--- a/packages/coordination/src/hollyknot_coordination/limits/_aimd.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/_aimd.py
@@ -1,8 +1,10 @@
-"""A concurrency limit for one upstream: additive increase, multiplicative cut.
+"""Limits an upstream's concurrency by AIMD.
 
-It grows by one for each limit's worth of requests in target while it is in
-use, and is cut when the upstream refuses, queues or is late. Cuts are spaced,
-since requests that were sent together tell of the same moment.
+AIMD stands for additive increase, multiplicative decrease. A limit of n grows
+by one for each n requests that met their target while the limit was in use. It
+decreases when the upstream refuses requests, queues them or answers late.
+Decreases are spaced in time, since requests that were sent together all reflect
+the same overload.
 """
 
 import attrs
@@ -10,21 +12,25 @@
 
 @attrs.frozen
 class LimitOptions:
-    """How limits move.
+    """Parameters of concurrency limits.
 
     Attributes:
-        start: The limit before any report names slots.
-        share: Part of the slots, shared out over the hosts that use the
-            upstream, at which a limit starts. Above 1, since hosts are never
-            equally busy.
-        largest: No limit grows beyond it.
-        cut: Factor of a cut.
-        cut_every_s: Least time between two cuts.
-        late_floor: Part of the start below which late answers do not cut: an
-            answer may be late for its length, which no limit mends, and
-            cutting on would only waste the upstream.
-        used_share: Part of the limit that must be in flight for it to grow:
-            requests in target at a low load say nothing of a higher one.
+        start: Limit before any load report states the upstream's slots.
+        share: Factor on a host's equal share of the upstream's slots that
+            gives the starting limit, which is at most all slots. It is above
+            1, since hosts are never equally busy.
+        max_limit: Upper bound of every limit.
+        decrease_factor: Factor by which a limit is multiplied when it
+            decreases, between 0 and 1.
+        min_decrease_interval_s: Shortest time between two decreases, in
+            seconds.
+        late_floor_fraction: Fraction of the starting limit below which late
+            answers don't decrease the limit. An answer may be late because of
+            its length, which no limit changes, and a lower limit would only
+            leave the upstream idle.
+        min_used_fraction: Fraction of the limit that must be in flight for
+            the limit to grow: requests that meet their target at a low load
+            say nothing about a higher load.
     """
 
     start: int = 8
@@ -37,10 +43,10 @@
 
 
 class ConcurrencyLimit:
-    """The limit of one upstream, never below 1."""
+    """The concurrency limit of one upstream, never below 1."""
 
     def __init__(self, options: LimitOptions) -> None:
-        """Starts at the options' constant."""
+        """Creates a limit at `options.start`."""
         self._options = options
         self._start = float(options.start)
         self._limit = self._start
@@ -50,16 +56,23 @@
 
     @property
     def value(self) -> int:
-        """How many requests may be in flight."""
+        """Number of requests that may be in flight."""
         return int(self._limit)
 
     @property
     def is_restarting(self) -> bool:
-        """Whether it still grows back after `restart`."""
+        """Whether the limit is still in slow start after `restart`."""
         return self._limit < self._slow_start_threshold
 
     def on_slots(self, slots: int, sharers: int) -> None:
-        """Starts from a report's slots, as long as nothing was delivered."""
+        """Sets the starting limit from the slots in a load report.
+
+        It does nothing once requests have adjusted the limit.
+
+        Args:
+            slots: Slots that the upstream reports; 0 if it reports none.
+            sharers: Number of hosts that use the upstream.
+        """
         if self._was_adjusted or slots <= 0:
             return
         share = self._options.share * slots / max(1, sharers)
@@ -67,10 +80,11 @@
         self._limit = self._start
 
     def on_met_target(self, in_flight: int) -> None:
-        """Notes a request that ended in target.
+        """Grows the limit for a request that met its target.
 
         Args:
-            in_flight: Requests there just before it ended, itself included.
+            in_flight: Requests in flight at the upstream just before this one
+                ended, itself included.
         """
         if in_flight < self._limit * self._options.min_used_fraction:
             return
@@ -79,19 +93,20 @@
         self._limit = self._clamp(self._limit + step)
 
     def on_refused(self, now_s: float) -> None:
-        """Notes a refusal or a latency far above the pool's."""
+        """Decreases the limit for a refusal or a straggler's latency."""
         self._decrease(1.0, now_s)
 
     def on_late(self, now_s: float) -> None:
-        """Notes an answer that missed its target, or a queue inside."""
+        """Decreases the limit for a late answer or a queue in the upstream."""
         self._decrease(self._start * self._options.late_floor_fraction, now_s)
 
     def restart(self) -> None:
-        """Starts again at 1 after an ejection.
+        """Resets the limit to 1 after an ejection and begins a slow start.
 
-        It doubles for each limit's worth of good requests up to half of what
-        it was, then grows as usual: a crashed engine comes back with a cold
-        cache, and all hosts come back to it at once.
+        The limit doubles for each limit's worth of requests that meet their
+        target until it is half of what it was, and then grows additively. A
+        crashed engine restarts with a cold cache, and all hosts return to it
+        at the same time.
         """
         self._was_adjusted = True
         self._slow_start_threshold = max(
--- a/packages/coordination/src/hollyknot_coordination/limits/_latency.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/_latency.py
@@ -1,8 +1,9 @@
-"""How slow an upstream is, measured by what it delivered to this host.
+"""Compares an upstream's latency with the median of its pool and class.
 
-A load report may lag or lie. The time from dispatch to first byte does not,
-but classes differ by their inputs. So each sample is divided by what is usual
-for its pool and class, and the quotient is averaged for each upstream.
+A load report may be late or wrong, while the time from dispatch to first byte
+is what this host itself observes. Since inputs differ between classes, each
+sample is divided by the median latency of its pool and class, and the ratio is
+averaged for each upstream.
 """
 
 import math
@@ -12,16 +13,19 @@
 
 @attrs.frozen
 class LatencyOptions:
-    """How latencies are averaged.
+    """Parameters of the latency averages.
 
     Attributes:
-        median_step: Factor by which the usual latency follows a sample.
-        weight: Part of a new sample in an upstream's slowness.
-        sample_max: The largest quotient that a sample counts for.
-        half_life_s: Time in which a slowness halves its distance from 1
-            without samples, so that an upstream which is avoided for being
-            slow is tried again.
-        straggler: Slowness from which an upstream's limit is cut.
+        median_step: Relative step by which the tracked median moves towards
+            each sample.
+        weight: Weight of a new sample in an upstream's average, between 0 and
+            1.
+        max_ratio: Upper bound of the ratio that a sample counts for.
+        half_life_s: Seconds in which a slowness without new samples halves
+            its distance from 1, so that an upstream which is avoided for
+            being slow is tried again.
+        straggler_ratio: Slowness from which an upstream is a straggler and
+            its concurrency limit is decreased.
     """
 
     median_step: float = 0.05
@@ -32,24 +36,24 @@
 
 
 class MedianLatency:
-    """The median first-byte latency of a pool's class, tracked by steps.
+    """Tracks the median first-byte latency of a pool and class by small steps.
 
-    A median, since one straggler's samples would pull a mean up until the
-    straggler looks usual.
+    It is a median because the samples of one straggler would raise a mean
+    until the straggler looked normal.
     """
 
     def __init__(self, options: LatencyOptions) -> None:
-        """Knows nothing at first."""
+        """Creates a tracker without samples."""
         self._options = options
         self._median_s = 0.0
 
     @property
     def median_s(self) -> float:
-        """The usual latency in seconds, 0 before the first sample."""
+        """Median latency in seconds, 0 before the first sample."""
         return self._median_s
 
     def ratio(self, latency_s: float) -> float:
-        """Notes a sample and returns its quotient by the usual one."""
+        """Adds a sample and returns its ratio to the median so far."""
         latency_s = max(latency_s, 1e-6)
         if self._median_s == 0.0:
             self._median_s = latency_s
@@ -60,16 +64,16 @@
 
 
 class Slowness:
-    """An upstream's latency over the usual one; 1 is usual."""
+    """Averages the ratio of an upstream's latencies to the median."""
 
     def __init__(self, options: LatencyOptions) -> None:
-        """Starts as usual."""
+        """Creates an average of 1, the ratio of a typical upstream."""
         self._options = options
         self._value = 1.0
         self._sampled_s = 0.0
 
     def at(self, now_s: float) -> float:
-        """Returns the slowness, which moves to 1 without samples."""
+        """Returns the slowness, which decays towards 1 without samples."""
         if self._value == 1.0:
             return 1.0
         age = max(0.0, now_s - self._sampled_s)
@@ -77,11 +81,11 @@
         return 1.0 + (self._value - 1.0) * decay
 
     def note(self, ratio: float, now_s: float) -> None:
-        """Averages one sample in."""
+        """Adds one ratio to the average."""
         before = self.at(now_s)
         self._value = before + (ratio - before) * self._options.weight
         self._sampled_s = now_s
 
     def is_straggler(self, now_s: float) -> bool:
-        """Whether the upstream is far slower than its pool."""
+        """Returns whether the upstream is far slower than its pool."""
         return self.at(now_s) >= self._options.straggler_ratio
