--- a/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
@@ -70,7 +70,7 @@
 class TestClass:
     """The class of a request and its refusals."""
 
-    def test_named_and_default(self) -> None:
+    def test_named_class_and_default_class(self) -> None:
         named = classify(_DECLARED, "desk", "counter", ModelCall("drafts"))
         default = classify(_DECLARED, "desk", Absent.CLASS, ModelCall("drafts"))
         assert isinstance(named, Classification)
@@ -170,7 +170,7 @@
         assert (found.nature_reason, found.pattern) == (reason, pattern)
         assert found.remember_s == 600
 
-    def test_another_spelling_is_the_same_call(self) -> None:
+    def test_encoded_path_matches_its_pattern(self) -> None:
         """A caller writes a declared path otherwise.
 
         Symptom: an order that is declared non-idempotent runs twice.
@@ -182,7 +182,7 @@
         assert isinstance(found, Classification)
         assert found.nature is Nature.NON_IDEMPOTENT
 
-    def test_head_runs_what_get_runs(self) -> None:
+    def test_pattern_for_get_covers_head(self) -> None:
         """A non-idempotent GET is called by HEAD.
 
         Symptom: the next ticket is drawn twice by one caller.
@@ -206,14 +206,14 @@
     """Whose key a request carries."""
 
     @pytest.mark.parametrize("header", ["Bearer key", "bearer  key "])
-    def test_a_known_key(self, header: str) -> None:
+    def test_known_key_finds_its_customer(self, header: str) -> None:
         owners = index_keys(_DECLARED.customers)
         assert authenticate(owners, header) == "desk"
 
     @pytest.mark.parametrize(
         "header", ["", "Bearer", "Bearer ", "Basic key", "key", "Bearer \udcff"]
     )
-    def test_any_other_is_refused(self, header: str) -> None:
+    def test_other_authorization_is_refused(self, header: str) -> None:
         verdict = authenticate(index_keys(_DECLARED.customers), header)
         assert isinstance(verdict, Verdict)
         assert verdict.reason is Reason.BAD_KEY
@@ -234,7 +234,7 @@
         assert found.is_retried_if_not_run
         assert found.is_retried_if_lost is is_retried_if_lost
 
-    def test_every_reason_is_told(self) -> None:
+    def test_every_reason_is_listed(self) -> None:
         call = ServiceCall("permits", "POST", "/a")
         found = explain(_DECLARED, "desk", Absent.CLASS, call)
         reasons = {refusal.reason for refusal in found.refusals}
--- a/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
@@ -21,7 +21,7 @@
         limit.on_slots(16, sharers=1)
         assert limit.value == 16
 
-    def test_slots_do_not_undo_what_was_learnt(self) -> None:
+    def test_slots_do_not_reset_an_adjusted_limit(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         limit.on_refused(0.0)
         limit.on_slots(100, sharers=1)
@@ -36,7 +36,7 @@
             limit.on_met_target(in_flight=8)
         assert limit.value == 9
 
-    def test_never_below_one_and_cuts_are_spaced(self) -> None:
+    def test_never_below_one_and_decreases_are_spaced(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         for _ in range(10):
             limit.on_refused(0.0)
@@ -45,7 +45,7 @@
             limit.on_refused(float(second))
         assert limit.value == 1
 
-    def test_late_answers_alone_keep_a_quarter(self) -> None:
+    def test_late_answers_alone_stop_at_the_floor(self) -> None:
         """Symptom: upstreams idle while work waits.
 
         Sequence: answers miss their target for their own length, whatever
@@ -70,7 +70,7 @@
 class TestSlowness:
     """Slowness is found by samples and fades without."""
 
-    def test_stragglers_do_not_become_usual(self) -> None:
+    def test_stragglers_do_not_raise_the_median(self) -> None:
         """Symptom: a straggler keeps its share of the work.
 
         Sequence: two of five upstreams slow down; the latency that counts as
@@ -85,7 +85,7 @@
                 slow.note(median.ratio(0.4), i * 0.1)
         assert slow.is_straggler(20.0)
 
-    def test_fades(self) -> None:
+    def test_slowness_decays_without_samples(self) -> None:
         slow = Slowness(LatencyOptions())
         for _ in range(20):
             slow.note(5.0, 0.0)
--- a/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
@@ -96,7 +96,9 @@
         else:
             assert found == Answer(Verdict(outcome, reason))
 
-    def test_reused_connection_blames_the_connection(self) -> None:
+    def test_loss_of_a_reused_connection_may_retry_the_same_upstream(
+        self,
+    ) -> None:
         assert step(Outcome.MAY_HAVE_RUN, reused=True) == RetryOnNewConnection(
             0.0
         )
@@ -105,14 +107,16 @@
         )
         assert refused == RetryElsewhere(0.0)
 
-    def test_tries_and_deadline_bound_it(self) -> None:
+    def test_tries_and_deadline_bound_retries(self) -> None:
         assert isinstance(step(Outcome.NOT_RUN, tries=2), RetryElsewhere)
         assert isinstance(step(Outcome.NOT_RUN, tries=3), Answer)
         assert isinstance(step(Outcome.NOT_RUN, deadline_s=100.0), Answer)
         late = step(Outcome.NOT_RUN, tries=2, deadline_s=100.005)
         assert isinstance(late, Answer)
 
-    def test_not_run_is_not_said_after_a_try_that_may_have_run(self) -> None:
+    def test_not_run_is_not_answered_after_a_try_that_may_have_run(
+        self,
+    ) -> None:
         """Symptom: "not run" is said of a request that did run.
 
         Sequence: the first try is lost in the upstream and runs; the second
@@ -126,7 +130,7 @@
 class TestRetryBudgets:
     """Retries are a share of first tries."""
 
-    def test_share(self) -> None:
+    def test_retries_are_a_share_of_first_tries(self) -> None:
         budgets = RetryBudgets(
             RetryBudgetOptions(tokens_per_first_try=0.1, start=0.0)
         )
@@ -139,7 +143,7 @@
         assert 98 <= retries <= 100
         assert budgets.tokens("other") == 0.0
 
-    def test_is_bounded(self) -> None:
+    def test_tokens_are_bounded(self) -> None:
         budgets = RetryBudgets(RetryBudgetOptions(capacity=3.0))
         for _ in range(1000):
             budgets.on_first_try("m")
@@ -199,7 +203,7 @@
         retry_after = tuple(retry_after_s(verdict, n, rng) > 0 for n in Nature)
         assert retry_after == has_retry_after
 
-    def test_crowd_is_spread(self) -> None:
+    def test_retry_after_is_jittered(self) -> None:
         """Symptom: each wave of refused callers returns as one wave.
 
         Sequence: a burst is shed at once, all are told the same time.
--- a/packages/coordination/src/hollyknot_coordination/suspects/_register.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_register.py
@@ -118,13 +118,13 @@
         Evidence against those who were in most crashes comes first, since
         there may be no room for all.
         """
-        news = sorted(
+        updates = sorted(
             ((f, crash) for f, crash in self._unsent if f in crash.suspects),
             key=lambda item: len(self._evidence.crashes(item[0])),
             reverse=True,
         )
         self._unsent.clear()
-        return tuple(_record(f, crash, now_s) for f, crash in news)
+        return tuple(_record(f, crash, now_s) for f, crash in updates)
 
     def is_repeated(self, fingerprint: int) -> bool:
         """Whether a request is a suspect of more than one crash."""
