--- a/packages/coordination/src/hollyknot_coordination/retries/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/__init__.py
@@ -1,4 +1,4 @@
-"""What follows from a verdict: another try, or which answer."""
+"""Decides what follows a try: a retry, or the final answer to the caller."""
 
 from hollyknot_coordination.retries._answers import http_status, retry_after_s
 from hollyknot_coordination.retries._budgets import (
--- a/packages/coordination/src/hollyknot_coordination/retries/_answers.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_answers.py
@@ -1,4 +1,4 @@
-"""The caller's status code and its time to come back, from a verdict."""
+"""Derives the HTTP status and Retry-After of an answer from its verdict."""
 
 import random
 from http import HTTPStatus
@@ -6,8 +6,9 @@
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 
 RETRY_AFTER_JITTER = 1.0
-"""Callers that are told to come back after t seconds are told a time between
-t and t * (1 + SPREAD), so that a crowd does not return at once."""
+"""Relative jitter of Retry-After. For a base of t seconds an answer names
+between t and t * (1 + RETRY_AFTER_JITTER) seconds, so that callers that were
+refused together don't all return at once."""
 
 _NOT_RUN_STATUS = {
     Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
@@ -21,7 +22,7 @@
     Reason.KEY_EXPIRED: HTTPStatus.CONFLICT,
     Reason.INTERNAL: HTTPStatus.INTERNAL_SERVER_ERROR,
 }
-"""For any other reason 503: nothing is wrong with the request."""
+"""Status by reason; others give 503, since the request itself is valid."""
 
 _MAY_HAVE_RUN_STATUS = {
     Reason.CLAIMED_BEFORE: HTTPStatus.CONFLICT,
@@ -29,10 +30,10 @@
     Reason.UPSTREAM_SILENT: HTTPStatus.GATEWAY_TIMEOUT,
     Reason.INTERNAL: HTTPStatus.INTERNAL_SERVER_ERROR,
 }
-"""For any other reason 502."""
+"""Status by reason if the request may have run; others give 502."""
 
 _FINAL_REASONS = frozenset(_NOT_RUN_STATUS) - {Reason.INTERNAL}
-"""Reasons for which the same request would end the same again."""
+"""Reasons for which a retry of the same request would be refused again."""
 
 _RETRY_AFTER_S = {
     Reason.NOT_READY: 1.0,
@@ -42,11 +43,14 @@
     Reason.CLAIM_UNDECIDED: 1.0,
     Reason.QUARANTINED: 60.0,
 }
+"""Base of Retry-After in seconds, for reasons with a value of their own."""
+
 DEFAULT_RETRY_AFTER_S = 1.0
+"""Base of Retry-After in seconds for all other reasons."""
 
 
 def http_status(verdict: Verdict) -> int:
-    """Returns the status of the answer to the caller."""
+    """Returns the HTTP status of the answer to the caller."""
     match verdict.outcome:
         case Outcome.COMPLETE:
             return verdict.upstream_status or HTTPStatus.OK
@@ -67,11 +71,11 @@
 def retry_after_s(
     verdict: Verdict, nature: Nature, rng: random.Random
 ) -> float:
-    """Returns the seconds after which to come back, 0 for never.
+    """Returns the seconds after which the caller may retry, 0 for never.
 
-    A call that may not run twice and may have run gets none, since coming
-    back could only run it again or be refused. An upstream's own error gets
-    none either: what the upstream said of it goes to the caller as it is.
+    A non-idempotent call that may have run gets 0, since a retry would run it
+    twice or be refused. An upstream's own error gets 0 too, since the
+    upstream's answer, which may name a time, is passed on unchanged.
     """
     if not _is_retry_useful(verdict, nature):
         return 0.0
--- a/packages/coordination/src/hollyknot_coordination/retries/_messages.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_messages.py
@@ -1,4 +1,4 @@
-"""What may follow a try: typed steps."""
+"""Defines the input and the possible results of `next_step`."""
 
 import attrs
 
@@ -7,18 +7,18 @@
 
 @attrs.frozen
 class Attempt:
-    """One request's tries up to and with the one that just ended.
+    """State of a request after one or more tries, the last of which has ended.
 
     Attributes:
         nature: Whether the request may run twice.
-        tries: Tries so far, at least 1.
+        tries: Number of tries so far, at least 1.
         may_have_run_before: Whether a try before the last one ended in
             anything but a proved "not run".
-        bytes_relayed: Whether a byte of the answer went to the caller.
+        bytes_relayed: Whether any byte of an answer was sent to the caller.
         connection_reused: Whether the last try used a connection that had
             been idle.
-        deadline_s: When an answer is of no more use, on the host's monotonic
-            clock; infinity for never.
+        deadline_s: Time after which an answer is of no use, in seconds of the
+            host's monotonic clock; infinity if there is none.
     """
 
     nature: Nature
@@ -31,10 +31,10 @@
 
 @attrs.frozen
 class RetryOnNewConnection:
-    """Try again by a new connection, at any upstream, the last one included.
+    """Retry on a new connection at any upstream, including the last one.
 
     Attributes:
-        delay_s: Seconds to wait before.
+        delay_s: Seconds to wait before the retry.
     """
 
     delay_s: float
@@ -42,10 +42,10 @@
 
 @attrs.frozen
 class RetryElsewhere:
-    """Try again at an upstream that was not tried yet.
+    """Retry at an upstream that was not tried yet.
 
     Attributes:
-        delay_s: Seconds to wait before.
+        delay_s: Seconds to wait before the retry.
     """
 
     delay_s: float
@@ -56,7 +56,7 @@
     """Give the caller its final answer.
 
     Attributes:
-        verdict: The end of the whole request, over all its tries.
+        verdict: Verdict on the request over all its tries.
     """
 
     verdict: Verdict
--- a/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
@@ -1,16 +1,18 @@
-"""The one place that says what follows from a verdict and a nature.
+"""Decides whether a request is retried after a try.
 
-| outcome | nature | may be tried again |
+No other code decides this.
+
+| outcome | nature | retried |
 | --- | --- | --- |
 | complete, failed | any | never |
-| not run, by an upstream or on the way to it | any | within the budgets |
-| not run, for a reason of the host's own | any | never |
-| may have run, upstream lost or silent | idempotent | within the budgets |
+| not run, refused by or not connected to an upstream | any | within budgets |
+| not run, for a reason of the host itself | any | never |
+| may have run, upstream lost or silent | idempotent | within budgets |
 | may have run | non-idempotent | never |
 
-Nothing is tried again once a byte was relayed to the caller: a second answer
-would be joined to a part of the first. Resuming a broken stream at the same
-engine is another step, which this function does not have yet.
+A request is never retried once a byte was relayed to the caller, since a second
+answer would be appended to a part of the first. No step resumes a broken stream
+at the same engine.
 """
 
 import random
@@ -27,10 +29,10 @@
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 
 MAX_TRIES = 3
-"""Tries of one request at one host, the first included."""
+"""Most tries of one request by one host, including the first."""
 
 RETRY_DELAY_S = 0.02
-"""Mean delay before a second retry; none before the first."""
+"""Mean delay before the second retry in seconds; the first is not delayed."""
 
 _UPSTREAM_REASONS = frozenset(
     {
@@ -41,12 +43,12 @@
         Reason.TRUNCATED,
     }
 )
-"""Reasons that lie in one upstream, so that another one may do better."""
+"""Reasons that concern one upstream, so that another one may succeed."""
 
 _STALE_CONNECTION_REASONS = frozenset(
     {Reason.UPSTREAM_LOST, Reason.UPSTREAM_SILENT}
 )
-"""Reasons that an old connection alone can have."""
+"""Reasons that a stale connection can have while its upstream is healthy."""
 
 
 def next_step(
@@ -56,14 +58,14 @@
     now_s: float,
     rng: random.Random,
 ) -> Step:
-    """Returns what follows the end of a try.
+    """Returns the step that follows the end of a try.
 
     Args:
-        verdict: The end of the last try.
-        attempt: The request's tries so far.
-        tokens: What `RetryBudgets.tokens` says of the pool; a retry costs 1
-            by `RetryBudgets.spend`.
-        now_s: The time.
+        verdict: Verdict on the last try.
+        attempt: State of the request after its tries so far.
+        tokens: The pool's tokens by `RetryBudgets.tokens`. A retry needs 1,
+            which the caller takes by `RetryBudgets.spend`.
+        now_s: Current time in seconds of the host's monotonic clock.
         rng: Source of randomness for the delay.
     """
     if not _may_retry(verdict, attempt) or tokens < 1.0:
@@ -80,10 +82,14 @@
 
 
 def combined_verdict(verdict: Verdict, attempt: Attempt) -> Verdict:
-    """Returns the verdict of all tries from that of the last.
+    """Returns the verdict over all tries of a request.
+
+    If the second try was refused, the first may still have run. "Not run",
+    which holds for the last try alone, would then be false for the request.
 
-    A request whose second try was refused may have run by its first: "not
-    run" of the last try alone would be a false promise to the caller.
+    Args:
+        verdict: Verdict on the last try.
+        attempt: State of the request after its tries so far.
     """
     if verdict.is_proved_not_run and attempt.may_have_run_before:
         return attrs.evolve(verdict, outcome=Outcome.MAY_HAVE_RUN)
--- a/packages/coordination/src/hollyknot_coordination/suspects/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them: found and refused."""
+"""Finds requests that crash the upstreams that run them and refuses them."""
 
 from hollyknot_coordination.suspects._messages import (
     Clear,
--- a/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
@@ -1,9 +1,10 @@
-"""Crashes, who was in them, and how much blame each of those bears.
+"""Stores crashes and the blame that each request in them bears.
 
 An engine runs many requests at once, so a crash has many suspects and one
-culprit. The blame for a crash is shared by those in it who have not completed
-since; if some had been in an earlier crash, they bear nearly all of it. The
-culprit never completes, so its blame only rises, while the others leave.
+culprit. The blame for a crash is divided among the requests that were in flight
+and have not completed since. If some of them were in an earlier crash too,
+these bear nearly all of the blame. The culprit never completes, so its blame
+only rises, while innocent requests are cleared when they complete.
 """
 
 from collections import OrderedDict, deque
@@ -19,13 +20,15 @@
     """One crash of one upstream.
 
     Attributes:
-        upstream: Which.
-        at_s: When the first loss was seen.
-        own: Fingerprints that this host lost.
-        suspects: Fingerprints in it that have not been cleared.
-        known: Those of them that were suspects before it.
-        cleared: How many have been cleared.
-        size: How many were in it at least, as each host counted.
+        upstream: The upstream that crashed.
+        at_s: Time of the first loss that was recorded, in seconds of this
+            host's monotonic clock.
+        own: Fingerprints of the requests that this host lost in the crash.
+        suspects: Fingerprints in the crash that have not been cleared.
+        known: Those suspects that were in an earlier crash too.
+        cleared: Number of requests in the crash that have been cleared.
+        size: Number of requests in the crash, as the largest count that a
+            host made of its own losses; a lower bound.
     """
 
     upstream: str
@@ -38,11 +41,17 @@
 
     @property
     def unreported(self) -> int:
-        """Requests in it whose fingerprints this host was not told."""
+        """Number of requests in the crash whose fingerprints are unknown."""
         return max(0, self.size - len(self.suspects) - self.cleared)
 
     def blame(self, fingerprint: int, new_fraction: float) -> float:
-        """Returns one fingerprint's part of the blame, at most 1."""
+        """Returns one suspect's fraction of the blame, at most 1.
+
+        Args:
+            fingerprint: A suspect of the crash.
+            new_fraction: Fraction of the blame left to requests without an
+                earlier crash if the crash has suspects with one.
+        """
         if not self.known:
             return 1.0 / (len(self.suspects) + self.unreported)
         new = len(self.suspects) - len(self.known) + self.unreported
@@ -53,10 +62,10 @@
 
 
 class Evidence:
-    """All crashes that still count, bounded in number and in time."""
+    """Stores crashes that count as evidence, bounded in number and age."""
 
     def __init__(self, options: SuspectOptions) -> None:
-        """Starts without any."""
+        """Creates a store without crashes."""
         self._options = options
         self._crashes: deque[Crash] = deque()
         self._by_fingerprint: dict[int, list[Crash]] = {}
@@ -65,20 +74,23 @@
 
     @property
     def refusable(self) -> frozenset[int]:
-        """Suspects of so many crashes that they may be refused for it."""
+        """Suspects of at least `refuse_crashes` crashes, which may be refused."""
         return frozenset(self._refusable)
 
     def add(
         self, fingerprint: int, upstream: str, size: int, at_s: float
     ) -> Crash | None:
-        """Adds one fingerprint's loss; none if it completed since.
+        """Adds the loss of one request to the crash that it was part of.
 
         Args:
-            fingerprint: Of the lost request.
-            upstream: Where it ran.
-            size: How many requests were lost with it, itself included, as far
-                as the host counted that lost it.
-            at_s: When.
+            fingerprint: Fingerprint of the lost request.
+            upstream: Upstream that ran the request.
+            size: Number of requests that the reporting host lost in the
+                crash, including this one.
+            at_s: Time of the loss in seconds of this host's monotonic clock.
+
+        Returns:
+            The crash, or None if the request has been cleared since the loss.
         """
         if self._cleared.get(fingerprint, float("-inf")) >= at_s:
             return None
@@ -92,7 +104,7 @@
         before.append(crash)
         if len(before) >= self._options.refuse_crashes:
             self._refusable.add(fingerprint)
-        # A peer may tell of the earlier of two crashes after the later one.
+        # A peer may report the earlier of two crashes after the later one.
         first_s = min(c.at_s for c in before)
         for later in before:
             if later.at_s > first_s:
@@ -100,7 +112,7 @@
         return crash
 
     def clear(self, fingerprint: int, now_s: float) -> None:
-        """Takes all blame off a fingerprint that an upstream survived."""
+        """Removes a request that an upstream survived from all crashes."""
         for crash in self._by_fingerprint.pop(fingerprint, ()):
             crash.suspects.discard(fingerprint)
             crash.known.discard(fingerprint)
@@ -112,15 +124,22 @@
             self._cleared.popitem(last=False)
 
     def crashes(self, fingerprint: int) -> list[Crash]:
-        """Returns the crashes that a fingerprint is a suspect of."""
+        """Returns the crashes in which a request is a suspect."""
         return self._by_fingerprint.get(fingerprint, [])
 
     def all_crashes(self) -> Iterator[Crash]:
-        """Returns all crashes, the newest first."""
+        """Returns an iterator over all crashes, the last added first."""
         return reversed(self._crashes)
 
     def expire(self, now_s: float, refused_fingerprints: set[int]) -> None:
-        """Forgets what is too old, but for crashes of refused fingerprints."""
+        """Drops crashes that are too old to count.
+
+        Args:
+            now_s: Current time in seconds of the host's monotonic clock.
+            refused_fingerprints: Fingerprints of refused requests. Crashes
+                with one of them are kept for `quarantine_s`, others for
+                `retention_s`.
+        """
         options = self._options
         for crash in list(self._crashes):
             age_s = now_s - crash.at_s
--- a/packages/coordination/src/hollyknot_coordination/suspects/_messages.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_messages.py
@@ -1,4 +1,4 @@
-"""What the register says of a request before it is sent, and its options."""
+"""Defines the options of the suspect register and its decisions."""
 
 import attrs
 
@@ -7,28 +7,33 @@
 
 @attrs.frozen
 class SuspectOptions:
-    """How evidence is weighed.
+    """Parameters of the suspect register.
 
     Attributes:
-        merge_s: Losses at one upstream within this time are one crash, at
-            whichever hosts they were seen.
-        settle_s: Age before which peers may still add to a crash, so that it
-            refuses for this time only.
-        refuse_score: Sum over crashes from which a request is refused.
-        refuse_crashes: Crashes from which a request is refused if no other
-            one was in all of them.
-        together: Suspects of one crash that may share an upstream. Suspects
-            of more crashes run alone among suspects. With one at a time a
-            large batch is cleared too slowly for those who wait.
-        new_share: Part of the blame left to those of whom nothing was known
-            when a known suspect was in the crash too.
-        memory_s: How long evidence counts.
-        quarantine_s: How long it counts once it led to a refusal.
-        tell_s: How long own evidence is told to peers.
-        crashes_max: Crashes that are kept.
-        fingerprints_max: Suspects that are kept for each crash.
-        cleared_max: Cleared fingerprints that are kept.
-        told_max: Records told to peers at once.
+        merge_s: Seconds within which losses at one upstream count as one
+            crash, whichever hosts saw them.
+        settle_s: Age of a crash in seconds before which peers may still
+            report more about it. Until then a request is refused only for
+            the rest of this time.
+        refuse_score: Blame, summed over crashes, from which a request is
+            refused.
+        refuse_crashes: Number of crashes from which a request is refused if
+            it is the only suspect that is in all of them.
+        max_per_upstream: Most suspects of one crash that may run at one
+            upstream at once. A suspect of several crashes shares its upstream
+            with no other suspect. If suspects always ran alone, those of a
+            large batch would wait too long to be cleared.
+        new_fraction: Fraction of the blame left to requests without an
+            earlier crash if a suspect of an earlier crash was there too.
+        retention_s: Seconds for which evidence counts.
+        quarantine_s: Seconds for which evidence counts once it has led to a
+            refusal.
+        report_duration_s: Seconds for which a host reports its own evidence
+            to peers.
+        max_crashes: Most crashes that are stored.
+        max_fingerprints: Most suspects that are stored for a crash.
+        max_cleared: Most cleared fingerprints that are stored.
+        max_records: Most records that are sent to peers at once.
     """
 
     merge_s: float = 3.0
@@ -48,15 +53,15 @@
 
 @attrs.frozen
 class Clear:
-    """Nothing is held against the request."""
+    """The request may be sent, since there is no evidence against it."""
 
 
 @attrs.frozen
 class Isolate:
-    """A suspect: keep it apart from other suspects.
+    """The request is a suspect and may be sent only apart from other suspects.
 
     Attributes:
-        exclude: Upstreams where it must not be sent.
+        exclude: Upstreams to which it must not be sent.
     """
 
     exclude: frozenset[str]
@@ -64,11 +69,12 @@
 
 @attrs.frozen
 class Refuse:
-    """Answer the request now.
+    """The request is refused and must be answered without another try.
 
     Attributes:
-        verdict: For a request without a try. One that was tried goes through
-            `retries.whole_verdict`, which turns it to "may have run".
+        verdict: Verdict for a request without a try so far. If it was tried,
+            `retries.combined_verdict` turns "not run" into "may have run"
+            where a try may have run it.
     """
 
     verdict: Verdict
--- a/packages/coordination/src/hollyknot_coordination/suspects/_register.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_register.py
@@ -1,4 +1,4 @@
-"""The register of suspects of one host, fed by its own losses and by peers."""
+"""Registers a host's suspects from its own losses and from peers' reports."""
 
 from collections import Counter, deque
 
@@ -13,36 +13,38 @@
 from hollyknot_state import Outcome, Reason, SuspectRecord, Verdict
 
 NO_FINGERPRINT = 0
-"""Of a request that has none; it is never a suspect."""
+"""Marks a request without a fingerprint, which is never a suspect."""
 
 RETRY_AFTER_S = 1.0
-"""When to come back if the same suspect is in flight already."""
+"""Seconds after which a caller may retry a suspect that is in flight already,
+and the shortest such time for a culprit."""
 
 _CRASH_REASONS = frozenset({Reason.UPSTREAM_LOST, Reason.TRUNCATED})
-"""Ends that a crash has. Silence is left out: it is a connection's far more
-often than a crash, and would blame long requests."""
+"""Reasons with which tries end in a crash. A silent upstream isn't among them,
+since silence is a connection's fault far more often than a crash and would put
+blame on long requests."""
 
 
 class SuspectRegister:
-    """Tells which requests may have crashed upstreams, and refuses culprits."""
+    """Tracks requests that may have crashed upstreams and refuses culprits."""
 
     def __init__(self, options: SuspectOptions) -> None:
-        """Suspects nobody."""
+        """Creates a register without evidence."""
         self._options = options
         self._evidence = Evidence(options)
         self._in_flight: dict[str, Counter[int]] = {}
         self._refused: dict[int, float] = {}
-        # Evidence that is to be passed on, by fingerprint.
+        # New evidence that `next_updates` has not returned yet.
         self._unsent: deque[tuple[int, Crash]] = deque(
             maxlen=options.max_records
         )
 
     def gate(self, fingerprint: int, now_s: float) -> Gate:
-        """Says how a request may be sent, before each try.
+        """Decides before a try whether and where a request may be sent.
 
-        A culprit is refused at once. So is a suspect while it is in flight
-        here already: sent again by its caller, it would crash a second
-        upstream before the first crash has told anything.
+        A culprit is refused at once. A suspect that is in flight from this
+        host already is refused too: a second copy from its caller could crash
+        another upstream before the end of the first gives any evidence.
         """
         crashes = self._evidence.crashes(fingerprint)
         if fingerprint == NO_FINGERPRINT or not crashes:
@@ -51,21 +53,23 @@
             return self._refuse(fingerprint, crashes, now_s)
         running = self._upstreams_running(fingerprint)
         if running:
-            return _refusal("the same request is being tried", RETRY_AFTER_S)
+            return _refusal(
+                "the same request is in flight already", RETRY_AFTER_S
+            )
         return Isolate(self._excluded(len(crashes)))
 
     def on_dispatch(self, fingerprint: int, upstream: str) -> None:
-        """Notes a try; `on_end` must follow once."""
+        """Records the start of a try; `on_end` must follow exactly once."""
         self._in_flight.setdefault(upstream, Counter())[fingerprint] += 1
 
     def on_end(
         self, fingerprint: int, upstream: str, verdict: Verdict, now_s: float
     ) -> None:
-        """Notes the end of a try.
+        """Records the end of a try.
 
-        A request that ended in an answer of any kind is cleared: the upstream
-        survived it. One that was lost is a suspect, and so are all others
-        that were in flight there, until they end otherwise.
+        A request that ended in an answer of any kind is cleared, since the
+        upstream survived it. A lost request becomes a suspect, and so do all
+        others in flight at the upstream, until they end otherwise.
         """
         in_flight = self._in_flight.get(upstream, Counter())
         if verdict.outcome in (Outcome.COMPLETE, Outcome.FAILED):
@@ -83,15 +87,15 @@
     def on_records(
         self, records: tuple[SuspectRecord, ...], now_s: float
     ) -> tuple[SuspectRecord, ...]:
-        """Takes in peers' evidence; telling it twice changes nothing.
+        """Adds evidence that peers have reported; repeated records are ignored.
 
         Returns:
-            What was not known.
+            The records that were new to this host.
         """
         return tuple(r for r in records if self._is_new_evidence(r, now_s))
 
     def _is_new_evidence(self, record: SuspectRecord, now_s: float) -> bool:
-        """Takes in one record and returns whether it was not known."""
+        """Adds one record and returns whether it was new."""
         fingerprint = record.fingerprint
         if fingerprint == NO_FINGERPRINT:
             return False
@@ -104,7 +108,7 @@
     def _add(
         self, fingerprint: int, upstream: str, size: int, at_s: float
     ) -> Crash | None:
-        """Adds evidence, to be passed on if it was not known."""
+        """Adds evidence and queues it for `next_updates` if it is new."""
         before = len(self._evidence.crashes(fingerprint))
         crash = self._evidence.add(fingerprint, upstream, size, at_s)
         is_new = len(self._evidence.crashes(fingerprint)) > before
@@ -113,10 +117,10 @@
         return crash
 
     def next_updates(self, now_s: float) -> tuple[SuspectRecord, ...]:
-        """Returns what was learnt since the last call, to be passed on once.
+        """Returns the evidence added since the last call, to be sent once.
 
-        Evidence against those who were in most crashes comes first, since
-        there may be no room for all.
+        Evidence against the suspects of most crashes comes first, since a
+        message may not have room for all of it.
         """
         updates = sorted(
             ((f, crash) for f, crash in self._unsent if f in crash.suspects),
@@ -127,15 +131,16 @@
         return tuple(_record(f, crash, now_s) for f, crash in updates)
 
     def is_repeated(self, fingerprint: int) -> bool:
-        """Whether a request is a suspect of more than one crash."""
+        """Returns whether a request is a suspect of more than one crash."""
         return len(self._evidence.crashes(fingerprint)) > 1
 
     def records(self, now_s: float) -> tuple[SuspectRecord, ...]:
-        """Returns evidence to tell peers.
+        """Returns the evidence to report to peers.
 
-        That is this host's own while it is fresh, and all against requests
-        that may be refused for as long as it counts: a host that has just
-        started would else run each of them again.
+        This is the host's own evidence for `report_duration_s`, and all
+        evidence against requests that may be refused for as long as it
+        counts. Without the latter, a host that has just started would run
+        each of these requests again.
         """
         lasting = self._evidence.refusable | self._refused.keys()
         reported: list[SuspectRecord] = []
@@ -147,7 +152,7 @@
         return tuple(reported[: self._options.max_records])
 
     def expire(self, now_s: float) -> None:
-        """Forgets old evidence; to be called every few seconds."""
+        """Drops old evidence; call it every few seconds."""
         self._evidence.expire(now_s, set(self._refused))
         self._refused = {
             f: at_s
@@ -156,15 +161,15 @@
         }
 
     def upstreams(self, fingerprint: int) -> tuple[str, ...]:
-        """Returns the upstreams whose crashes are held against a request."""
+        """Returns the upstreams in whose crashes a request is a suspect."""
         return tuple(c.upstream for c in self._evidence.crashes(fingerprint))
 
     def is_suspect(self, fingerprint: int) -> bool:
-        """Whether any evidence is held against a fingerprint."""
+        """Returns whether there is any evidence against a request."""
         return bool(self._evidence.crashes(fingerprint))
 
     def score(self, fingerprint: int) -> float:
-        """Returns the blame summed over crashes."""
+        """Returns the blame of a request, summed over its crashes."""
         share = self._options.new_fraction
         crashes = self._evidence.crashes(fingerprint)
         return sum(c.blame(fingerprint, share) for c in crashes)
@@ -183,11 +188,15 @@
     ) -> Refuse:
         age_s = now_s - max(c.at_s for c in crashes)
         if age_s < self._options.settle_s:
-            # Peers may not have told yet who else was in the last crash, so
-            # an innocent could stand alone. It is asked to come back, and is
-            # refused for long only if it still stands alone by then.
+            # Peers may not have reported yet which other requests were in
+            # the last crash, so an innocent request could be the only suspect.
+            # Its caller may retry shortly, and the request is refused for
+            # long only if the evidence still points to it alone by then.
             wait_s = self._options.settle_s - age_s
-            return _refusal("evidence against it is being gathered", wait_s)
+            return _refusal(
+                "evidence on the crash of its upstream is being gathered",
+                wait_s,
+            )
         self._refused.setdefault(fingerprint, now_s)
         remaining_s = max(RETRY_AFTER_S, self._options.quarantine_s - age_s)
         return _refusal("upstreams that ran it have crashed", remaining_s)
@@ -213,7 +222,7 @@
         ]
 
     def _excluded(self, crashes: int) -> frozenset[str]:
-        """Returns where a suspect of this many crashes must not be sent."""
+        """Returns the upstreams barred to a suspect of so many crashes."""
         max_per_upstream = self._options.max_per_upstream if crashes == 1 else 1
         excluded = set()
         for upstream, in_flight in self._in_flight.items():
