--- a/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
@@ -1,4 +1,4 @@
-"""Classification: who calls, in which class, and of what nature."""
+"""Tests of authentication, classification and `explain`."""
 
 import hashlib
 
@@ -68,7 +68,7 @@
 
 
 class TestClass:
-    """The class of a request and its refusals."""
+    """Tests of the class of a request and of refusals."""
 
     def test_named_class_and_default_class(self) -> None:
         named = classify(_DECLARED, "desk", "counter", ModelCall("drafts"))
@@ -119,7 +119,7 @@
 
 
 class TestNature:
-    """Which calls of a service may run twice."""
+    """Tests which calls to a service may run twice."""
 
     @pytest.mark.parametrize(
         ("method", "path", "reason", "pattern"),
@@ -171,24 +171,22 @@
         assert found.remember_s == 600
 
     def test_encoded_path_matches_its_pattern(self) -> None:
-        """A caller writes a declared path otherwise.
+        """A declared non-idempotent call must not run twice by its spelling.
 
-        Symptom: an order that is declared non-idempotent runs twice.
-        Sequence: `PUT /%6frders/7` misses the pattern `/orders*`, counts as
-            idempotent and is retried; the service decodes it and runs both.
-        Cause: the pattern matched against the path as it was received.
+        If patterns were matched against the path as received,
+        `PUT /%6frders/7` would miss `/orders*` and count as idempotent. It
+        would be retried, and the service, which decodes the path, would run
+        both tries.
         """
         found = _call("PUT", "/%6frders/7")
         assert isinstance(found, Classification)
         assert found.nature is Nature.NON_IDEMPOTENT
 
     def test_pattern_for_get_covers_head(self) -> None:
-        """A non-idempotent GET is called by HEAD.
+        """A non-idempotent GET must not run twice if it is called by HEAD.
 
-        Symptom: the next ticket is drawn twice by one caller.
-        Sequence: the service answers HEAD by the code of GET; HEAD counts as
-            idempotent and is retried.
-        Cause: patterns of GET that don't cover HEAD.
+        A service may answer HEAD with its code for GET. If patterns for GET
+        didn't cover HEAD, the call would count as idempotent and be retried.
         """
         found = _call("HEAD", "/next")
         assert isinstance(found, Classification)
@@ -203,7 +201,7 @@
 
 
 class TestAuthenticate:
-    """Whose key a request carries."""
+    """Tests which customer a bearer key belongs to."""
 
     @pytest.mark.parametrize("header", ["Bearer key", "bearer  key "])
     def test_known_key_finds_its_customer(self, header: str) -> None:
@@ -221,7 +219,7 @@
 
 
 class TestExplain:
-    """What is said ahead of a request."""
+    """Tests the prediction of how a request is served."""
 
     @pytest.mark.parametrize(
         ("method", "is_retried_if_lost"), [("GET", True), ("POST", False)]
--- a/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits and of measured slowness."""
+"""Tests of concurrency limits and of the measured slowness."""
 
 from hollyknot_coordination.limits import (
     ConcurrencyLimit,
@@ -10,7 +10,7 @@
 
 
 class TestConcurrencyLimit:
-    """A limit moves by what is delivered."""
+    """Tests that a limit follows what the upstream delivers."""
 
     def test_starts_from_the_share_of_slots(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
@@ -46,10 +46,10 @@
         assert limit.value == 1
 
     def test_late_answers_alone_stop_at_the_floor(self) -> None:
-        """Symptom: upstreams idle while work waits.
+        """Upstreams must not idle while requests wait.
 
-        Sequence: answers miss their target for their own length, whatever
-        the limit; each miss cuts. Cause: a cut without a floor.
+        Long answers miss their target whatever the limit is. If each miss
+        decreased the limit without a floor, it would fall to 1.
         """
         limit = ConcurrencyLimit(LimitOptions())
         for second in range(50):
@@ -68,13 +68,13 @@
 
 
 class TestSlowness:
-    """Slowness is found by samples and fades without."""
+    """Tests that slowness follows samples and decays without them."""
 
     def test_stragglers_do_not_raise_the_median(self) -> None:
-        """Symptom: a straggler keeps its share of the work.
+        """A straggler must not keep its full share of the requests.
 
-        Sequence: two of five upstreams slow down; the latency that counts as
-        usual follows them. Cause: a mean in place of a median.
+        If two of five upstreams slow down, a mean latency would rise with
+        them until they no longer counted as slow, while a median does not.
         """
         median = MedianLatency(LatencyOptions())
         slow = Slowness(LatencyOptions())
--- a/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of what follows from a verdict: every combination, by a table."""
+"""Tests of retries, retry budgets and answers, mostly by tables."""
 
 import itertools
 import math
@@ -28,8 +28,9 @@
     Reason.TRUNCATED,
 )
 
-# Which of (outcome, nature) may be tried again for an upstream's reason, with
-# no byte relayed and tokens left. All else is answered.
+# Whether a request is retried, by outcome and nature, if the reason concerns
+# one upstream, no byte was relayed and tokens are left. In all other cases the
+# request is answered.
 RETRIED = {
     (Outcome.COMPLETE, Nature.IDEMPOTENT): False,
     (Outcome.COMPLETE, Nature.NON_IDEMPOTENT): False,
@@ -53,14 +54,14 @@
     tokens: float = 1.0,
     deadline_s: float = math.inf,
 ) -> Step:
-    """Asks for the step after one try."""
+    """Returns the step that follows a try."""
     attempt = Attempt(nature, tries, before, relayed, reused, deadline_s)
     verdict = Verdict(outcome, reason)
     return next_step(verdict, attempt, tokens, 100.0, random.Random(1))
 
 
 class TestNextStep:
-    """Every outcome, nature, relayed byte, budget and reason."""
+    """Tests `next_step` for all outcomes, natures and reasons."""
 
     @pytest.mark.parametrize(
         ("outcome", "nature", "relayed", "tokens", "reason"),
@@ -78,11 +79,10 @@
         tokens: float,
         reason: Reason,
     ) -> None:
-        """Symptom: a call runs twice, or an answer holds parts of two.
+        """A call must not run twice, nor an answer consist of parts of two.
 
-        Sequence: a try ends after the upstream may have run it, or after a
-        part was relayed, and is sent again. Cause: a retry that follows from
-        less than verdict, nature and what the caller has.
+        This happens if a non-idempotent call is retried after an upstream may
+        have run it, or if a call is retried after a part was relayed.
         """
         is_retried = (
             RETRIED[outcome, nature]
@@ -117,10 +117,10 @@
     def test_not_run_is_not_answered_after_a_try_that_may_have_run(
         self,
     ) -> None:
-        """Symptom: "not run" is said of a request that did run.
+        """The answer must not say "not run" of a request that did run.
 
-        Sequence: the first try is lost in the upstream and runs; the second
-        is refused. Cause: the last try's verdict given for the whole.
+        This happens if the first try is lost but runs, the second is refused,
+        and the verdict on the last try is given for the whole request.
         """
         found = step(Outcome.NOT_RUN, tries=3, before=True)
         lost = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
@@ -128,7 +128,7 @@
 
 
 class TestRetryBudgets:
-    """Retries are a share of first tries."""
+    """Tests that retries are bounded by a share of first tries."""
 
     def test_retries_are_a_share_of_first_tries(self) -> None:
         budgets = RetryBudgets(
@@ -150,7 +150,8 @@
         assert budgets.tokens("m") == 3.0
 
 
-# A status and whether (idempotent, non-idempotent) callers are told to return.
+# Outcome, reason, upstream's status, answer's status, and whether the answer to
+# an (idempotent, non-idempotent) request has a Retry-After.
 ANSWERS = [
     (Outcome.COMPLETE, Reason.NONE, 0, 200, (False, False)),
     (Outcome.COMPLETE, Reason.NONE, 201, 201, (False, False)),
@@ -184,7 +185,7 @@
 
 
 class TestAnswers:
-    """Status and time to come back, by outcome and reason."""
+    """Tests status and Retry-After by outcome and reason."""
 
     @pytest.mark.parametrize(
         ("outcome", "reason", "upstream", "status", "has_retry_after"), ANSWERS
@@ -204,10 +205,10 @@
         assert retry_after == has_retry_after
 
     def test_retry_after_is_jittered(self) -> None:
-        """Symptom: each wave of refused callers returns as one wave.
+        """Callers that are shed together must not all return together.
 
-        Sequence: a burst is shed at once, all are told the same time.
-        Cause: a time to come back without a random part.
+        Without jitter, all requests of a burst would get the same Retry-After
+        and form a burst again.
         """
         shed = Verdict(Outcome.NOT_RUN, Reason.SHED, retry_after_s=4.0)
         rng = random.Random(1)
--- a/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
@@ -74,7 +74,7 @@
 
     @property
     def refusable(self) -> frozenset[int]:
-        """Suspects of at least `refuse_crashes` crashes, which may be refused."""
+        """Suspects that may be refused, with `refuse_crashes` crashes or more."""
         return frozenset(self._refusable)
 
     def add(
--- a/packages/coordination/src/hollyknot_coordination/suspects/tests/test_suspects.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/tests/test_suspects.py
@@ -24,7 +24,7 @@
 def crash(
     local: SuspectRegister, upstream: str, batch: list[int], now_s: float
 ) -> None:
-    """Plays the loss of a batch at one upstream."""
+    """Simulates the loss of a batch of requests at one upstream."""
     for fingerprint in batch:
         local.on_dispatch(fingerprint, upstream)
     for fingerprint in batch:
@@ -32,19 +32,19 @@
 
 
 def complete(local: SuspectRegister, fingerprint: int, now_s: float) -> None:
-    """Plays a request that completes."""
+    """Simulates a request that completes at another upstream."""
     local.on_dispatch(fingerprint, "spare")
     local.on_end(fingerprint, "spare", COMPLETE, now_s)
 
 
 class TestSuspectRegister:
-    """From a crash to a refusal."""
+    """Tests from the first crash to the refusal of its culprit."""
 
     def test_culprit_of_a_batch_is_refused_after_two_more_crashes(self) -> None:
-        """Symptom: one request takes down upstream after upstream.
+        """One request must not crash upstream after upstream.
 
-        Sequence: it crashes the upstream that runs it, its caller sends it
-        again. Cause: no memory of who was there at each crash.
+        If the host doesn't record which requests were in flight at each crash,
+        a caller that retries the culprit crashes a further upstream each time.
         """
         local = register()
         crash(local, "u0", [*range(1, 64), CULPRIT], 0.0)
@@ -117,11 +117,11 @@
     def test_innocent_alone_at_its_host_is_not_refused_before_peers_report(
         self,
     ) -> None:
-        """Symptom: an innocent is refused for an hour.
+        """An innocent request must not be refused for an hour.
 
-        Sequence: it stands alone at its host in two crashes whose culprit
-        came through another host, whose evidence comes a second later.
-        Cause: refusing by one host's view before peers could tell.
+        It is the only suspect at its host in two crashes whose culprit came
+        through another host, and that host's evidence arrives a second later.
+        A refusal by the local evidence alone would be wrong.
         """
         local = register()
         peer = register()
@@ -136,7 +136,11 @@
         assert isinstance(local.gate(1, 9.5), Isolate)
 
     def test_updates_are_sent_once_and_the_most_suspect_first(self) -> None:
-        """A request goes on crashing upstreams while others fill the news."""
+        """Evidence against the culprit must come before that of bystanders.
+
+        If the records of other requests fill the message first, peers go on
+        running the culprit and lose more upstreams.
+        """
         local = register()
         crash(local, "u0", [CULPRIT], 0.0)
         assert [r.fingerprint for r in local.next_updates(0.1)] == [CULPRIT]
@@ -151,11 +155,11 @@
         assert len(peer.next_updates(10.9)) == 2
 
     def test_new_host_learns_of_refused_requests(self) -> None:
-        """Symptom: each replaced host costs three more crashes.
+        """Replacing a host must not cost three more crashes.
 
-        Sequence: a request is refused; its host's peers are replaced; the
-        caller returns through a new one. Cause: evidence told only while
-        fresh.
+        If evidence is reported only while it is fresh, a host that starts
+        later doesn't know of a refused request and runs it again when its
+        caller comes through this host.
         """
         local = register()
         for number in range(3):
