--- a/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_evidence.py
@@ -74,7 +74,10 @@
 
     @property
     def refusable(self) -> frozenset[int]:
-        """Suspects that may be refused, with `refuse_crashes` crashes or more."""
+        """Suspects of so many crashes that they may be refused.
+
+        These are suspects of at least `refuse_crashes` crashes.
+        """
         return frozenset(self._refusable)
 
     def add(
