--- a/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/tests/test_classify.py
@@ -1,4 +1,4 @@
-"""Classification: who calls, in which class, and of what nature."""
+"""Tests of authentication, classification and `explain`."""
 
 import hashlib
 
@@ -59,7 +59,7 @@
         )
     },
 )
-_ONCE = NatureReason.DECLARED_NON_IDEMPOTENT
+_DECLARED_NON_IDEMPOTENT = NatureReason.DECLARED_NON_IDEMPOTENT
 
 
 def _call(method: str, path: str) -> Classification | Verdict:
@@ -68,9 +68,9 @@
 
 
 class TestClass:
-    """The class of a request and its refusals."""
+    """Tests of the class of a request and of refusals."""
 
-    def test_named_and_default(self) -> None:
+    def test_named_class_and_default_class(self) -> None:
         named = classify(_DECLARED, "desk", "counter", ModelCall("drafts"))
         default = classify(_DECLARED, "desk", Absent.CLASS, ModelCall("drafts"))
         assert isinstance(named, Classification)
@@ -119,7 +119,7 @@
 
 
 class TestNature:
-    """Which calls of a service may run twice."""
+    """Tests which calls to a service may run twice."""
 
     @pytest.mark.parametrize(
         ("method", "path", "reason", "pattern"),
@@ -151,9 +151,14 @@
             ("PATCH", "/a", NatureReason.METHOD, ""),
             ("put", "/a", NatureReason.METHOD, ""),
             ("MERGE", "/a", NatureReason.METHOD, ""),
-            ("PUT", "/orders/7", _ONCE, "PUT /orders*"),
-            ("POST", "/search/run", _ONCE, "POST /search/run"),
-            ("GET", "/next", _ONCE, "GET /next"),
+            ("PUT", "/orders/7", _DECLARED_NON_IDEMPOTENT, "PUT /orders*"),
+            (
+                "POST",
+                "/search/run",
+                _DECLARED_NON_IDEMPOTENT,
+                "POST /search/run",
+            ),
+            ("GET", "/next", _DECLARED_NON_IDEMPOTENT, "GET /next"),
         ],
     )
     def test_non_idempotent(
@@ -165,25 +170,23 @@
         assert (found.nature_reason, found.pattern) == (reason, pattern)
         assert found.remember_s == 600
 
-    def test_another_spelling_is_the_same_call(self) -> None:
-        """A caller writes a declared path otherwise.
+    def test_encoded_path_matches_its_pattern(self) -> None:
+        """A declared non-idempotent call must not run twice by its spelling.
 
-        Symptom: an order that is declared non-idempotent runs twice.
-        Sequence: `PUT /%6frders/7` misses the pattern `/orders*`, counts as
-            idempotent and is retried; the service decodes it and runs both.
-        Cause: the pattern matched against the path as it was received.
+        If patterns were matched against the path as received,
+        `PUT /%6frders/7` would miss `/orders*` and count as idempotent. It
+        would be retried, and the service, which decodes the path, would run
+        both tries.
         """
         found = _call("PUT", "/%6frders/7")
         assert isinstance(found, Classification)
         assert found.nature is Nature.NON_IDEMPOTENT
 
-    def test_head_runs_what_get_runs(self) -> None:
-        """A non-idempotent GET is called by HEAD.
+    def test_pattern_for_get_covers_head(self) -> None:
+        """A non-idempotent GET must not run twice if it is called by HEAD.
 
-        Symptom: the next ticket is drawn twice by one caller.
-        Sequence: the service answers HEAD by the code of GET; HEAD counts as
-            idempotent and is retried.
-        Cause: patterns of GET that don't cover HEAD.
+        A service may answer HEAD with its code for GET. If patterns for GET
+        didn't cover HEAD, the call would count as idempotent and be retried.
         """
         found = _call("HEAD", "/next")
         assert isinstance(found, Classification)
@@ -198,17 +201,17 @@
 
 
 class TestAuthenticate:
-    """Whose key a request carries."""
+    """Tests which customer a bearer key belongs to."""
 
     @pytest.mark.parametrize("header", ["Bearer key", "bearer  key "])
-    def test_a_known_key(self, header: str) -> None:
+    def test_known_key_finds_its_customer(self, header: str) -> None:
         owners = index_keys(_DECLARED.customers)
         assert authenticate(owners, header) == "desk"
 
     @pytest.mark.parametrize(
         "header", ["", "Bearer", "Bearer ", "Basic key", "key", "Bearer \udcff"]
     )
-    def test_any_other_is_refused(self, header: str) -> None:
+    def test_other_authorization_is_refused(self, header: str) -> None:
         verdict = authenticate(index_keys(_DECLARED.customers), header)
         assert isinstance(verdict, Verdict)
         assert verdict.reason is Reason.BAD_KEY
@@ -216,7 +219,7 @@
 
 
 class TestExplain:
-    """What is said ahead of a request."""
+    """Tests the prediction of how a request is served."""
 
     @pytest.mark.parametrize(
         ("method", "is_retried_if_lost"), [("GET", True), ("POST", False)]
@@ -229,10 +232,10 @@
         assert found.is_retried_if_not_run
         assert found.is_retried_if_lost is is_retried_if_lost
 
-    def test_every_reason_is_told(self) -> None:
+    def test_every_reason_is_listed(self) -> None:
         call = ServiceCall("permits", "POST", "/a")
         found = explain(_DECLARED, "desk", Absent.CLASS, call)
-        told = {refusal.reason for refusal in found.refusals}
+        reasons = {refusal.reason for refusal in found.refusals}
         by_classification = {
             Reason.BAD_KEY,
             Reason.UNKNOWN_CLASS,
@@ -240,4 +243,4 @@
             Reason.UNKNOWN_SERVICE,
         }
         unanswered = {Reason.NONE, Reason.CALLER_GONE}
-        assert told == set(Reason) - by_classification - unanswered
+        assert reasons == set(Reason) - by_classification - unanswered
--- a/packages/coordination/src/hollyknot_coordination/limits/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/__init__.py
@@ -1,16 +1,16 @@
-"""How much at once each upstream is given, by what it delivers."""
+"""Limits each upstream's concurrency by the latencies that it delivers."""
 
 from hollyknot_coordination.limits._aimd import ConcurrencyLimit, LimitOptions
 from hollyknot_coordination.limits._latency import (
     LatencyOptions,
+    MedianLatency,
     Slowness,
-    UsualLatency,
 )
 
 __all__ = [
     "ConcurrencyLimit",
     "LatencyOptions",
     "LimitOptions",
+    "MedianLatency",
     "Slowness",
-    "UsualLatency",
 ]
--- a/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/limits/tests/test_limits.py
@@ -1,16 +1,16 @@
-"""Tests of limits and of measured slowness."""
+"""Tests of concurrency limits and of the measured slowness."""
 
 from hollyknot_coordination.limits import (
     ConcurrencyLimit,
     LatencyOptions,
     LimitOptions,
+    MedianLatency,
     Slowness,
-    UsualLatency,
 )
 
 
 class TestConcurrencyLimit:
-    """A limit moves by what is delivered."""
+    """Tests that a limit follows what the upstream delivers."""
 
     def test_starts_from_the_share_of_slots(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
@@ -21,7 +21,7 @@
         limit.on_slots(16, sharers=1)
         assert limit.value == 16
 
-    def test_slots_do_not_undo_what_was_learnt(self) -> None:
+    def test_slots_do_not_reset_an_adjusted_limit(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         limit.on_refused(0.0)
         limit.on_slots(100, sharers=1)
@@ -30,13 +30,13 @@
     def test_grows_only_while_in_use(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         for _ in range(100):
-            limit.on_good(in_flight=1)
+            limit.on_met_target(in_flight=1)
         assert limit.value == 8
         for _ in range(9):
-            limit.on_good(in_flight=8)
+            limit.on_met_target(in_flight=8)
         assert limit.value == 9
 
-    def test_never_below_one_and_cuts_are_spaced(self) -> None:
+    def test_never_below_one_and_decreases_are_spaced(self) -> None:
         limit = ConcurrencyLimit(LimitOptions())
         for _ in range(10):
             limit.on_refused(0.0)
@@ -45,11 +45,11 @@
             limit.on_refused(float(second))
         assert limit.value == 1
 
-    def test_late_answers_alone_keep_a_quarter(self) -> None:
-        """Symptom: upstreams idle while work waits.
+    def test_late_answers_alone_stop_at_the_floor(self) -> None:
+        """Upstreams must not idle while requests wait.
 
-        Sequence: answers miss their target for their own length, whatever
-        the limit; each miss cuts. Cause: a cut without a floor.
+        Long answers miss their target whatever the limit is. If each miss
+        decreased the limit without a floor, it would fall to 1.
         """
         limit = ConcurrencyLimit(LimitOptions())
         for second in range(50):
@@ -61,31 +61,31 @@
         limit.restart()
         assert (limit.value, limit.is_restarting) == (1, True)
         for _ in range(7):
-            limit.on_good(in_flight=limit.value)
+            limit.on_met_target(in_flight=limit.value)
         assert (limit.value, limit.is_restarting) == (8, False)
-        limit.on_good(in_flight=8)
+        limit.on_met_target(in_flight=8)
         assert limit.value == 8
 
 
 class TestSlowness:
-    """Slowness is found by samples and fades without."""
+    """Tests that slowness follows samples and decays without them."""
 
-    def test_stragglers_do_not_become_usual(self) -> None:
-        """Symptom: a straggler keeps its share of the work.
+    def test_stragglers_do_not_raise_the_median(self) -> None:
+        """A straggler must not keep its full share of the requests.
 
-        Sequence: two of five upstreams slow down; the latency that counts as
-        usual follows them. Cause: a mean in place of a median.
+        If two of five upstreams slow down, a mean latency would rise with
+        them until they no longer counted as slow, while a median does not.
         """
-        usual = UsualLatency(LatencyOptions())
+        median = MedianLatency(LatencyOptions())
         slow = Slowness(LatencyOptions())
         for i in range(200):
             for _ in range(3):
-                usual.ratio(0.1)
+                median.ratio(0.1)
             for _ in range(2):
-                slow.note(usual.ratio(0.4), i * 0.1)
+                slow.note(median.ratio(0.4), i * 0.1)
         assert slow.is_straggler(20.0)
 
-    def test_fades(self) -> None:
+    def test_slowness_decays_without_samples(self) -> None:
         slow = Slowness(LatencyOptions())
         for _ in range(20):
             slow.note(5.0, 0.0)
--- a/packages/coordination/src/hollyknot_coordination/retries/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/__init__.py
@@ -1,4 +1,4 @@
-"""What follows from a verdict: another try, or which answer."""
+"""Decides what follows a try: a retry, or the final answer to the caller."""
 
 from hollyknot_coordination.retries._answers import http_status, retry_after_s
 from hollyknot_coordination.retries._budgets import (
@@ -9,10 +9,13 @@
     Answer,
     Attempt,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
 )
-from hollyknot_coordination.retries._next_step import next_step, whole_verdict
+from hollyknot_coordination.retries._next_step import (
+    combined_verdict,
+    next_step,
+)
 
 __all__ = [
     "Answer",
@@ -20,10 +23,10 @@
     "RetryBudgetOptions",
     "RetryBudgets",
     "RetryElsewhere",
-    "RetryNow",
+    "RetryOnNewConnection",
     "Step",
+    "combined_verdict",
     "http_status",
     "next_step",
     "retry_after_s",
-    "whole_verdict",
 ]
--- a/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/_next_step.py
@@ -1,16 +1,18 @@
-"""The one place that says what follows from a verdict and a nature.
+"""Decides whether a request is retried after a try.
 
-| outcome | nature | may be tried again |
+No other code decides this.
+
+| outcome | nature | retried |
 | --- | --- | --- |
 | complete, failed | any | never |
-| not run, by an upstream or on the way to it | any | within the budgets |
-| not run, for a reason of the host's own | any | never |
-| may have run, upstream lost or silent | idempotent | within the budgets |
+| not run, refused by or not connected to an upstream | any | within budgets |
+| not run, for a reason of the host itself | any | never |
+| may have run, upstream lost or silent | idempotent | within budgets |
 | may have run | non-idempotent | never |
 
-Nothing is tried again once a byte was relayed to the caller: a second answer
-would be joined to a part of the first. Resuming a broken stream at the same
-engine is another step, which this function does not have yet.
+A request is never retried once a byte was relayed to the caller, since a second
+answer would be appended to a part of the first. No step resumes a broken stream
+at the same engine.
 """
 
 import random
@@ -21,18 +23,18 @@
     Answer,
     Attempt,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
 )
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 
-TRIES_MAX = 3
-"""Tries of one request at one host, the first included."""
+MAX_TRIES = 3
+"""Most tries of one request by one host, including the first."""
 
-DELAY_S = 0.02
-"""Mean delay before a second retry; none before the first."""
+RETRY_DELAY_S = 0.02
+"""Mean delay before the second retry in seconds; the first is not delayed."""
 
-_AT_UPSTREAM = frozenset(
+_UPSTREAM_REASONS = frozenset(
     {
         Reason.CONNECT_FAILED,
         Reason.UPSTREAM_REFUSED,
@@ -41,10 +43,12 @@
         Reason.TRUNCATED,
     }
 )
-"""Reasons that lie in one upstream, so that another one may do better."""
+"""Reasons that concern one upstream, so that another one may succeed."""
 
-_CONNECTION_LOST = frozenset({Reason.UPSTREAM_LOST, Reason.UPSTREAM_SILENT})
-"""Reasons that an old connection alone can have."""
+_STALE_CONNECTION_REASONS = frozenset(
+    {Reason.UPSTREAM_LOST, Reason.UPSTREAM_SILENT}
+)
+"""Reasons that a stale connection can have while its upstream is healthy."""
 
 
 def next_step(
@@ -54,31 +58,38 @@
     now_s: float,
     rng: random.Random,
 ) -> Step:
-    """Returns what follows the end of a try.
+    """Returns the step that follows the end of a try.
 
     Args:
-        verdict: The end of the last try.
-        attempt: The request's tries so far.
-        tokens: What `RetryBudgets.tokens` says of the pool; a retry costs 1
-            by `RetryBudgets.spend`.
-        now_s: The time.
+        verdict: Verdict on the last try.
+        attempt: State of the request after its tries so far.
+        tokens: The pool's tokens by `RetryBudgets.tokens`. A retry needs 1,
+            which the caller takes by `RetryBudgets.spend`.
+        now_s: Current time in seconds of the host's monotonic clock.
         rng: Source of randomness for the delay.
     """
     if not _may_retry(verdict, attempt) or tokens < 1.0:
-        return Answer(whole_verdict(verdict, attempt))
+        return Answer(combined_verdict(verdict, attempt))
     delay_s = _delay_s(attempt.tries, rng)
-    if attempt.tries >= TRIES_MAX or now_s + delay_s >= attempt.deadline_s:
-        return Answer(whole_verdict(verdict, attempt))
-    if attempt.connection_reused and verdict.reason in _CONNECTION_LOST:
-        return RetryNow(delay_s)
+    if attempt.tries >= MAX_TRIES or now_s + delay_s >= attempt.deadline_s:
+        return Answer(combined_verdict(verdict, attempt))
+    if (
+        attempt.connection_reused
+        and verdict.reason in _STALE_CONNECTION_REASONS
+    ):
+        return RetryOnNewConnection(delay_s)
     return RetryElsewhere(delay_s)
 
 
-def whole_verdict(verdict: Verdict, attempt: Attempt) -> Verdict:
-    """Returns the verdict of all tries from that of the last.
+def combined_verdict(verdict: Verdict, attempt: Attempt) -> Verdict:
+    """Returns the verdict over all tries of a request.
 
-    A request whose second try was refused may have run by its first: "not
-    run" of the last try alone would be a false promise to the caller.
+    If the second try was refused, the first may still have run. "Not run",
+    which holds for the last try alone, would then be false for the request.
+
+    Args:
+        verdict: Verdict on the last try.
+        attempt: State of the request after its tries so far.
     """
     if verdict.is_proved_not_run and attempt.may_have_run_before:
         return attrs.evolve(verdict, outcome=Outcome.MAY_HAVE_RUN)
@@ -86,7 +97,7 @@
 
 
 def _may_retry(verdict: Verdict, attempt: Attempt) -> bool:
-    if attempt.bytes_relayed or verdict.reason not in _AT_UPSTREAM:
+    if attempt.bytes_relayed or verdict.reason not in _UPSTREAM_REASONS:
         return False
     match verdict.outcome:
         case Outcome.NOT_RUN:
@@ -100,4 +111,4 @@
 def _delay_s(tries: int, rng: random.Random) -> float:
     if tries <= 1:
         return 0.0
-    return DELAY_S * rng.uniform(0.5, 1.5)
+    return RETRY_DELAY_S * rng.uniform(0.5, 1.5)
--- a/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
+++ b/packages/coordination/src/hollyknot_coordination/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of what follows from a verdict: every combination, by a table."""
+"""Tests of retries, retry budgets and answers, mostly by tables."""
 
 import itertools
 import math
@@ -12,7 +12,7 @@
     RetryBudgetOptions,
     RetryBudgets,
     RetryElsewhere,
-    RetryNow,
+    RetryOnNewConnection,
     Step,
     http_status,
     next_step,
@@ -28,8 +28,9 @@
     Reason.TRUNCATED,
 )
 
-# Which of (outcome, nature) may be tried again for an upstream's reason, with
-# no byte relayed and tokens left. All else is answered.
+# Whether a request is retried, by outcome and nature, if the reason concerns
+# one upstream, no byte was relayed and tokens are left. In all other cases the
+# request is answered.
 RETRIED = {
     (Outcome.COMPLETE, Nature.IDEMPOTENT): False,
     (Outcome.COMPLETE, Nature.NON_IDEMPOTENT): False,
@@ -53,14 +54,14 @@
     tokens: float = 1.0,
     deadline_s: float = math.inf,
 ) -> Step:
-    """Asks for the step after one try."""
+    """Returns the step that follows a try."""
     attempt = Attempt(nature, tries, before, relayed, reused, deadline_s)
     verdict = Verdict(outcome, reason)
     return next_step(verdict, attempt, tokens, 100.0, random.Random(1))
 
 
 class TestNextStep:
-    """Every outcome, nature, relayed byte, budget and reason."""
+    """Tests `next_step` for all outcomes, natures and reasons."""
 
     @pytest.mark.parametrize(
         ("outcome", "nature", "relayed", "tokens", "reason"),
@@ -78,43 +79,48 @@
         tokens: float,
         reason: Reason,
     ) -> None:
-        """Symptom: a call runs twice, or an answer holds parts of two.
+        """A call must not run twice, nor an answer consist of parts of two.
 
-        Sequence: a try ends after the upstream may have run it, or after a
-        part was relayed, and is sent again. Cause: a retry that follows from
-        less than verdict, nature and what the caller has.
+        This happens if a non-idempotent call is retried after an upstream may
+        have run it, or if a call is retried after a part was relayed.
         """
-        wanted = (
+        is_retried = (
             RETRIED[outcome, nature]
             and reason in UPSTREAM_REASONS
             and not relayed
             and tokens >= 1.0
         )
         found = step(outcome, nature, reason, relayed=relayed, tokens=tokens)
-        if wanted:
+        if is_retried:
             assert found == RetryElsewhere(0.0)
         else:
             assert found == Answer(Verdict(outcome, reason))
 
-    def test_reused_connection_blames_the_connection(self) -> None:
-        assert step(Outcome.MAY_HAVE_RUN, reused=True) == RetryNow(0.0)
+    def test_loss_of_a_reused_connection_may_retry_the_same_upstream(
+        self,
+    ) -> None:
+        assert step(Outcome.MAY_HAVE_RUN, reused=True) == RetryOnNewConnection(
+            0.0
+        )
         refused = step(
             Outcome.NOT_RUN, reason=Reason.UPSTREAM_REFUSED, reused=True
         )
         assert refused == RetryElsewhere(0.0)
 
-    def test_tries_and_deadline_bound_it(self) -> None:
+    def test_tries_and_deadline_bound_retries(self) -> None:
         assert isinstance(step(Outcome.NOT_RUN, tries=2), RetryElsewhere)
         assert isinstance(step(Outcome.NOT_RUN, tries=3), Answer)
         assert isinstance(step(Outcome.NOT_RUN, deadline_s=100.0), Answer)
         late = step(Outcome.NOT_RUN, tries=2, deadline_s=100.005)
         assert isinstance(late, Answer)
 
-    def test_not_run_is_not_said_after_a_try_that_may_have_run(self) -> None:
-        """Symptom: "not run" is said of a request that did run.
+    def test_not_run_is_not_answered_after_a_try_that_may_have_run(
+        self,
+    ) -> None:
+        """The answer must not say "not run" of a request that did run.
 
-        Sequence: the first try is lost in the upstream and runs; the second
-        is refused. Cause: the last try's verdict given for the whole.
+        This happens if the first try is lost but runs, the second is refused,
+        and the verdict on the last try is given for the whole request.
         """
         found = step(Outcome.NOT_RUN, tries=3, before=True)
         lost = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
@@ -122,10 +128,12 @@
 
 
 class TestRetryBudgets:
-    """Retries are a share of first tries."""
+    """Tests that retries are bounded by a share of first tries."""
 
-    def test_share(self) -> None:
-        budgets = RetryBudgets(RetryBudgetOptions(share=0.1, start=0.0))
+    def test_retries_are_a_share_of_first_tries(self) -> None:
+        budgets = RetryBudgets(
+            RetryBudgetOptions(tokens_per_first_try=0.1, start=0.0)
+        )
         retries = 0
         for _ in range(1000):
             budgets.on_first_try("m")
@@ -135,14 +143,15 @@
         assert 98 <= retries <= 100
         assert budgets.tokens("other") == 0.0
 
-    def test_is_bounded(self) -> None:
-        budgets = RetryBudgets(RetryBudgetOptions(largest=3.0))
+    def test_tokens_are_bounded(self) -> None:
+        budgets = RetryBudgets(RetryBudgetOptions(capacity=3.0))
         for _ in range(1000):
             budgets.on_first_try("m")
         assert budgets.tokens("m") == 3.0
 
 
-# A status and whether (idempotent, non-idempotent) callers are told to return.
+# Outcome, reason, upstream's status, answer's status, and whether the answer to
+# an (idempotent, non-idempotent) request has a Retry-After.
 ANSWERS = [
     (Outcome.COMPLETE, Reason.NONE, 0, 200, (False, False)),
     (Outcome.COMPLETE, Reason.NONE, 201, 201, (False, False)),
@@ -176,10 +185,10 @@
 
 
 class TestAnswers:
-    """Status and time to come back, by outcome and reason."""
+    """Tests status and Retry-After by outcome and reason."""
 
     @pytest.mark.parametrize(
-        ("outcome", "reason", "upstream", "status", "returns"), ANSWERS
+        ("outcome", "reason", "upstream", "status", "has_retry_after"), ANSWERS
     )
     def test_table(
         self,
@@ -187,26 +196,28 @@
         reason: Reason,
         upstream: int,
         status: int,
-        returns: tuple[bool, bool],
+        has_retry_after: tuple[bool, bool],
     ) -> None:
         verdict = Verdict(outcome, reason, upstream_status=upstream)
         assert http_status(verdict) == status
         rng = random.Random(1)
-        told = tuple(retry_after_s(verdict, n, rng) > 0 for n in Nature)
-        assert told == returns
+        retry_after = tuple(retry_after_s(verdict, n, rng) > 0 for n in Nature)
+        assert retry_after == has_retry_after
 
-    def test_crowd_is_spread(self) -> None:
-        """Symptom: each wave of refused callers returns as one wave.
+    def test_retry_after_is_jittered(self) -> None:
+        """Callers that are shed together must not all return together.
 
-        Sequence: a burst is shed at once, all are told the same time.
-        Cause: a time to come back without a random part.
+        Without jitter, all requests of a burst would get the same Retry-After
+        and form a burst again.
         """
         shed = Verdict(Outcome.NOT_RUN, Reason.SHED, retry_after_s=4.0)
         rng = random.Random(1)
-        told = [
+        retry_after = [
             retry_after_s(shed, Nature.IDEMPOTENT, rng) for _ in range(1000)
         ]
-        assert min(told) >= 4.0
-        assert max(told) <= 8.0
-        seconds = [sum(s <= t < s + 1 for t in told) for s in (4, 5, 6, 7)]
+        assert min(retry_after) >= 4.0
+        assert max(retry_after) <= 8.0
+        seconds = [
+            sum(s <= t < s + 1 for t in retry_after) for s in (4, 5, 6, 7)
+        ]
         assert max(seconds) < 350
