--- a/packages/coordination/src/hollyknot_coordination/claims/_attempt.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_attempt.py
@@ -23,7 +23,7 @@
     ReleaseClaim,
 )
 
-_PASSING = (ClaimAnswerKind.LEARNING, ClaimAnswerKind.BEHIND)
+_TRANSIENT = (ClaimAnswerKind.LEARNING, ClaimAnswerKind.BEHIND)
 """Answers after which the same holder may grant later."""
 
 
@@ -34,12 +34,12 @@
     CANCELLING = "cancelling"
 
 
-class Finding(enum.Enum):
+class AttemptStatus(enum.Enum):
     """What follows from the answers so far."""
 
     WAIT = "wait"
     GRANTED = "granted"
-    OTHERS = "others"
+    BLOCKED = "others"
     """A majority can't be had while other attempts hold grants."""
 
     CLEARED = "cleared"
@@ -131,7 +131,7 @@
         self.phase = Phase.ASKING
         return True
 
-    def take(self, sender: str, answer: ClaimAnswer) -> bool:
+    def handle_answer(self, sender: str, answer: ClaimAnswer) -> bool:
         """Takes a holder's answer; tells whether it changed the holders."""
         if answer.kind is ClaimAnswerKind.NEWER:
             return bool(answer.holders) and self.move_to(
@@ -139,29 +139,37 @@
             )
         if sender not in self.group or answer.group != self._digest:
             return False
-        self._note_held(sender, answer.held)
+        self._record_held(sender, answer.held)
         if answer.attempt == self.attempt:
-            self._take_grant_answer(sender, answer)
+            self._handle_grant_answer(sender, answer)
         elif answer.kind is ClaimAnswerKind.PROMISED:
             rival = self._rivals.setdefault(answer.attempt, _Rival())
             rival.promised.add(sender)
         return False
 
-    def find(self) -> Finding:
+    def current_status(self) -> AttemptStatus:
         """Returns what follows from the answers."""
         if self._grants() >= majority(self.group):
-            return Finding.GRANTED
+            return AttemptStatus.GRANTED
         if self.phase is Phase.CANCELLING:
-            return self._find_cancelling()
-        if self._grants() + len(self._open()) >= majority(self.group):
-            return Finding.WAIT
-        return self.find_at_end()
-
-    def find_at_end(self) -> Finding:
+            return self._status_of_cancelling()
+        if self._grants() + len(self._may_still_grant()) >= majority(
+            self.group
+        ):
+            return AttemptStatus.WAIT
+        return self.status_at_deadline()
+
+    def status_at_deadline(self) -> AttemptStatus:
         """Returns what follows if no more answers are waited for."""
-        if self._live() and any(map(self._may_win, self._live().values())):
-            return Finding.HELD
-        return Finding.OTHERS if self._live() else Finding.NO_MAJORITY
+        if self._live_rivals() and any(
+            map(self._may_have_majority, self._live_rivals().values())
+        ):
+            return AttemptStatus.HELD
+        return (
+            AttemptStatus.BLOCKED
+            if self._live_rivals()
+            else AttemptStatus.NO_MAJORITY
+        )
 
     def begin_cancelling(self) -> None:
         """Goes over to cancelling the others that were found."""
@@ -189,12 +197,12 @@
         if self.phase is Phase.CANCELLING:
             return [
                 SendClaim(host, self._cancel(attempt))
-                for attempt, rival in self._live().items()
+                for attempt, rival in self._live_rivals().items()
                 for host in self.group
                 if host not in rival.promised | rival.holding
             ]
         grant = GrantClaim(self.key, self.attempt, self.revision, self._digest)
-        hosts = self._open()
+        hosts = self._may_still_grant()
         self.asked.update(hosts)
         return [SendClaim(host, grant) for host in hosts]
 
@@ -209,21 +217,21 @@
             self.key, attempt, self.attempt, self.revision, self._digest
         )
 
-    def _take_grant_answer(self, sender: str, answer: ClaimAnswer) -> None:
+    def _handle_grant_answer(self, sender: str, answer: ClaimAnswer) -> None:
         # A holder never takes a grant back unasked: a late refusal from
         # before the grant must not hide it.
         before = self._answers.get(sender)
         if before is None or before.kind is not ClaimAnswerKind.GRANTED:
             self._answers[sender] = answer
 
-    def _note_held(self, sender: str, held: tuple[HeldAttempt, ...]) -> None:
-        for one in held:
-            if one.attempt == self.attempt:
+    def _record_held(self, sender: str, held: tuple[HeldAttempt, ...]) -> None:
+        for held_attempt in held:
+            if held_attempt.attempt == self.attempt:
                 continue
-            rival = self._rivals.setdefault(one.attempt, _Rival())
+            rival = self._rivals.setdefault(held_attempt.attempt, _Rival())
             rival.holding.add(sender)
-            if one.outcome is not ClaimOutcome.UNKNOWN:
-                rival.outcome = one.outcome
+            if held_attempt.outcome is not ClaimOutcome.UNKNOWN:
+                rival.outcome = held_attempt.outcome
 
     def _grants(self) -> int:
         return sum(
@@ -231,27 +239,30 @@
             for answer in self._answers.values()
         )
 
-    def _open(self) -> tuple[str, ...]:
+    def _may_still_grant(self) -> tuple[str, ...]:
         """Returns the holders that may still grant in this round."""
         return tuple(
             host
             for host in self.group
-            if host not in self._answers or self._answers[host].kind in _PASSING
+            if host not in self._answers
+            or self._answers[host].kind in _TRANSIENT
         )
 
-    def _live(self) -> dict[Attempt, _Rival]:
+    def _live_rivals(self) -> dict[Attempt, _Rival]:
         return {a: r for a, r in self._rivals.items() if not r.is_dead}
 
-    def _may_win(self, rival: _Rival) -> bool:
+    def _may_have_majority(self, rival: _Rival) -> bool:
         """Tells whether so many hold a rival that it can't be cancelled."""
         left = len(self.group) - len(rival.holding)
         is_ended = rival.outcome is not ClaimOutcome.UNKNOWN
         return is_ended or left < majority(self.group)
 
-    def _find_cancelling(self) -> Finding:
-        for rival in self._live().values():
+    def _status_of_cancelling(self) -> AttemptStatus:
+        for rival in self._live_rivals().values():
             if len(rival.promised) >= majority(self.group):
                 rival.is_dead = True
-            elif self._may_win(rival):
-                return Finding.HELD
-        return Finding.WAIT if self._live() else Finding.CLEARED
+            elif self._may_have_majority(rival):
+                return AttemptStatus.HELD
+        return (
+            AttemptStatus.WAIT if self._live_rivals() else AttemptStatus.CLEARED
+        )
--- a/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
@@ -5,8 +5,8 @@
 import attrs
 
 from hollyknot_coordination.claims._attempt import (
+    AttemptStatus,
     ClaimAttempt,
-    Finding,
     Phase,
 )
 from hollyknot_coordination.claims._commands import (
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class _Claiming:
+class _PendingClaim:
     """An attempt with its times, in seconds of the monotonic clock.
 
     Attributes:
@@ -54,7 +54,7 @@
 
     attempt: ClaimAttempt
     cancel_s: float
-    give_up_s: float
+    deadline_s: float
     repeat_s: float
     wait_s: float
 
@@ -80,7 +80,7 @@
     rng: random.Random
     options: ClaimOptions = attrs.Factory(ClaimOptions)
     _number: int = 0
-    _claiming: dict[bytes, _Claiming] = attrs.Factory(dict)
+    _pending: dict[bytes, _PendingClaim] = attrs.Factory(dict)
     _granted: dict[bytes, ClaimAttempt] = attrs.Factory(dict)
     _releases: Releases = attrs.Factory(Releases)
 
@@ -90,15 +90,15 @@
             return []
         self.placement = placement
         commands: list[ClaimCommand] = []
-        for claiming in self._claiming.values():
-            attempt = claiming.attempt
+        for pending in self._pending.values():
+            attempt = pending.attempt
             group = placement.group(slot_of(attempt.key))
             if group and attempt.move_to(group, placement.revision):
-                commands += self._send(claiming, now)
+                commands += self._send(pending, now)
         return commands
 
     def claim(
-        self, key: bytes, now: Instant, patience_s: float
+        self, key: bytes, now: Instant, timeout_s: float
     ) -> list[ClaimCommand]:
         """Begins to claim a key.
 
@@ -114,57 +114,57 @@
         """
         self._number += 1
         name = Attempt(f"{self.host}/{self.incarnation}", self._number)
-        if key in self._claiming or key in self._granted:
+        if key in self._pending or key in self._granted:
             verdict = Verdict(
                 Outcome.MAY_HAVE_RUN,
                 Reason.CLAIMED_BEFORE,
                 "an earlier request with this key is under way",
-                self._come_back_s(),
+                self._random_retry_after_s(),
             )
             return [ClaimRefused(key, name, verdict)]
         group = self.placement.group(slot_of(key))
         attempt = ClaimAttempt(key, name, group, self.placement.revision)
-        claiming = _Claiming(
+        pending = _PendingClaim(
             attempt,
-            now.now_s + patience_s / 2,
-            now.now_s + patience_s,
+            now.now_s + timeout_s / 2,
+            now.now_s + timeout_s,
             now.now_s,
-            self.options.first_retry_s,
+            self.options.initial_retry_interval_s,
         )
-        self._claiming[key] = claiming
+        self._pending[key] = pending
         if not group:
-            return self._refuse(claiming)
-        return self._send(claiming, now)
+            return self._refuse(pending)
+        return self._send(pending, now)
 
     def receive(
         self, sender: str, answer: ClaimAnswer, now: Instant
     ) -> list[ClaimCommand]:
         """Takes a holder's answer."""
         if answer.kind is ClaimAnswerKind.RELEASED:
-            self._releases.take(sender, answer)
+            self._releases.handle_answer(sender, answer)
             return []
-        claiming = self._claiming.get(answer.key)
+        pending = self._pending.get(answer.key)
         # An answer to an attempt that was given up must not revive it.
-        if claiming is None or claiming.attempt.attempt != answer.asker:
+        if pending is None or pending.attempt.attempt != answer.asker:
             return []
-        if claiming.attempt.take(sender, answer):
-            return self._send(claiming, now)
-        return self._go_on(claiming, now)
+        if pending.attempt.handle_answer(sender, answer):
+            return self._send(pending, now)
+        return self._advance(pending, now)
 
     def poll(self, now: Instant) -> list[ClaimCommand]:
         """Repeats unanswered messages, and gives up what takes too long."""
         commands: list[ClaimCommand] = [*self._releases.due(now.now_s)]
-        for claiming in list(self._claiming.values()):
-            commands += self._go_on(claiming, now)
-            is_pending = claiming.attempt.key in self._claiming
-            if is_pending and now.now_s >= claiming.repeat_s:
-                commands += self._send(claiming, now)
+        for pending in list(self._pending.values()):
+            commands += self._advance(pending, now)
+            is_pending = pending.attempt.key in self._pending
+            if is_pending and now.now_s >= pending.repeat_s:
+                commands += self._send(pending, now)
         return commands
 
     def next_poll_s(self) -> float:
         """Returns when to call `poll` at the latest, infinity if not at all."""
-        times = [min(c.give_up_s, c.repeat_s) for c in self._claiming.values()]
-        return min([*times, self._releases.next_s()])
+        times = [min(c.deadline_s, c.repeat_s) for c in self._pending.values()]
+        return min([*times, self._releases.next_due_s()])
 
     def finish(self, key: bytes, outcome: Outcome) -> list[ClaimCommand]:
         """Ends a claim, granted or not; the request must not run from now on.
@@ -175,9 +175,9 @@
                 lets the key be granted again: that nothing was dispatched, or
                 the upstream's published refusal.
         """
-        claiming = self._claiming.pop(key, None)
-        if claiming is not None:
-            return [*self._releases.send(claiming.attempt)]
+        pending = self._pending.pop(key, None)
+        if pending is not None:
+            return [*self._releases.send(pending.attempt)]
         attempt = self._granted.pop(key, None)
         if attempt is None:
             return []
@@ -186,64 +186,68 @@
         message = RecordClaim(key, attempt.attempt, _OUTCOMES[outcome])
         return [SendClaim(host, message) for host in attempt.group]
 
-    def _send(self, claiming: _Claiming, now: Instant) -> list[ClaimCommand]:
-        claiming.repeat_s = now.now_s + claiming.wait_s
-        claiming.wait_s = min(claiming.wait_s * 2, self.options.last_retry_s)
-        return list(claiming.attempt.questions())
+    def _send(self, pending: _PendingClaim, now: Instant) -> list[ClaimCommand]:
+        pending.repeat_s = now.now_s + pending.wait_s
+        pending.wait_s = min(
+            pending.wait_s * 2, self.options.max_retry_interval_s
+        )
+        return list(pending.attempt.questions())
 
-    def _go_on(self, claiming: _Claiming, now: Instant) -> list[ClaimCommand]:
-        attempt = claiming.attempt
-        finding = attempt.find()
-        if finding is Finding.GRANTED:
-            del self._claiming[attempt.key]
+    def _advance(
+        self, pending: _PendingClaim, now: Instant
+    ) -> list[ClaimCommand]:
+        attempt = pending.attempt
+        status = attempt.current_status()
+        if status is AttemptStatus.GRANTED:
+            del self._pending[attempt.key]
             self._granted[attempt.key] = attempt
             return [ClaimGranted(attempt.key, attempt.attempt)]
-        if now.now_s >= claiming.give_up_s:
-            return self._refuse(claiming)
-        if finding is Finding.WAIT:
-            if not self._is_time_to_cancel(claiming, now):
+        if now.now_s >= pending.deadline_s:
+            return self._refuse(pending)
+        if status is AttemptStatus.WAIT:
+            if not self._is_time_to_cancel(pending, now):
                 return []
-            finding = Finding.OTHERS
-        if finding is Finding.OTHERS:
-            return self._cancel_others(claiming, now)
-        if finding is Finding.CLEARED:
-            return self._ask_again(claiming, now)
-        return self._refuse(claiming)
-
-    def _is_time_to_cancel(self, claiming: _Claiming, now: Instant) -> bool:
+            status = AttemptStatus.BLOCKED
+        if status is AttemptStatus.BLOCKED:
+            return self._cancel_others(pending, now)
+        if status is AttemptStatus.CLEARED:
+            return self._start_new_round(pending, now)
+        return self._refuse(pending)
+
+    def _is_time_to_cancel(self, pending: _PendingClaim, now: Instant) -> bool:
         """Tells whether others are cancelled though holders are silent."""
-        attempt = claiming.attempt
+        attempt = pending.attempt
         return (
             attempt.phase is Phase.ASKING
-            and now.now_s >= claiming.cancel_s
-            and attempt.find_at_end() is Finding.OTHERS
+            and now.now_s >= pending.cancel_s
+            and attempt.status_at_deadline() is AttemptStatus.BLOCKED
         )
 
     def _cancel_others(
-        self, claiming: _Claiming, now: Instant
+        self, pending: _PendingClaim, now: Instant
     ) -> list[ClaimCommand]:
-        if claiming.attempt.rounds >= self.options.max_rounds:
-            return self._refuse(claiming)
-        claiming.attempt.begin_cancelling()
-        claiming.wait_s = self.options.first_retry_s
-        return self._send(claiming, now)
-
-    def _ask_again(
-        self, claiming: _Claiming, now: Instant
+        if pending.attempt.rounds >= self.options.max_rounds:
+            return self._refuse(pending)
+        pending.attempt.begin_cancelling()
+        pending.wait_s = self.options.initial_retry_interval_s
+        return self._send(pending, now)
+
+    def _start_new_round(
+        self, pending: _PendingClaim, now: Instant
     ) -> list[ClaimCommand]:
-        releases = claiming.attempt.begin_round()
-        claiming.wait_s = self.options.first_retry_s
-        return [*releases, *self._send(claiming, now)]
-
-    def _refuse(self, claiming: _Claiming) -> list[ClaimCommand]:
-        attempt = claiming.attempt
-        del self._claiming[attempt.key]
-        verdict = refusal(attempt, self._come_back_s())
+        releases = pending.attempt.begin_round()
+        pending.wait_s = self.options.initial_retry_interval_s
+        return [*releases, *self._send(pending, now)]
+
+    def _refuse(self, pending: _PendingClaim) -> list[ClaimCommand]:
+        attempt = pending.attempt
+        del self._pending[attempt.key]
+        verdict = refusal(attempt, self._random_retry_after_s())
         earlier = attempt.rival_outcome or ClaimOutcome.UNKNOWN
         refused = ClaimRefused(attempt.key, attempt.attempt, verdict, earlier)
         return [*self._releases.send(attempt), refused]
 
-    def _come_back_s(self) -> float:
+    def _random_retry_after_s(self) -> float:
         # Two that split the votes must not come back at the same moment.
-        mean_s = self.options.come_back_s
+        mean_s = self.options.retry_after_s
         return self.rng.uniform(mean_s / 2, mean_s * 3 / 2)
--- a/packages/coordination/src/hollyknot_coordination/claims/_grants.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_grants.py
@@ -28,17 +28,17 @@
     options: ClaimOptions,
 ) -> ClaimAnswer:
     """Grants a key to an attempt, or tells why not."""
-    answer = _begin(slot, message.key, message.attempt, message.attempt)
-    wrong_view = _check_view(host, slot, message, answer)
-    if wrong_view is not None:
-        return wrong_view
-    timely = _check_time(slot, answer, now, options)
-    if timely is not None:
-        return timely
+    answer = _base_answer(slot, message.key, message.attempt, message.attempt)
+    view_refusal = _check_view(host, slot, message, answer)
+    if view_refusal is not None:
+        return view_refusal
+    time_refusal = _check_time(slot, answer, now, options)
+    if time_refusal is not None:
+        return time_refusal
     held = slot.records.held(message.key)
     if slot.records.refuses(message.key, message.attempt):
         return attrs.evolve(answer, kind=ClaimAnswerKind.CANCELLED, held=held)
-    if _others(held, message.attempt):
+    if _is_held_by_others(held, message.attempt):
         return attrs.evolve(answer, kind=ClaimAnswerKind.HELD, held=held)
     slot.records.grant(message.key, message.attempt)
     return attrs.evolve(answer, kind=ClaimAnswerKind.GRANTED)
@@ -46,10 +46,10 @@
 
 def answer_cancel(host: str, slot: Slot, message: CancelClaim) -> ClaimAnswer:
     """Promises never to grant an attempt, unless it may hold the key."""
-    answer = _begin(slot, message.key, message.asker, message.attempt)
-    wrong_view = _check_view(host, slot, message, answer)
-    if wrong_view is not None:
-        return wrong_view
+    answer = _base_answer(slot, message.key, message.asker, message.attempt)
+    view_refusal = _check_view(host, slot, message, answer)
+    if view_refusal is not None:
+        return view_refusal
     # The record of a key below the horizon may be forgotten: not to hold the
     # attempt would then prove nothing.
     if key_time_ms(message.key) <= slot.horizon_ms:
@@ -61,7 +61,7 @@
     return attrs.evolve(answer, kind=ClaimAnswerKind.PROMISED, held=held)
 
 
-def take_release(slot: Slot, message: ReleaseClaim) -> None:
+def handle_release(slot: Slot, message: ReleaseClaim) -> None:
     """Forgets a grant to an attempt that is proved never to run.
 
     The attempt is refused from now on: its own request for a grant may still
@@ -73,14 +73,14 @@
     slot.records.refuse(message.key, message.attempt)
 
 
-def take_outcome(slot: Slot, message: RecordClaim) -> None:
+def handle_outcome(slot: Slot, message: RecordClaim) -> None:
     """Remembers how an attempt ended, if the key is held for it."""
     held = slot.records.held(message.key)
     if any(one.attempt == message.attempt for one in held):
         slot.records.grant(message.key, message.attempt, message.outcome)
 
 
-def _begin(
+def _base_answer(
     slot: Slot, key: bytes, asker: Attempt, attempt: Attempt
 ) -> ClaimAnswer:
     kind = ClaimAnswerKind.BEHIND
@@ -129,5 +129,5 @@
     )
 
 
-def _others(held: tuple[HeldAttempt, ...], attempt: Attempt) -> bool:
+def _is_held_by_others(held: tuple[HeldAttempt, ...], attempt: Attempt) -> bool:
     return any(one.attempt != attempt for one in held)
--- a/packages/coordination/src/hollyknot_coordination/claims/_handovers.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_handovers.py
@@ -53,12 +53,12 @@
     options: ClaimOptions
     _pending: dict[int, _Handover] = attrs.Factory(dict)
 
-    def watch(self, number: int, slot: Slot, now: Instant) -> None:
+    def track(self, number: int, slot: Slot, now: Instant) -> None:
         """Takes notice that a slot's holders have changed."""
         self._pending.pop(number, None)
         holders = slot.epoch.holders
         if slot.active and holders and self.host not in holders:
-            wait_s = self.options.first_retry_s
+            wait_s = self.options.initial_retry_interval_s
             # The new holders are learning just now; ask a little later.
             due_s = now.now_s + wait_s
             self._pending[number] = _Handover(slot.epoch, due_s, wait_s)
@@ -66,32 +66,36 @@
     def due(self, now: Instant) -> list[tuple[str, SlotQuestion]]:
         """Returns the questions to put now, with whom to ask."""
         found = []
-        for number, one in self._pending.items():
-            if one.due_s > now.now_s:
+        for number, handover in self._pending.items():
+            if handover.due_s > now.now_s:
                 continue
-            one.due_s = now.now_s + one.wait_s
-            one.wait_s = min(one.wait_s * 2, self.options.last_retry_s)
-            asked = SlotQuestion(number, one.epoch, after=_NO_RECORDS)
+            handover.due_s = now.now_s + handover.wait_s
+            handover.wait_s = min(
+                handover.wait_s * 2, self.options.max_retry_interval_s
+            )
+            asked = SlotQuestion(number, handover.epoch, after=_NO_RECORDS)
             found += [
                 (host, asked)
-                for host in one.epoch.holders
-                if host not in one.active
+                for host in handover.epoch.holders
+                if host not in handover.active
             ]
         return found
 
     def next_due_s(self) -> float:
         """Returns when to ask next; infinity if there is nothing to ask."""
-        times = (one.due_s for one in self._pending.values())
+        times = (handover.due_s for handover in self._pending.values())
         return min(times, default=float("inf"))
 
-    def take(self, sender: str, answer: SlotAnswer, slot: Slot) -> None:
+    def handle_answer(
+        self, sender: str, answer: SlotAnswer, slot: Slot
+    ) -> None:
         """Takes a new holder's answer; forgets the slot if enough know it."""
-        one = self._pending.get(answer.slot)
-        if one is None or answer.question != one.epoch:
+        handover = self._pending.get(answer.slot)
+        if handover is None or answer.question != handover.epoch:
             return
         is_holder = answer.kind in (SlotAnswerKind.SEALED, SlotAnswerKind.SAME)
         if is_holder and answer.active > slot.active:
-            one.active.add(sender)
-        if len(one.active) >= majority(one.epoch.holders):
+            handover.active.add(sender)
+        if len(handover.active) >= majority(handover.epoch.holders):
             del self._pending[answer.slot]
-            slot.forget_all()
+            slot.clear()
--- a/packages/coordination/src/hollyknot_coordination/claims/_holder.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_holder.py
@@ -8,12 +8,12 @@
 from hollyknot_coordination.claims._commands import Instant, SendClaim
 from hollyknot_coordination.claims._handovers import Handovers
 from hollyknot_coordination.claims._keys import SLOTS, slot_of
-from hollyknot_coordination.claims._learners import Learners
 from hollyknot_coordination.claims._options import ClaimOptions
 from hollyknot_coordination.claims._placement import Placement
 from hollyknot_coordination.claims._records import CoordinatorTable, SlotRecords
-from hollyknot_coordination.claims._seen import SeenRange
+from hollyknot_coordination.claims._revision_range import RevisionRange
 from hollyknot_coordination.claims._slot import Slot
+from hollyknot_coordination.claims._slot_learner import SlotLearner
 from hollyknot_state import (
     CancelClaim,
     ClaimAnswer,
@@ -30,7 +30,7 @@
 )
 
 _MS = 1000
-_LEAST_PAGE = 8
+_MIN_PAGE = 8
 """Records that each question may get even in a full message, so that none has
 to wait for its turn."""
 
@@ -53,12 +53,14 @@
     options: ClaimOptions = attrs.Factory(ClaimOptions)
     _coordinators: CoordinatorTable = attrs.Factory(CoordinatorTable)
     _slots: dict[int, Slot] = attrs.Factory(dict)
-    _met: dict[str, int] = attrs.Factory(dict)
-    _learners: Learners = attrs.field(init=False)
+    _incarnations: dict[str, int] = attrs.Factory(dict)
+    _slot_learner: SlotLearner = attrs.field(init=False)
     _handovers: Handovers = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._learners = Learners(self.host, self.data_centre, self.options)
+        self._slot_learner = SlotLearner(
+            self.host, self.data_centre, self.options
+        )
         self._handovers = Handovers(self.host, self.options)
 
     @property
@@ -68,7 +70,7 @@
         Such a host may have forgotten grants, so that it never becomes
         active; it has to be listed under a new name.
         """
-        return self._learners.is_name_reused
+        return self._slot_learner.is_name_reused
 
     @property
     def pending_handovers(self) -> int:
@@ -94,7 +96,7 @@
 
     def learning_slots(self) -> tuple[int, ...]:
         """Returns the slots that this host holds but doesn't yet know."""
-        return self._learners.slots()
+        return self._slot_learner.slots()
 
     def records(self) -> int:
         """Returns how many keys are remembered."""
@@ -102,27 +104,27 @@
 
     def update(self, placement: Placement, now: Instant) -> list[SendClaim]:
         """Takes a newer host list, or newly declared data centres."""
-        known = self._learners.placement
+        known = self._slot_learner.placement
         if known is not None and placement.revision < known.revision:
             return []
         # A change of homes between is as a revision that was missed.
-        is_same_homes = (
+        has_same_homes = (
             known is not None and placement.data_centres == known.data_centres
         )
         revision = placement.revision
-        self._learners.seen = (
-            self._learners.seen.extend(revision)
-            if is_same_homes
-            else SeenRange(revision, revision)
+        self._slot_learner.seen = (
+            self._slot_learner.seen.extend(revision)
+            if has_same_homes
+            else RevisionRange(revision, revision)
         )
-        self._learners.placement = placement
+        self._slot_learner.placement = placement
         for number in range(SLOTS):
             if placement.home(number) == self.data_centre:
-                self._place(number, placement, now)
+                self._update_holders(number, placement, now)
             else:
-                self._close(number, revision)
-        self._learners.go_on(now)
-        return self._ask(now)
+                self._close_slot(number, revision)
+        self._slot_learner.advance(now)
+        return self._due_questions(now)
 
     def receive(
         self, sender: str, message: ClaimMessage, now: Instant
@@ -135,29 +137,33 @@
             case GrantClaim() | CancelClaim():
                 return self._answer_claim(sender, message, now)
             case ReleaseClaim():
-                return self._take_release(sender, message)
+                return self._handle_release(sender, message)
             case RecordClaim():
-                _grants.take_outcome(self._slot(slot_of(message.key)), message)
+                _grants.handle_outcome(
+                    self._slot(slot_of(message.key)), message
+                )
             case LearnSlots():
                 return self._answer_questions(sender, message, now)
             case SlotAnswers():
-                return self._take_answers(sender, message, now)
+                return self._handle_answers(sender, message, now)
         return []
 
     def poll(self, now: Instant) -> list[SendClaim]:
         """Forgets old keys and repeats unanswered questions."""
         for slot in self._slots.values():
             self._raise_horizon(slot, now)
-            slot.records.forget(slot.horizon_ms)
-        self._learners.go_on(now)
-        return self._ask(now)
+            slot.records.evict(slot.horizon_ms)
+        self._slot_learner.advance(now)
+        return self._due_questions(now)
 
     def next_poll_s(self) -> float:
         """Returns when to call `poll` at the latest, infinity if not at all.
 
         Forgetting may be up to a minute late without harm.
         """
-        return min(self._learners.next_due_s(), self._handovers.next_due_s())
+        return min(
+            self._slot_learner.next_due_s(), self._handovers.next_due_s()
+        )
 
     def _slot(self, number: int) -> Slot:
         slot = self._slots.get(number)
@@ -170,31 +176,33 @@
         remember_ms = int(self.options.remember_s * _MS)
         slot.raise_horizon(now.wall_ms - remember_ms)
 
-    def _place(self, number: int, placement: Placement, now: Instant) -> None:
+    def _update_holders(
+        self, number: int, placement: Placement, now: Instant
+    ) -> None:
         """Takes the holders of one slot in a new placement."""
         epoch = HolderEpoch(placement.revision, placement.group(number))
         slot = self._slot(number)
         if epoch.revision < slot.seen:
             # Another host has told of newer holders already.
-            slot.note(epoch)
+            slot.add_epoch(epoch)
         elif epoch.holders == slot.epoch.holders:
             slot.seen = epoch.revision
         else:
             slot.move_to(epoch)
-            self._begin(number, slot, now)
+            self._on_new_holders(number, slot, now)
 
-    def _begin(self, number: int, slot: Slot, now: Instant) -> None:
+    def _on_new_holders(self, number: int, slot: Slot, now: Instant) -> None:
         """Does what follows when a slot has new holders."""
-        self._learners.begin(number, slot, now)
-        self._handovers.watch(number, slot, now)
+        self._slot_learner.begin(number, slot, now)
+        self._handovers.track(number, slot, now)
 
-    def _close(self, number: int, revision: int) -> None:
+    def _close_slot(self, number: int, revision: int) -> None:
         """Stops granting for a slot whose home is another data centre."""
         slot = self._slots.get(number)
         if slot is not None and slot.epoch.holders:
             revision = max(revision, slot.epoch.revision)
             slot.move_to(HolderEpoch(revision, ()))
-            self._learners.end(number)
+            self._slot_learner.end(number)
 
     def _answer_claim(
         self, sender: str, message: GrantClaim | CancelClaim, now: Instant
@@ -209,10 +217,10 @@
             answer = _grants.answer_cancel(self.host, slot, message)
         return [SendClaim(sender, answer)]
 
-    def _take_release(
+    def _handle_release(
         self, sender: str, message: ReleaseClaim
     ) -> list[SendClaim]:
-        _grants.take_release(self._slot(slot_of(message.key)), message)
+        _grants.handle_release(self._slot(slot_of(message.key)), message)
         taken = ClaimAnswer(
             message.key,
             message.attempt,
@@ -226,22 +234,25 @@
         self, sender: str, message: LearnSlots, now: Instant
     ) -> list[SendClaim]:
         is_reused = self._is_reused(sender, message.incarnation)
-        room = self.options.records_a_message
+        remaining = self.options.max_records_per_message
         answers = []
-        for one in message.questions:
-            slot = self._slot(one.slot)
+        for question in message.questions:
+            slot = self._slot(question.slot)
             self._raise_horizon(slot, now)
             kind = SlotAnswerKind.NAME_REUSED
             if not is_reused:
-                kind = self._take_question(one, slot, now)
-            limit = max(room, _LEAST_PAGE)
+                kind = self._handle_question(question, slot, now)
+            limit = max(remaining, _MIN_PAGE)
             answer = _seal.slot_answer(
-                slot, one, kind, self._learners.seen, limit
+                slot, question, kind, self._slot_learner.seen, limit
             )
-            room -= len(answer.records)
+            remaining -= len(answer.records)
             answers.append(answer)
         # A seal may have made this host a learner of the new epoch.
-        return [SendClaim(sender, SlotAnswers(tuple(answers))), *self._ask(now)]
+        return [
+            SendClaim(sender, SlotAnswers(tuple(answers))),
+            *self._due_questions(now),
+        ]
 
     def _is_reused(self, name: str, incarnation: int) -> bool:
         """Tells whether this host has met another process of a name.
@@ -249,40 +260,42 @@
         A restarted process has forgotten its grants. In its old place it
         would complete a second majority.
         """
-        return self._met.setdefault(name, incarnation) != incarnation
+        return self._incarnations.setdefault(name, incarnation) != incarnation
 
-    def _take_answers(
+    def _handle_answers(
         self, sender: str, message: SlotAnswers, now: Instant
     ) -> list[SendClaim]:
         for answer in message.answers:
-            self._learners.take(sender, answer, now)
-            self._handovers.take(sender, answer, self._slot(answer.slot))
-        return self._ask(now)
+            self._slot_learner.handle_answer(sender, answer, now)
+            self._handovers.handle_answer(
+                sender, answer, self._slot(answer.slot)
+            )
+        return self._due_questions(now)
 
-    def _take_question(
-        self, one: SlotQuestion, slot: Slot, now: Instant
+    def _handle_question(
+        self, question: SlotQuestion, slot: Slot, now: Instant
     ) -> SlotAnswerKind:
         before = slot.epoch
-        kind = _seal.take_question(slot, one)
+        kind = _seal.handle_question(slot, question)
         if slot.epoch != before:
-            self._begin(one.slot, slot, now)
+            self._on_new_holders(question.slot, slot, now)
         return kind
 
-    def _ask(self, now: Instant) -> list[SendClaim]:
+    def _due_questions(self, now: Instant) -> list[SendClaim]:
         """Returns the questions that are due, in few messages a host."""
         questions: dict[str, list[SlotQuestion]] = {}
-        due = [*self._learners.due(now), *self._handovers.due(now)]
-        for host, one in due:
-            questions.setdefault(host, []).append(one)
-        size = self.options.questions_a_message
+        due = [*self._slot_learner.due(now), *self._handovers.due(now)]
+        for host, question in due:
+            questions.setdefault(host, []).append(question)
+        size = self.options.max_questions_per_message
         return [
-            SendClaim(host, LearnSlots(self.incarnation, part))
+            SendClaim(host, LearnSlots(self.incarnation, batch))
             for host, found in questions.items()
-            for part in _parts(found, size)
+            for batch in _batches(found, size)
         ]
 
 
-def _parts(
+def _batches(
     questions: list[SlotQuestion], size: int
 ) -> Iterable[tuple[SlotQuestion, ...]]:
     for start in range(0, len(questions), size):
--- a/packages/coordination/src/hollyknot_coordination/claims/_learning.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_learning_state.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define
-class _Asked:
+class _AskedHost:
     """A host that was asked and hasn't told all.
 
     Attributes:
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class Learning:
+class LearningState:
     """Learning one slot for one epoch.
 
     Attributes:
@@ -36,18 +36,18 @@
     epoch: HolderEpoch
     answers: dict[str, int]
     known_from: int
-    _asked: dict[str, _Asked] = attrs.Factory(dict)
+    _asked: dict[str, _AskedHost] = attrs.Factory(dict)
 
-    def want(
-        self, hosts: tuple[str, ...], now_s: float, first_wait_s: float
+    def set_hosts_to_ask(
+        self, hosts: tuple[str, ...], now_s: float, initial_wait_s: float
     ) -> None:
         """Sees to it that these hosts are asked, and no others."""
         self._asked = {
-            name: self._asked.get(name, _Asked(now_s, first_wait_s))
+            name: self._asked.get(name, _AskedHost(now_s, initial_wait_s))
             for name in hosts
         }
 
-    def due(self, now_s: float, last_wait_s: float) -> list[tuple[str, bytes]]:
+    def due(self, now_s: float, max_wait_s: float) -> list[tuple[str, bytes]]:
         """Returns hosts to ask now, each with the last key that it told."""
         found = []
         for name, asked in self._asked.items():
@@ -55,7 +55,7 @@
                 continue
             found.append((name, asked.after))
             asked.due_s = now_s + asked.wait_s
-            asked.wait_s = min(asked.wait_s * 2, last_wait_s)
+            asked.wait_s = min(asked.wait_s * 2, max_wait_s)
         return found
 
     def next_due_s(self) -> float:
@@ -63,7 +63,7 @@
         times = (asked.due_s for asked in self._asked.values())
         return min(times, default=float("inf"))
 
-    def take_page(self, host: str, answer: SlotAnswer, now_s: float) -> None:
+    def add_page(self, host: str, answer: SlotAnswer, now_s: float) -> None:
         """Takes one page of a host's records."""
         if answer.seen_to >= self.epoch.revision:
             self.known_from = min(self.known_from, answer.seen_from)
@@ -76,7 +76,7 @@
 
 
 def question(
-    number: int, slot: Slot, learning: Learning, after: bytes
+    number: int, slot: Slot, learning: LearningState, after: bytes
 ) -> SlotQuestion:
     """Returns the question that a learner puts for one slot."""
     own = learning.epoch
--- a/packages/coordination/src/hollyknot_coordination/claims/_learner.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_learning_step.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from hollyknot_coordination.claims._placement import blocking, majority
+from hollyknot_coordination.claims._placement import blocking_minority, majority
 from hollyknot_state import HolderEpoch
 
 
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Step:
+class LearningStep:
     """What a learner needs next.
 
     Attributes:
@@ -46,16 +46,16 @@
     """
 
     progress: Progress
-    ask: tuple[str, ...] = ()
+    to_ask: tuple[str, ...] = ()
 
 
-def next_step(
+def next_learning_step(
     epoch: HolderEpoch,
     epochs: dict[int, tuple[str, ...]],
     answers: dict[str, int],
     hosts: tuple[str, ...],
     known_from: int,
-) -> Step:
+) -> LearningStep:
     """Returns what a learner needs next.
 
     Args:
@@ -67,34 +67,34 @@
         known_from: The revision from which on `epochs` lacks none.
     """
     if epoch.revision in answers.values():
-        return Step(Progress.LEARNT)
+        return LearningStep(Progress.LEARNT)
     older = sorted((r for r in epochs if r < epoch.revision), reverse=True)
     for revision in older:
         holders = epochs[revision]
         answered = [name for name in holders if name in answers]
         is_known = known_from <= revision
-        enough = blocking(holders) if is_known else majority(holders)
+        enough = blocking_minority(holders) if is_known else majority(holders)
         if len(answered) < enough:
-            return Step(Progress.ASKING, _missing(holders, answers))
+            return LearningStep(Progress.ASKING, _missing(holders, answers))
         if any(answers[name] == revision for name in answered):
-            return Step(Progress.LEARNT)
+            return LearningStep(Progress.LEARNT)
     return _step_without_earlier(epoch, answers, hosts)
 
 
 def _step_without_earlier(
     epoch: HolderEpoch, answers: dict[str, int], hosts: tuple[str, ...]
-) -> Step:
+) -> LearningStep:
     """Returns the step of a learner that knows no earlier active holder."""
     # The other holders of its own epoch are asked first: mostly they know, so
     # that a new host doesn't ask the whole data centre. But only when every
     # host has answered is it sure that there was no earlier holder.
     missing = _missing(epoch.holders, answers)
     if missing and not _any_answered(epoch, answers):
-        return Step(Progress.ASKING, missing)
+        return LearningStep(Progress.ASKING, missing)
     missing = _missing((*epoch.holders, *hosts), answers)
     if missing:
-        return Step(Progress.ASKING, missing)
-    return Step(Progress.FIRST)
+        return LearningStep(Progress.ASKING, missing)
+    return LearningStep(Progress.FIRST)
 
 
 def _any_answered(epoch: HolderEpoch, answers: dict[str, int]) -> bool:
--- a/packages/coordination/src/hollyknot_coordination/claims/_options.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_options.py
@@ -33,12 +33,18 @@
     ahead_s: float = attrs.field(default=2.0, validator=_positive)
     max_ahead_s: float = attrs.field(default=60.0, validator=_positive)
     skew_s: float = attrs.field(default=1.0, validator=_positive)
-    first_retry_s: float = attrs.field(default=0.1, validator=_positive)
-    last_retry_s: float = attrs.field(default=5.0, validator=_positive)
-    come_back_s: float = attrs.field(default=2.0, validator=_positive)
+    initial_retry_interval_s: float = attrs.field(
+        default=0.1, validator=_positive
+    )
+    max_retry_interval_s: float = attrs.field(default=5.0, validator=_positive)
+    retry_after_s: float = attrs.field(default=2.0, validator=_positive)
     max_rounds: int = attrs.field(default=3, validator=_at_least_one)
-    questions_a_message: int = attrs.field(default=64, validator=_at_least_one)
-    records_a_message: int = attrs.field(default=2_000, validator=_at_least_one)
+    max_questions_per_message: int = attrs.field(
+        default=64, validator=_at_least_one
+    )
+    max_records_per_message: int = attrs.field(
+        default=2_000, validator=_at_least_one
+    )
 
     @property
     def opening_margin_s(self) -> float:
--- a/packages/coordination/src/hollyknot_coordination/claims/_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_placement.py
@@ -44,7 +44,7 @@
     return len(group) // 2 + 1
 
 
-def blocking(group: tuple[str, ...]) -> int:
+def blocking_minority(group: tuple[str, ...]) -> int:
     """Returns how many of a group have to refuse to prevent a majority."""
     return len(group) - majority(group) + 1
 
@@ -60,7 +60,7 @@
 
     revision: int
     data_centres: tuple[str, ...]
-    _list: HostList
+    _host_list: HostList
     _listed: dict[str, tuple[str, ...]] = attrs.Factory(dict)
     _hosts: dict[str, tuple[str, ...]] = attrs.Factory(dict)
     _homes: dict[int, str] = attrs.Factory(dict)
@@ -78,7 +78,7 @@
         """Returns the names of a data centre's live hosts."""
         found = self._hosts.get(data_centre)
         if found is None:
-            found = tuple(e.name for e in self._list.hosts(data_centre))
+            found = tuple(e.name for e in self._host_list.hosts(data_centre))
             self._hosts[data_centre] = found
         return found
 
@@ -88,7 +88,7 @@
         if found is None:
             found = tuple(
                 e.name
-                for e in self._list.entries
+                for e in self._host_list.entries
                 if e.role is Role.HOST and e.data_centre == data_centre
             )
             self._listed[data_centre] = found
--- a/packages/coordination/src/hollyknot_coordination/claims/_records.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_records.py
@@ -69,7 +69,7 @@
 
     coordinators: CoordinatorTable
     _buckets: dict[int, dict[bytes, _Entry]] = attrs.Factory(dict)
-    _times: list[int] = attrs.Factory(list)
+    _bucket_heap: list[int] = attrs.Factory(list)
 
     def __len__(self) -> int:
         return sum(len(bucket) for bucket in self._buckets.values())
@@ -150,15 +150,18 @@
         for attempt in record.refused:
             self.refuse(record.key, attempt)
 
-    def forget(self, horizon_ms: int) -> int:
+    def evict(self, horizon_ms: int) -> int:
         """Drops buckets whose every key is at or below a time.
 
         Returns:
             How many keys were dropped.
         """
         dropped = 0
-        while self._times and (self._times[0] + 1) * BUCKET_MS <= horizon_ms:
-            bucket = heapq.heappop(self._times)
+        while (
+            self._bucket_heap
+            and (self._bucket_heap[0] + 1) * BUCKET_MS <= horizon_ms
+        ):
+            bucket = heapq.heappop(self._bucket_heap)
             dropped += len(self._buckets.pop(bucket))
         return dropped
 
@@ -194,7 +197,7 @@
         bucket = self._buckets.get(time)
         if bucket is None:
             bucket = self._buckets[time] = {}
-            heapq.heappush(self._times, time)
+            heapq.heappush(self._bucket_heap, time)
         if codes:
             bucket[key] = codes[0] if len(codes) == 1 else codes
         else:
--- a/packages/coordination/src/hollyknot_coordination/claims/_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_releases.py
@@ -14,25 +14,25 @@
 from hollyknot_coordination.claims._commands import SendClaim
 from hollyknot_state import Attempt, ClaimAnswer, ReleaseClaim
 
-FIRST_REPEAT_S = 0.5
-LAST_REPEAT_S = 60.0
+INITIAL_REPEAT_INTERVAL_S = 0.5
+MAX_REPEAT_INTERVAL_S = 60.0
 """A cut lasts an hour now and then; a minute more after it does no harm."""
 
-REPEATS_MAX = 130
+MAX_REPEATS = 130
 """Repeats after which a holder counts as gone: some two hours."""
 
-KEPT = 4_096
+MAX_PENDING = 4_096
 """Releases that are repeated; beyond it the oldest are given up."""
 
 
 @attrs.define
-class _Pending:
+class _PendingRelease:
     """A release and who has not taken it yet."""
 
     message: ReleaseClaim
     hosts: set[str]
     repeat_s: float = 0.0
-    wait_s: float = FIRST_REPEAT_S
+    wait_s: float = INITIAL_REPEAT_INTERVAL_S
     repeats: int = 0
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         """Has none to repeat."""
-        self._pending: OrderedDict[Attempt, _Pending] = OrderedDict()
+        self._pending: OrderedDict[Attempt, _PendingRelease] = OrderedDict()
 
     def __len__(self) -> int:
         """How many are not yet taken by every holder."""
@@ -52,12 +52,12 @@
         sends = list(attempt.releases())
         message = ReleaseClaim(attempt.key, attempt.attempt)
         hosts = {send.host for send in sends}
-        self._pending[attempt.attempt] = _Pending(message, hosts)
-        if len(self._pending) > KEPT:
+        self._pending[attempt.attempt] = _PendingRelease(message, hosts)
+        if len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
         return sends
 
-    def take(self, sender: str, answer: ClaimAnswer) -> None:
+    def handle_answer(self, sender: str, answer: ClaimAnswer) -> None:
         """Notes that a holder has taken a release."""
         pending = self._pending.get(answer.attempt)
         if pending is None:
@@ -72,21 +72,21 @@
         for attempt, pending in list(self._pending.items()):
             if now_s < pending.repeat_s:
                 continue
-            is_first_look = not pending.repeat_s
+            is_first_poll = not pending.repeat_s
             pending.repeat_s = now_s + pending.wait_s
-            if is_first_look:
+            if is_first_poll:
                 continue
-            pending.wait_s = min(pending.wait_s * 2, LAST_REPEAT_S)
+            pending.wait_s = min(pending.wait_s * 2, MAX_REPEAT_INTERVAL_S)
             pending.repeats += 1
             sends += [
                 SendClaim(host, pending.message)
                 for host in sorted(pending.hosts)
             ]
-            if pending.repeats >= REPEATS_MAX:
+            if pending.repeats >= MAX_REPEATS:
                 del self._pending[attempt]
         return sends
 
-    def next_s(self) -> float:
+    def next_due_s(self) -> float:
         """Returns when something is due, infinity if nothing is."""
         times = (pending.repeat_s for pending in self._pending.values())
         return min(times, default=float("inf"))
--- a/packages/coordination/src/hollyknot_coordination/claims/_seen.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_revision_range.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class SeenRange:
+class RevisionRange:
     """Revisions of the host list of which a host has missed none.
 
     Attributes:
@@ -18,5 +18,5 @@
     def extend(self, revision: int) -> "SeenRange":
         """Returns the range after one more revision was seen."""
         if self.last <= revision <= self.last + 1:
-            return SeenRange(self.first, revision)
-        return SeenRange(revision, revision)
+            return RevisionRange(self.first, revision)
+        return RevisionRange(revision, revision)
--- a/packages/coordination/src/hollyknot_coordination/claims/_seal.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_seal.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from hollyknot_coordination.claims._seen import SeenRange
+from hollyknot_coordination.claims._revision_range import RevisionRange
 from hollyknot_coordination.claims._slot import Slot
 from hollyknot_state import (
     ClaimRecord,
@@ -13,7 +13,7 @@
 )
 
 
-def take_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
+def handle_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
     """Seals a slot at a learner's epoch, or finds why it can't be.
 
     A slot that was sealed has `question.epoch` as its epoch afterwards.
@@ -38,7 +38,7 @@
     slot: Slot,
     question: SlotQuestion,
     kind: SlotAnswerKind,
-    seen: SeenRange,
+    seen: RevisionRange,
     limit: int,
 ) -> SlotAnswer:
     """Returns the answer to a question, with a page of records if sealed.
--- a/packages/coordination/src/hollyknot_coordination/claims/_slot.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_slot.py
@@ -54,10 +54,10 @@
         self.epochs = {
             r: h for r, h in self.epochs.items() if r < epoch.revision
         }
-        self.note(epoch)
+        self.add_epoch(epoch)
         self._digest = group_digest(epoch.holders)
 
-    def note(self, epoch: HolderEpoch) -> None:
+    def add_epoch(self, epoch: HolderEpoch) -> None:
         """Remembers an epoch, unless it is too old to matter."""
         # Nobody can answer for no holders: such an epoch, of a slot whose
         # home was elsewhere, would keep the slot closed for good.
@@ -70,7 +70,7 @@
         for record in answer.records:
             self.records.merge(record)
         for epoch in answer.epochs:
-            self.note(epoch)
+            self.add_epoch(epoch)
 
     def activate(self) -> None:
         """Begins to grant for the epoch."""
@@ -79,7 +79,7 @@
         # for, so that older ones are never looked at again.
         self.epochs = {r: h for r, h in self.epochs.items() if r >= self.active}
 
-    def forget_all(self) -> None:
+    def clear(self) -> None:
         """Forgets the records and what this host was active for."""
         self.records = SlotRecords(self.records.coordinators)
         self.active = 0
--- a/packages/coordination/src/hollyknot_coordination/claims/_learners.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_slot_learner.py
@@ -3,11 +3,17 @@
 import attrs
 
 from hollyknot_coordination.claims._commands import Instant
-from hollyknot_coordination.claims._learner import Progress, next_step
-from hollyknot_coordination.claims._learning import Learning, question
+from hollyknot_coordination.claims._learning_state import (
+    LearningState,
+    question,
+)
+from hollyknot_coordination.claims._learning_step import (
+    Progress,
+    next_learning_step,
+)
 from hollyknot_coordination.claims._options import ClaimOptions
 from hollyknot_coordination.claims._placement import Placement
-from hollyknot_coordination.claims._seen import SeenRange
+from hollyknot_coordination.claims._revision_range import RevisionRange
 from hollyknot_coordination.claims._slot import Slot
 from hollyknot_state import (
     HolderEpoch,
@@ -20,7 +26,7 @@
 
 
 @attrs.define
-class Learners:
+class SlotLearner:
     """Learns slots until this host is active for them.
 
     Attributes:
@@ -37,14 +43,14 @@
     data_centre: str
     options: ClaimOptions
     placement: Placement | None = None
-    seen: SeenRange = attrs.Factory(SeenRange)
+    seen: RevisionRange = attrs.Factory(RevisionRange)
     is_name_reused: bool = False
-    _learning: dict[int, Learning] = attrs.Factory(dict)
+    _learning_state: dict[int, LearningState] = attrs.Factory(dict)
     _slots: dict[int, Slot] = attrs.Factory(dict)
 
     def slots(self) -> tuple[int, ...]:
         """Returns the slots that are being learnt."""
-        return tuple(self._learning)
+        return tuple(self._learning_state)
 
     def begin(self, number: int, slot: Slot, now: Instant) -> None:
         """Begins to learn a slot for its epoch, if it is held here."""
@@ -55,57 +61,63 @@
             return
         answers = {self.host: slot.active}
         revision = slot.epoch.revision
-        self._learning[number] = Learning(slot.epoch, answers, revision)
+        self._learning_state[number] = LearningState(
+            slot.epoch, answers, revision
+        )
         self._slots[number] = slot
-        self._go_on(number, now)
+        self._advance(number, now)
 
     def end(self, number: int) -> None:
         """Gives up learning a slot."""
-        self._learning.pop(number, None)
+        self._learning_state.pop(number, None)
         self._slots.pop(number, None)
 
-    def go_on(self, now: Instant) -> None:
+    def advance(self, now: Instant) -> None:
         """Looks again whether slots can be activated, and whom to ask."""
-        for number in tuple(self._learning):
-            self._go_on(number, now)
+        for number in tuple(self._learning_state):
+            self._advance(number, now)
 
-    def take(self, sender: str, answer: SlotAnswer, now: Instant) -> None:
+    def handle_answer(
+        self, sender: str, answer: SlotAnswer, now: Instant
+    ) -> None:
         """Takes a host's answer on one slot."""
-        learning = self._learning.get(answer.slot)
+        learning = self._learning_state.get(answer.slot)
         if learning is None or answer.question != learning.epoch:
             return
         slot = self._slots[answer.slot]
         match answer.kind:
             case SlotAnswerKind.NAME_REUSED:
                 self.is_name_reused = True
-                self._learning.clear()
+                self._learning_state.clear()
             case SlotAnswerKind.NEWER:
-                self._take_newer(answer, slot, now)
+                self._adopt_newer(answer, slot, now)
             case SlotAnswerKind.SAME:
-                self._take_same(answer, slot, now)
+                self._adopt_older(answer, slot, now)
             case SlotAnswerKind.SEALED:
                 slot.merge(answer)
-                learning.take_page(sender, answer, now.now_s)
-                self._go_on(answer.slot, now)
+                learning.add_page(sender, answer, now.now_s)
+                self._advance(answer.slot, now)
 
     def due(self, now: Instant) -> list[tuple[str, SlotQuestion]]:
         """Returns the questions to put now, with whom to ask."""
         found = []
-        for number, learning in self._learning.items():
+        for number, learning in self._learning_state.items():
             slot = self._slots[number]
-            due = learning.due(now.now_s, self.options.last_retry_s)
+            due = learning.due(now.now_s, self.options.max_retry_interval_s)
             for host, after in due:
                 found.append((host, question(number, slot, learning, after)))
         return found
 
     def next_due_s(self) -> float:
         """Returns when something is due, infinity if nothing is."""
-        times = (learning.next_due_s() for learning in self._learning.values())
+        times = (
+            learning.next_due_s() for learning in self._learning_state.values()
+        )
         return min(times, default=float("inf"))
 
-    def _go_on(self, number: int, now: Instant) -> None:
-        slot, learning = self._slots[number], self._learning[number]
-        step = next_step(
+    def _advance(self, number: int, now: Instant) -> None:
+        slot, learning = self._slots[number], self._learning_state[number]
+        step = next_learning_step(
             slot.epoch,
             slot.epochs,
             learning.answers,
@@ -113,8 +125,8 @@
             self._known_from(learning),
         )
         if step.progress is Progress.ASKING:
-            first_s = self.options.first_retry_s
-            learning.want(step.ask, now.now_s, first_s)
+            first_s = self.options.initial_retry_interval_s
+            learning.set_hosts_to_ask(step.to_ask, now.now_s, first_s)
             return
         if step.progress is Progress.FIRST:
             if not self._may_be_first(slot):
@@ -129,7 +141,7 @@
             return ()
         return self.placement.listed(self.data_centre)
 
-    def _known_from(self, learning: Learning) -> int:
+    def _known_from(self, learning: LearningState) -> int:
         if self.seen.last >= learning.epoch.revision:
             return min(learning.known_from, self.seen.first)
         return learning.known_from
@@ -145,7 +157,9 @@
             placement is not None and placement.revision >= slot.epoch.revision
         )
 
-    def _take_newer(self, answer: SlotAnswer, slot: Slot, now: Instant) -> None:
+    def _adopt_newer(
+        self, answer: SlotAnswer, slot: Slot, now: Instant
+    ) -> None:
         """Goes by the newer holders that another host knows."""
         newest = answer.epochs[0]
         if newest.revision > slot.epoch.revision:
@@ -155,7 +169,9 @@
             slot.promised = max(slot.promised, newest.revision)
             self.begin(answer.slot, slot, now)
 
-    def _take_same(self, answer: SlotAnswer, slot: Slot, now: Instant) -> None:
+    def _adopt_older(
+        self, answer: SlotAnswer, slot: Slot, now: Instant
+    ) -> None:
         """Takes an older revision at which the holders were the same already.
 
         Not if this host has sealed for a newer one since it asked: whoever
--- a/packages/coordination/src/hollyknot_coordination/claims/_verdicts.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_verdicts.py
@@ -19,7 +19,7 @@
 }
 
 
-def refusal(attempt: ClaimAttempt, come_back_s: float) -> Verdict:
+def refusal(attempt: ClaimAttempt, retry_after_s: float) -> Verdict:
     """Returns the verdict on an attempt that is given up.
 
     `NOT_RUN` speaks of the request at hand, which this attempt didn't
@@ -37,7 +37,7 @@
             Outcome.MAY_HAVE_RUN,
             Reason.CLAIMED_BEFORE,
             _EARLIER[earlier],
-            come_back_s if is_open else 0.0,
+            retry_after_s if is_open else 0.0,
         )
     kinds = {answer.kind for answer in attempt.answers}
     if ClaimAnswerKind.EXPIRED in kinds:
@@ -55,7 +55,7 @@
         "no majority of the holders of this key could grant it, or say what"
         " became of an earlier request with it; come back with the same"
         " Idempotency-Key",
-        come_back_s,
+        retry_after_s,
     )
 
 
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/_fleet.py
@@ -27,7 +27,9 @@
 )
 
 START_MS = 1_700_000_000_000
-OPTIONS = ClaimOptions(remember_s=600.0, first_retry_s=0.1, last_retry_s=0.4)
+OPTIONS = ClaimOptions(
+    remember_s=600.0, initial_retry_interval_s=0.1, max_retry_interval_s=0.4
+)
 
 
 def make_key(time_ms: int, number: int = 0, slot: int = 0) -> bytes:
@@ -52,7 +54,7 @@
     return HostList(revision, tuple(entries))
 
 
-def only(*names: str) -> Callable[["Message"], bool]:
+def among(*names: str) -> Callable[["Message"], bool]:
     """Returns a filter that passes what goes between some hosts."""
     return lambda m: m.sender in names and m.receiver in names
 
@@ -124,9 +126,9 @@
         self._run(name, host.holder.update(placement, self.at(host)))
         self._run(name, host.coordinator.update(placement, self.at(host)))
 
-    def claim(self, name: str, key: bytes, patience_s: float = 2.0) -> None:
+    def claim(self, name: str, key: bytes, timeout_s: float = 2.0) -> None:
         host = self.hosts[name]
-        commands = host.coordinator.claim(key, self.at(host), patience_s)
+        commands = host.coordinator.claim(key, self.at(host), timeout_s)
         self._run(name, commands)
 
     def deliver(self, message: Message) -> None:
@@ -134,12 +136,14 @@
         host = self.hosts.get(message.receiver)
         if host is None:
             return
-        half = (
+        component = (
             host.coordinator
             if isinstance(message.body, ClaimAnswer)
             else host.holder
         )
-        commands = half.receive(message.sender, message.body, self.at(host))
+        commands = component.receive(
+            message.sender, message.body, self.at(host)
+        )
         self._run(message.receiver, commands)
 
     def deliver_all(
@@ -156,7 +160,7 @@
         self._run(name, host.holder.poll(self.at(host)))
         self._run(name, host.coordinator.poll(self.at(host)))
 
-    def settle(
+    def run_for(
         self,
         seconds: float,
         passes: Callable[[Message], bool] = lambda _: True,
@@ -194,7 +198,7 @@
         host = self.hosts[name]
         before = len(host.refused)
         self.claim(name, key)
-        self.settle(2.5)
+        self.run_for(2.5)
         if key in host.granted:
             self.dispatch(name, key)
             return "granted"
@@ -225,7 +229,7 @@
     fleet.publish(*names)
     for name in names:
         fleet.start(name)
-    fleet.settle(6.0)
+    fleet.run_for(6.0)
     return fleet
 
 
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
@@ -8,10 +8,10 @@
     OPTIONS,
     Fleet,
     Message,
+    among,
     fresh_key,
     make_fleet,
     make_key,
-    only,
 )
 from hollyknot_state import (
     Attempt,
@@ -30,13 +30,13 @@
     fleet.start(new)
     for name in fleet.hosts:
         fleet.see(name)
-    fleet.settle(6.0)
+    fleet.run_for(6.0)
     assert fleet.hosts[old].holder.pending_handovers == 0
     fleet.kill(old)
     fleet.publish(*names, new)
     for name in fleet.hosts:
         fleet.see(name)
-    fleet.settle(1.0)
+    fleet.run_for(1.0)
 
 
 class TestReplacement:
@@ -51,7 +51,7 @@
         key = fresh_key(fleet)
         assert fleet.try_key("h0", key) == "granted"
         fleet.finish("h0", key, Outcome.COMPLETE)
-        fleet.settle(0.5)
+        fleet.run_for(0.5)
         for index, name in enumerate(names):
             replace(fleet, name, f"n{index}")
         assert fleet.try_key("n0", key) == "may-have-run"
@@ -59,7 +59,9 @@
         assert fleet.try_key("n0", fresh_key(fleet, 1)) == "granted"
 
     @pytest.mark.parametrize(("size", "lost"), [(2, 1), (3, 1), (4, 2), (5, 2)])
-    def test_lost_hosts_leave_the_slot_open(self, size: int, lost: int) -> None:
+    def test_slot_grants_again_after_a_minority_is_lost(
+        self, size: int, lost: int
+    ) -> None:
         """Lookups of half a data centre's keys fail for good after a crash.
 
         One of two holders was lost; the other alone is no majority of two.
@@ -74,11 +76,11 @@
         fleet.start("n")
         for name in fleet.hosts:
             fleet.see(name)
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         assert fleet.try_key("n", key) == "may-have-run"
         assert fleet.try_key("n", fresh_key(fleet, 1)) == "granted"
 
-    def test_a_lost_majority_closes_the_slot(self) -> None:
+    def test_slot_grants_nothing_after_a_majority_is_lost(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.kill("a")
         fleet.kill("b")
@@ -86,7 +88,7 @@
         fleet.see("c")
         fleet.start("d")
         fleet.start("e")
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         assert fleet.try_key("d", fresh_key(fleet)) == "not-run"
         verdict = fleet.hosts["d"].refused[-1].verdict
         assert verdict.reason is Reason.CLAIM_UNDECIDED
@@ -108,14 +110,14 @@
     """Hosts whose lists lag, or skipped revisions."""
 
     @pytest.mark.parametrize("stale", ["coordinator", "holders"])
-    def test_one_that_lags_is_corrected(self, stale: str) -> None:
+    def test_outdated_host_list_is_corrected(self, stale: str) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.publish("c", "d", "e")
         fleet.start("d")
         fleet.start("e")
         if stale == "coordinator":
             fleet.see("c")
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         name = "a" if stale == "coordinator" else "d"
         assert fleet.try_key(name, fresh_key(fleet)) == "granted"
 
@@ -130,14 +132,14 @@
         fleet.see("a", 2)
         fleet.start("c", 2)
         fleet.see("b", 3)
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         fleet.see("a", 3)
         fleet.see("c", 3)
         assert all(h.holder.active_slots() for h in fleet.hosts.values())
         epochs = {h.holder._slots[0].epoch for h in fleet.hosts.values()}
         assert {epoch.revision for epoch in epochs} == {2}
 
-    def test_hosts_agree_on_the_date_of_the_same_holders(self) -> None:
+    def test_hosts_agree_on_the_revision_of_unchanged_holders(self) -> None:
         """Two holders keep a core busy with messages and never grant.
 
         One saw the holders at revision 3, an earlier holder at 4. The one
@@ -154,14 +156,14 @@
         fleet.see("c", 4)
         fleet.start("d", 4)
         count = iter(range(2_000))
-        fleet.settle(3.0, lambda _: next(count) >= 0)
+        fleet.run_for(3.0, lambda _: next(count) >= 0)
         assert fleet.try_key("d", fresh_key(fleet)) == "granted"
 
     def test_a_restarted_host_says_that_its_name_is_reused(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.kill("b")
         fleet.start("b")
-        fleet.settle(1.0)
+        fleet.run_for(1.0)
         assert fleet.hosts["b"].holder.is_name_reused
         assert not fleet.hosts["b"].holder.active_slots()
 
@@ -176,7 +178,7 @@
             bodies.append(message.body)
             return True
 
-        fleet.settle(3.0, note)
+        fleet.run_for(3.0, note)
         return sum(isinstance(body, kind) for body in bodies)
 
     def test_questions_of_many_slots_share_messages(
@@ -188,15 +190,15 @@
         for name in "abc":
             fleet.see(name)
         fleet.start("d")
-        slots_a_message = OPTIONS.questions_a_message
+        slots_per_message = OPTIONS.max_questions_per_message
         pairs = 4 * 3
-        at_most = 2 * pairs * -(-SLOTS // slots_a_message)
+        at_most = 2 * pairs * -(-SLOTS // slots_per_message)
         assert self.count(fleet, LearnSlots) <= at_most
         assert all(
             len(h.holder.active_slots()) == SLOTS for h in fleet.hosts.values()
         )
 
-    def test_an_unchanged_group_asks_nobody(self) -> None:
+    def test_an_unchanged_group_sends_no_questions(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.publish("a", "b", "c", "~x")
         for name in "abc":
@@ -223,15 +225,15 @@
                 sizes.append(sum(len(a.records) for a in answers))
             return True
 
-        fleet.settle(3.0, measure)
+        fleet.run_for(3.0, measure)
         assert fleet.hosts["b"].holder.records() == 5_001
-        assert max(sizes) <= OPTIONS.records_a_message
+        assert max(sizes) <= OPTIONS.max_records_per_message
 
 
 class TestRecords:
     """What is remembered of one slot's keys."""
 
-    def test_refusals_of_one_coordinator_take_one_place(self) -> None:
+    def test_refusals_of_one_coordinator_share_one_entry(self) -> None:
         """A holder's memory fills with a caller that comes back for a day.
 
         Each time its request isn't run and its attempt is refused for good.
@@ -256,7 +258,7 @@
         records.refuse(key, second)
         assert [h.attempt for h in records.held(key)] == [first]
 
-    def test_pages_are_whole_and_forgetting_is_by_time(self) -> None:
+    def test_pages_are_complete_and_eviction_is_by_time(self) -> None:
         holder = make_fleet("a").hosts["a"].holder
         records: SlotRecords = holder._slots[0].records
         keys = [make_key(n * 20_000, n) for n in range(20)]
@@ -267,8 +269,8 @@
             found += [record.key for record in page]
             after = page[-1].key
         assert found == keys
-        assert records.forget(119_999) == 3
-        assert records.forget(120_000) == 3
+        assert records.evict(119_999) == 3
+        assert records.evict(120_000) == 3
         assert len(records) == 14
 
 
@@ -279,21 +281,21 @@
         fleet = Fleet()
         fleet.publish("a", "b")
         fleet.start("a")
-        fleet.settle(8.0)
+        fleet.run_for(8.0)
         assert not fleet.hosts["a"].holder.active_slots()
         fleet.start("b")
-        fleet.settle(8.0)
+        fleet.run_for(8.0)
         assert fleet.hosts["a"].holder.active_slots()
 
-    def test_staggered_starts_agree(self) -> None:
+    def test_staggered_starts_grant_a_key_once(self) -> None:
         fleet = Fleet()
         for count in (1, 2, 3):
             fleet.publish(*"abc"[:count])
             fleet.start("abc"[count - 1])
-            fleet.settle(1.0, only("a", "b", "c"))
+            fleet.run_for(1.0, among("a", "b", "c"))
         for name in "abc":
             fleet.see(name)
-        fleet.settle(5.0)
+        fleet.run_for(5.0)
         key = fresh_key(fleet)
         assert fleet.try_key("c", key) == "granted"
         assert fleet.try_key("a", key) == "may-have-run"
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
@@ -64,7 +64,7 @@
             (Outcome.MAY_HAVE_RUN, ClaimOutcome.MAY_HAVE_RUN),
         ],
     )
-    def test_a_retry_learns_the_recorded_end(
+    def test_a_retry_gets_the_recorded_outcome(
         self, outcome: Outcome, earlier: ClaimOutcome
     ) -> None:
         fleet = make_fleet("a", "b", "c")
@@ -74,13 +74,13 @@
         assert fleet.try_key("b", key) == "may-have-run"
         assert fleet.hosts["b"].refused[-1].earlier is earlier
 
-    def test_what_was_proved_not_run_is_granted_again(self) -> None:
+    def test_a_key_proved_not_run_is_granted_again(self) -> None:
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         fleet.claim("a", key)
         fleet.deliver_all()
         fleet.finish("a", key, Outcome.NOT_RUN)
-        fleet.settle(0.1)
+        fleet.run_for(0.1)
         assert fleet.try_key("b", key) == "granted"
 
     def test_a_late_request_of_a_released_attempt_is_refused(self) -> None:
@@ -116,7 +116,7 @@
 class TestHalfFinished:
     """Attempts that got no majority, or may have one."""
 
-    def test_a_retry_cancels_what_a_lost_host_left(self) -> None:
+    def test_a_retry_cancels_the_grant_of_a_lost_host(self) -> None:
         """A key is refused for ever after its first host died.
 
         The host got one of five grants and was lost. No majority can come to
@@ -157,7 +157,7 @@
                 or m.receiver in reach[m.sender]
             )
         )
-        fleet.settle(3.0)
+        fleet.run_for(3.0)
         for name in names:
             for granted in tuple(fleet.hosts[name].granted):
                 fleet.dispatch(name, granted)
@@ -165,11 +165,11 @@
         if not fleet.started[key]:
             assert fleet.try_key("d", key) == "granted"
 
-    def test_no_majority_is_not_run_come_back(self) -> None:
+    def test_no_majority_is_refused_as_not_run_and_retryable(self) -> None:
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         fleet.claim("a", key)
-        fleet.settle(3.0, lambda m: m.receiver == "a")
+        fleet.run_for(3.0, lambda m: m.receiver == "a")
         verdict = fleet.hosts["a"].refused[-1].verdict
         assert verdict.reason is Reason.CLAIM_UNDECIDED
         assert verdict.is_proved_not_run
@@ -201,10 +201,10 @@
             [] if reason is Reason.NONE else [reason]
         )
         if reason is Reason.IDEMPOTENCY_KEY:
-            comes_back = refused[0].verdict.retry_after_s > 0
-            assert comes_back == (offset_ms < 60_000)
+            is_retryable = refused[0].verdict.retry_after_s > 0
+            assert is_retryable == (offset_ms < 60_000)
 
-    def test_forgotten_keys_are_never_run(self) -> None:
+    def test_evicted_keys_are_never_granted(self) -> None:
         """A caller that never gives up sees its order run twice.
 
         Its first send ran; holders forgot it after a day; a later retry under
@@ -214,19 +214,19 @@
         key = fresh_key(fleet)
         assert fleet.try_key("a", key) == "granted"
         fleet.finish("a", key, Outcome.COMPLETE)
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         fleet.now_s += 800
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         assert all(h.holder.records() == 0 for h in fleet.hosts.values())
         assert fleet.try_key("b", key) == "may-have-run"
 
-    def test_a_clock_set_back_revives_nothing(self) -> None:
+    def test_a_clock_set_back_grants_no_evicted_key(self) -> None:
         """As above, but the holders' clocks go back after forgetting."""
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         assert fleet.try_key("a", key) == "granted"
         fleet.now_s += 800
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         for host in fleet.hosts.values():
             host.skew_ms = -800_000
         fleet.finish("a", key, Outcome.COMPLETE)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
@@ -17,8 +17,8 @@
 from hollyknot_coordination.claims.tests import test_rules
 from hollyknot_coordination.claims.tests._fleet import (
     Fleet,
+    among,
     fresh_key,
-    only,
 )
 from hollyknot_state import Attempt, Outcome
 
@@ -27,7 +27,7 @@
 is gone at once, unseen, is not promised."""
 
 NAMES = ("a", "b", "c", "d", "e", "f", "g", "h")
-MOST_LISTED = 5
+MAX_LISTED = 5
 picks = st.integers(0, 10_000)
 subsets = st.integers(1, 2 ** len(NAMES) - 1)
 
@@ -41,7 +41,7 @@
         self.fleet.publish(*NAMES[:3])
         for name in NAMES[:3]:
             self.fleet.start(name)
-        self.fleet.settle(1.0)
+        self.fleet.run_for(1.0)
         self.fleet.now_s += 5.0
         self.keys = [fresh_key(self.fleet, number) for number in range(2)]
         self.seen = dict.fromkeys(NAMES[:3], 1)
@@ -55,7 +55,7 @@
         names = sorted(self.fleet.hosts)
         return names[number % len(names)]
 
-    def some(self, mask: int) -> list[str]:
+    def reachable(self, mask: int) -> list[str]:
         """Returns the hosts that reach each other, the anchor mostly."""
         names = sorted(self.fleet.hosts)
         return [n for i, n in enumerate(names) if mask >> i & 1] or [ANCHOR]
@@ -82,15 +82,15 @@
     @precondition(lambda self: self.fleet.network)
     @rule(mask=subsets)
     def lose(self, mask: int) -> None:
-        passes = only(*self.some(mask))
+        passes = among(*self.reachable(mask))
         network = self.fleet.network
         self.fleet.network = [m for m in network if passes(m)]
 
     @rule(mask=subsets, rounds=st.sampled_from([1, 4, 20]))
     def run_part(self, mask: int, rounds: int) -> None:
         """Some hosts work and reach each other; all else waits."""
-        names = self.some(mask)
-        passes = only(*names)
+        names = self.reachable(mask)
+        passes = among(*names)
         for _ in range(rounds):
             self.fleet.now_s += 0.1
             for name in names:
@@ -114,7 +114,7 @@
         kept = [n for i, n in enumerate(listed) if mask >> i & 1]
         kept = [ANCHOR, *(n for n in kept if n != ANCHOR)]
         fresh = [n for n in self.spare if n not in kept][:added]
-        self.fleet.publish(*(kept + fresh)[:MOST_LISTED])
+        self.fleet.publish(*(kept + fresh)[:MAX_LISTED])
 
     @rule(mask=subsets, added=st.integers(0, 2), aware=subsets)
     def change(self, mask: int, added: int, aware: int) -> None:
@@ -125,7 +125,7 @@
                 self.spare.remove(name)
                 self.fleet.start(name)
                 self.seen[name] = len(self.fleet.lists)
-        for name in self.some(aware):
+        for name in self.reachable(aware):
             self.fleet.see(name)
             self.seen[name] = len(self.fleet.lists)
         self.run_part(aware, 4)
@@ -193,7 +193,7 @@
         for name, host in self.fleet.hosts.items():
             host.skew_ms = 0
             self.fleet.see(name)
-        self.fleet.settle(15.0)
+        self.fleet.run_for(15.0)
         self.fleet.now_s += 20_000.0
         key = fresh_key(self.fleet, 9)
         assert self.fleet.try_key(ANCHOR, key) == "granted"
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
@@ -13,7 +13,7 @@
 )
 from hollyknot_state import ClaimAnswer, ReleaseClaim
 
-_CUT_S = 30.0
+_PARTITION_S = 30.0
 
 
 def _no_answers(message: Message) -> bool:
@@ -21,10 +21,12 @@
     return not isinstance(message.body, ClaimAnswer | ReleaseClaim)
 
 
-def _claim_in_a_cut(fleet: Fleet, passes: Callable[[Message], bool]) -> bytes:
+def _claim_in_a_partition(
+    fleet: Fleet, passes: Callable[[Message], bool]
+) -> bytes:
     key = fresh_key(fleet)
     fleet.claim("a", key)
-    fleet.settle(_CUT_S, passes)
+    fleet.run_for(_PARTITION_S, passes)
     assert key not in fleet.hosts["a"].granted
     return key
 
@@ -54,22 +56,22 @@
         Cause: a release was sent once.
         """
         fleet = make_fleet(*names)
-        key = _claim_in_a_cut(fleet, _no_answers)
-        fleet.settle(_releases.LAST_REPEAT_S)
+        key = _claim_in_a_partition(fleet, _no_answers)
+        fleet.run_for(_releases.MAX_REPEAT_INTERVAL_S)
         assert fleet.try_key("b", key) == "granted"
         assert fleet.started[key] == 1
 
-    def test_taken_releases_are_not_repeated(self) -> None:
+    def test_acknowledged_releases_are_not_repeated(self) -> None:
         fleet = make_fleet("a", "b", "c")
-        _claim_in_a_cut(fleet, _no_answers)
-        fleet.settle(_releases.LAST_REPEAT_S)
+        _claim_in_a_partition(fleet, _no_answers)
+        fleet.run_for(_releases.MAX_REPEAT_INTERVAL_S)
         assert _sends_of(fleet, "a") == 0
 
-    def test_a_holder_that_is_gone_is_given_up(
+    def test_repeats_to_a_lost_holder_end(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(_releases, "REPEATS_MAX", 3)
         fleet = make_fleet("a", "b", "c")
         fleet.kill("c")
-        _claim_in_a_cut(fleet, _no_answers)
+        _claim_in_a_partition(fleet, _no_answers)
         assert _sends_of(fleet, "a") == 0
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
@@ -15,23 +15,23 @@
     _attempt,
     _grants,
     _handovers,
-    _learner,
+    _learning_step,
     _seal,
 )
-from hollyknot_coordination.claims._learners import Learners
 from hollyknot_coordination.claims._placement import (
     Placement,
-    blocking,
+    blocking_minority,
     group_digest,
 )
 from hollyknot_coordination.claims._records import SlotRecords
 from hollyknot_coordination.claims._slot import Slot
+from hollyknot_coordination.claims._slot_learner import SlotLearner
 from hollyknot_coordination.claims.tests._fleet import (
     Fleet,
     Message,
+    among,
     fresh_key,
     make_fleet,
-    only,
 )
 from hollyknot_state import (
     LearnSlots,
@@ -43,13 +43,15 @@
 Patch = pytest.MonkeyPatch
 
 
-def claim_within(fleet: Fleet, name: str, key: bytes, *names: str) -> None:
+def claim_in_partition(
+    fleet: Fleet, name: str, key: bytes, *names: str
+) -> None:
     """Claims a key while only some hosts reach one another."""
     fleet.claim(name, key)
-    fleet.settle(2.5, only(*names))
+    fleet.run_for(2.5, among(*names))
 
 
-def late_old_view(fleet: Fleet) -> None:
+def outdated_coordinator(fleet: Fleet) -> None:
     """An order goes out twice: once by the old holders, once by the new.
 
     Two of three holders are replaced; a host that hasn't seen the new list
@@ -59,11 +61,11 @@
     fleet.see("c")
     fleet.start("d")
     fleet.start("e")
-    fleet.settle(1.0)
+    fleet.run_for(1.0)
     key = fresh_key(fleet)
-    claim_within(fleet, "d", key, "c", "d", "e")
+    claim_in_partition(fleet, "d", key, "c", "d", "e")
     fleet.claim("a", key)
-    fleet.settle(3.0)
+    fleet.run_for(3.0)
 
 
 def new_holders_know_nothing(fleet: Fleet) -> None:
@@ -73,25 +75,25 @@
     which cannot reach the old.
     """
     key = fresh_key(fleet)
-    claim_within(fleet, "b", key, "a", "b")
+    claim_in_partition(fleet, "b", key, "a", "b")
     fleet.publish("c", "d", "e")
     fleet.see("c")
     fleet.start("d")
     fleet.start("e")
-    fleet.settle(1.0, only("c", "d", "e"))
-    claim_within(fleet, "d", key, "c", "d", "e")
+    fleet.run_for(1.0, among("c", "d", "e"))
+    claim_in_partition(fleet, "d", key, "c", "d", "e")
 
 
-def granted_and_slow(fleet: Fleet) -> None:
+def granted_and_paused(fleet: Fleet) -> None:
     """An order goes out twice: its first host was only slow.
 
     The first attempt has two of three grants and pauses; the second finds
     them in its way.
     """
     key = fresh_key(fleet)
-    claim_within(fleet, "a", key, "a", "b")
+    claim_in_partition(fleet, "a", key, "a", "b")
     fleet.claim("c", key)
-    fleet.settle(3.0)
+    fleet.run_for(3.0)
 
 
 def two_pairs_of_five(fleet: Fleet) -> None:
@@ -99,18 +101,18 @@
     key = fresh_key(fleet)
     fleet.claim("a", key)
     fleet.claim("c", key)
-    fleet.settle(2.5, lambda m: only("a", "b")(m) or only("c", "d")(m))
+    fleet.run_for(2.5, lambda m: among("a", "b")(m) or among("c", "d")(m))
 
 
-def older_than_remembered(fleet: Fleet) -> None:
+def older_than_retention(fleet: Fleet) -> None:
     """An order goes out again when its caller comes back the next day."""
     key = fresh_key(fleet)
     fleet.claim("a", key)
-    fleet.settle(0.5)
+    fleet.run_for(0.5)
     fleet.now_s += 800.0
-    fleet.settle(0.5)
+    fleet.run_for(0.5)
     fleet.claim("b", key)
-    fleet.settle(3.0)
+    fleet.run_for(3.0)
 
 
 def holders_that_stay(fleet: Fleet) -> None:
@@ -119,11 +121,11 @@
     Three of five holders granted it; the other two are all that is left.
     """
     key = fresh_key(fleet)
-    claim_within(fleet, "a", key, "a", "b", "c")
+    claim_in_partition(fleet, "a", key, "a", "b", "c")
     fleet.publish("d", "e")
     fleet.see("d")
     fleet.see("e")
-    claim_within(fleet, "d", key, "d", "e")
+    claim_in_partition(fleet, "d", key, "d", "e")
 
 
 def grants_of_two_groups(fleet: Fleet) -> None:
@@ -134,15 +136,15 @@
     """
     key = fresh_key(fleet)
     fleet.claim("a", key, 60.0)
-    fleet.deliver_all(only("a"))
+    fleet.deliver_all(among("a"))
     fleet.publish("c", "d", "e")
     fleet.see("c")
     fleet.start("d")
     fleet.start("e")
-    fleet.settle(2.0, only("b", "c", "d", "e"))
+    fleet.run_for(2.0, among("b", "c", "d", "e"))
     fleet.see("a")
-    fleet.settle(2.0, only("a", "d"))
-    claim_within(fleet, "e", key, "c", "e")
+    fleet.run_for(2.0, among("a", "d"))
+    claim_in_partition(fleet, "e", key, "c", "e")
 
 
 def cancelled_and_late(fleet: Fleet) -> None:
@@ -153,10 +155,10 @@
     """
     key = fresh_key(fleet)
     fleet.claim("e", key, 60.0)
-    fleet.deliver_all(only("e"))
+    fleet.deliver_all(among("e"))
     fleet.claim("a", key, 60.0)
     late = [m for m in fleet.network if m.receiver == "e"]
-    fleet.deliver_all(only("a", "b"))
+    fleet.deliver_all(among("a", "b"))
     fleet.claim("c", key)
     released: list[Message] = []
     while fleet.network:
@@ -171,11 +173,11 @@
 def restarted_under_its_name(fleet: Fleet) -> None:
     """An order goes out twice: a holder restarted and forgot its grant."""
     key = fresh_key(fleet)
-    claim_within(fleet, "a", key, "a", "b")
+    claim_in_partition(fleet, "a", key, "a", "b")
     fleet.kill("b")
     fleet.start("b")
-    fleet.settle(1.0, only("b", "c"))
-    claim_within(fleet, "c", key, "b", "c")
+    fleet.run_for(1.0, among("b", "c"))
+    claim_in_partition(fleet, "c", key, "b", "c")
 
 
 def successor_of_a_leaving_host(fleet: Fleet) -> None:
@@ -185,24 +187,24 @@
     """
     fleet.publish("~a", "n")
     fleet.start("n")
-    fleet.settle(10.0)
+    fleet.run_for(10.0)
     key = fresh_key(fleet)
     for name in ("a", "n"):
         fleet.claim(name, key)
-        fleet.settle(3.0)
+        fleet.run_for(3.0)
 
 
 def all_lost(fleet: Fleet) -> None:
     """An order goes out twice: every host that knew of it was lost."""
     key = fresh_key(fleet)
     fleet.claim("a", key)
-    fleet.settle(0.5)
+    fleet.run_for(0.5)
     assert fleet.dispatch_granted() == 1
     fleet.kill("a")
     fleet.publish("n")
     fleet.start("n", skew_ms=-1_000)
     fleet.claim("n", key)
-    fleet.settle(3.0)
+    fleet.run_for(3.0)
 
 
 def skipped_revision(fleet: Fleet) -> None:
@@ -214,29 +216,29 @@
     fleet.publish("a", "c")
     fleet.see("a")
     fleet.start("c")
-    fleet.settle(1.0, only("a", "c"))
+    fleet.run_for(1.0, among("a", "c"))
     key = fresh_key(fleet)
-    claim_within(fleet, "c", key, "a", "c")
+    claim_in_partition(fleet, "c", key, "a", "c")
     fleet.publish("b", "d")
     fleet.see("b")
     fleet.start("d")
-    fleet.settle(1.0, only("b", "d"))
-    claim_within(fleet, "d", key, "b", "d")
+    fleet.run_for(1.0, among("b", "d"))
+    claim_in_partition(fleet, "d", key, "b", "d")
 
 
-def forgotten_too_early(fleet: Fleet) -> None:
+def discarded_too_early(fleet: Fleet) -> None:
     """An order goes out twice: old holders forgot it after a replacement.
 
     One of three new holders had learnt it and was lost.
     """
     key = fresh_key(fleet)
-    claim_within(fleet, "b", key, "a", "b")
+    claim_in_partition(fleet, "b", key, "a", "b")
     fleet.publish("c", "d", "e")
     fleet.see("a")
     fleet.see("b")
     fleet.see("c")
     fleet.start("d")
-    fleet.settle(
+    fleet.run_for(
         1.0,
         lambda m: m.sender != "c" or not isinstance(m.body, LearnSlots),
     )
@@ -246,21 +248,21 @@
     fleet.see("c")
     fleet.see("e")
     fleet.start("f")
-    fleet.settle(3.0, only("a", "c", "e", "f"))
+    fleet.run_for(3.0, among("a", "c", "e", "f"))
     fleet.claim("f", key)
-    fleet.settle(3.0)
+    fleet.run_for(3.0)
 
 
 def without_seal(monkeypatch: Patch) -> None:
     """Old holders go on granting."""
-    real = _seal.take_question
+    real = _seal.handle_question
 
-    def take_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
+    def handle_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
         if question.epoch.revision > slot.epoch.revision:
             return SlotAnswerKind.SEALED
         return real(slot, question)
 
-    monkeypatch.setattr(_seal, "take_question", take_question)
+    monkeypatch.setattr(_seal, "take_question", handle_question)
 
 
 def without_abstaining(monkeypatch: Patch) -> None:
@@ -271,10 +273,10 @@
 def without_proof(monkeypatch: Patch) -> None:
     """Another attempt's grants are released unproved."""
 
-    def clear(self: _attempt.ClaimAttempt) -> _attempt.Finding:
+    def clear(self: _attempt.ClaimAttempt) -> _attempt.AttemptStatus:
         for rival in self._rivals.values():
             rival.is_dead = True
-        return _attempt.Finding.CLEARED
+        return _attempt.AttemptStatus.CLEARED
 
     cls = _attempt.ClaimAttempt
     monkeypatch.setattr(cls, "_may_win", lambda *_: False)
@@ -288,15 +290,15 @@
 
 def without_learning_of_stayers(monkeypatch: Patch) -> None:
     """Who held the slot before doesn't learn."""
-    real = Learners.begin
+    real = SlotLearner.begin
 
-    def begin(self: Learners, number: int, slot: Slot, now: object) -> None:
+    def begin(self: SlotLearner, number: int, slot: Slot, now: object) -> None:
         if slot.active and self.host in slot.epoch.holders:
             slot.activate()
         else:
             real(self, number, slot, now)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Learners, "begin", begin)
+    monkeypatch.setattr(SlotLearner, "begin", begin)
 
 
 def without_groups(monkeypatch: Patch) -> None:
@@ -336,7 +338,7 @@
 
 def without_majority_of_readers(monkeypatch: Patch) -> None:
     """A minority that would block is always enough."""
-    monkeypatch.setattr(_learner, "majority", blocking)
+    monkeypatch.setattr(_learning_step, "majority", blocking_minority)
 
 
 def without_majority_of_successors(monkeypatch: Patch) -> None:
@@ -359,11 +361,11 @@
 
 
 CASES = (
-    Case("abc", late_old_view, without_seal),
+    Case("abc", outdated_coordinator, without_seal),
     Case("abc", new_holders_know_nothing, without_abstaining),
-    Case("abc", granted_and_slow, without_proof),
+    Case("abc", granted_and_paused, without_proof),
     Case("abcde", two_pairs_of_five, with_two_of_five),
-    Case("abc", older_than_remembered, without_horizon),
+    Case("abc", older_than_retention, without_horizon),
     Case("abcde", holders_that_stay, without_learning_of_stayers),
     Case("abc", grants_of_two_groups, without_groups),
     Case("abcde", cancelled_and_late, without_marks),
@@ -371,7 +373,7 @@
     Case("a", successor_of_a_leaving_host, without_leaving),
     Case("a", all_lost, without_margin),
     Case("ab", skipped_revision, without_majority_of_readers),
-    Case("abc", forgotten_too_early, without_majority_of_successors),
+    Case("abc", discarded_too_early, without_majority_of_successors),
 )
 
 
