--- a/packages/coordination/src/hollyknot_coordination/claims/_learning_step.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_learning_step.py
@@ -27,7 +27,7 @@
     """How far a learner has come."""
 
     ASKING = "asking"
-    """Hosts named in `Step.ask` have to answer first."""
+    """Hosts named in `LearningStep.to_ask` have to answer first."""
 
     LEARNT = "learnt"
     """All that matters is known."""
--- a/packages/coordination/src/hollyknot_coordination/claims/_revision_range.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_revision_range.py
@@ -15,7 +15,7 @@
     first: int = 1
     last: int = 0
 
-    def extend(self, revision: int) -> "SeenRange":
+    def extend(self, revision: int) -> "RevisionRange":
         """Returns the range after one more revision was seen."""
         if self.last <= revision <= self.last + 1:
             return RevisionRange(self.first, revision)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
@@ -70,7 +70,7 @@
     def test_repeats_to_a_lost_holder_end(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(_releases, "REPEATS_MAX", 3)
+        monkeypatch.setattr(_releases, "MAX_REPEATS", 3)
         fleet = make_fleet("a", "b", "c")
         fleet.kill("c")
         _claim_in_a_partition(fleet, _no_answers)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
@@ -262,7 +262,7 @@
             return SlotAnswerKind.SEALED
         return real(slot, question)
 
-    monkeypatch.setattr(_seal, "take_question", handle_question)
+    monkeypatch.setattr(_seal, "handle_question", handle_question)
 
 
 def without_abstaining(monkeypatch: Patch) -> None:
@@ -279,8 +279,8 @@
         return _attempt.AttemptStatus.CLEARED
 
     cls = _attempt.ClaimAttempt
-    monkeypatch.setattr(cls, "_may_win", lambda *_: False)
-    monkeypatch.setattr(cls, "_find_cancelling", clear)
+    monkeypatch.setattr(cls, "_may_have_majority", lambda *_: False)
+    monkeypatch.setattr(cls, "_status_of_cancelling", clear)
 
 
 def without_horizon(monkeypatch: Patch) -> None:
