--- a/packages/coordination/src/hollyknot_coordination/claims/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/__init__.py
@@ -1,8 +1,8 @@
-"""Claims: a non-idempotent request runs at most once.
+"""Claims ensure that a non-idempotent request runs at most once.
 
-Before it dispatches a request, its host (the coordinator) asks the holders of
-the request's key for grants. A majority grants a key to one attempt ever.
-Decisions only: events in, commands out.
+Before a host (the coordinator) dispatches a request, it asks the holders of
+the request's key for grants. A majority grants a key to at most one attempt
+ever. This package does no I/O: it takes events and returns commands.
 """
 
 from hollyknot_coordination.claims._commands import (
--- a/packages/coordination/src/hollyknot_coordination/claims/_attempt.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_attempt.py
@@ -1,9 +1,9 @@
-"""One attempt to claim a key: its answers so far, and what follows from them.
+"""Evaluates the holders' answers to one attempt to claim a key.
 
-The attempt first asks every holder for a grant. If others stand in its way, it
-tries to cancel them: once a majority of the holders has promised never to
-grant an attempt, that attempt is proved never to run, and its grants can be
-released. Then the holders are asked again.
+The attempt first asks every holder for a grant. If other attempts hold grants
+of the key, it tries to cancel them: once a majority of the holders has promised
+never to grant an attempt, that attempt is proved never to run, and its grants
+can be released. Then the holders are asked again.
 """
 
 import enum
@@ -28,28 +28,28 @@
 
 
 class Phase(enum.Enum):
-    """What an attempt waits for."""
+    """The kind of answers that an attempt waits for."""
 
     ASKING = "asking"
     CANCELLING = "cancelling"
 
 
 class AttemptStatus(enum.Enum):
-    """What follows from the answers so far."""
+    """What an attempt's answers so far allow it to do next."""
 
     WAIT = "wait"
     GRANTED = "granted"
-    BLOCKED = "others"
-    """A majority can't be had while other attempts hold grants."""
+    BLOCKED = "blocked"
+    """Other attempts hold grants, so that a majority can't be reached yet."""
 
     CLEARED = "cleared"
-    """All the others that were found are proved never to run."""
+    """All other attempts that were found are proved never to run."""
 
     HELD = "held"
     """Another attempt may have a majority."""
 
     NO_MAJORITY = "no-majority"
-    """A majority can't be had, and no other attempt was found."""
+    """No majority can be reached, and no other attempt was found."""
 
 
 @attrs.define
@@ -57,10 +57,10 @@
     """Another attempt that holds a grant of the key.
 
     Attributes:
-        outcome: How it ended, if a holder was told.
-        promised: Holders that have promised never to grant it.
-        holding: Holders that may have granted it.
-        is_dead: Whether it is proved never to run.
+        outcome: How the rival ended, if a holder knows.
+        promised: Holders that have promised never to grant the rival.
+        holding: Holders that may have granted the rival.
+        is_dead: Whether the rival is proved never to run.
     """
 
     outcome: ClaimOutcome = ClaimOutcome.UNKNOWN
@@ -75,11 +75,12 @@
 
     Attributes:
         key: The claim key.
-        attempt: Its name.
+        attempt: The name of this attempt.
         group: The holders that are asked.
-        revision: The revision of the list that they come from.
-        phase: What it waits for.
-        rounds: How often others were cleared out of the way.
+        revision: The revision of the host list that `group` comes from.
+        phase: The kind of answers that this attempt waits for.
+        rounds: Number of times that it has asked again after all rivals were
+            cancelled.
         asked: Every host that was ever asked for a grant.
     """
 
@@ -99,12 +100,12 @@
 
     @property
     def answers(self) -> tuple[ClaimAnswer, ...]:
-        """The holders' answers on grants in this round."""
+        """The holders' answers to grant requests in this round."""
         return tuple(self._answers.values())
 
     @property
     def rival_outcome(self) -> ClaimOutcome | None:
-        """How a live rival ended; `None` if there is no live rival."""
+        """The outcome of a live rival; `None` if there is no live rival."""
         live = [r.outcome for r in self._rivals.values() if not r.is_dead]
         if not live:
             return None
@@ -112,10 +113,13 @@
         return next(known, ClaimOutcome.UNKNOWN)
 
     def move_to(self, group: tuple[str, ...], revision: int) -> bool:
-        """Goes by newer holders; tells whether they differ.
+        """Adopts the holders of a newer host list.
 
         Grants and promises are counted within one group only: majorities of
         two groups need not have a host in common.
+
+        Returns:
+            Whether the holders differ from the previous ones.
         """
         if revision <= self.revision:
             return False
@@ -132,7 +136,7 @@
         return True
 
     def handle_answer(self, sender: str, answer: ClaimAnswer) -> bool:
-        """Takes a holder's answer; tells whether it changed the holders."""
+        """Processes a holder's answer; returns whether it changed `group`."""
         if answer.kind is ClaimAnswerKind.NEWER:
             return bool(answer.holders) and self.move_to(
                 answer.holders, answer.revision
@@ -148,7 +152,7 @@
         return False
 
     def current_status(self) -> AttemptStatus:
-        """Returns what follows from the answers."""
+        """Returns what follows from the answers so far."""
         if self._grants() >= majority(self.group):
             return AttemptStatus.GRANTED
         if self.phase is Phase.CANCELLING:
@@ -160,7 +164,7 @@
         return self.status_at_deadline()
 
     def status_at_deadline(self) -> AttemptStatus:
-        """Returns what follows if no more answers are waited for."""
+        """Returns what follows if the attempt waits for no more answers."""
         if self._live_rivals() and any(
             map(self._may_have_majority, self._live_rivals().values())
         ):
@@ -172,11 +176,15 @@
         )
 
     def begin_cancelling(self) -> None:
-        """Goes over to cancelling the others that were found."""
+        """Starts to cancel the rivals that were found."""
         self.phase = Phase.CANCELLING
 
     def begin_round(self) -> list[SendClaim]:
-        """Releases the others, which are proved dead, and asks once more."""
+        """Starts another round of grant requests.
+
+        Returns:
+            The releases of all rivals that are proved never to run.
+        """
         releases = [
             SendClaim(host, ReleaseClaim(self.key, attempt))
             for attempt, rival in self._rivals.items()
@@ -193,7 +201,7 @@
         return releases
 
     def questions(self) -> list[SendClaim]:
-        """Returns the messages to holders that have not answered for good."""
+        """Returns the messages to holders whose final answer is missing."""
         if self.phase is Phase.CANCELLING:
             return [
                 SendClaim(host, self._cancel(attempt))
@@ -207,7 +215,7 @@
         return [SendClaim(host, grant) for host in hosts]
 
     def releases(self) -> list[SendClaim]:
-        """Returns what takes this attempt's grants back; it must never run."""
+        """Returns the releases of this attempt, which must never run."""
         message = ReleaseClaim(self.key, self.attempt)
         hosts = sorted(self.asked | set(self.group))
         return [SendClaim(host, message) for host in hosts]
@@ -218,8 +226,8 @@
         )
 
     def _handle_grant_answer(self, sender: str, answer: ClaimAnswer) -> None:
-        # A holder never takes a grant back unasked: a late refusal from
-        # before the grant must not hide it.
+        # A holder doesn't withdraw a grant by itself. A refusal that arrives
+        # after a grant was sent before it and must not replace it.
         before = self._answers.get(sender)
         if before is None or before.kind is not ClaimAnswerKind.GRANTED:
             self._answers[sender] = answer
@@ -252,7 +260,7 @@
         return {a: r for a, r in self._rivals.items() if not r.is_dead}
 
     def _may_have_majority(self, rival: _Rival) -> bool:
-        """Tells whether so many hold a rival that it can't be cancelled."""
+        """Returns whether too many holders hold a rival to cancel it."""
         left = len(self.group) - len(rival.holding)
         is_ended = rival.outcome is not ClaimOutcome.UNKNOWN
         return is_ended or left < majority(self.group)
--- a/packages/coordination/src/hollyknot_coordination/claims/_commands.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_commands.py
@@ -1,4 +1,4 @@
-"""What the coordinator and the holder want done."""
+"""Commands that the coordinator and the holder return to their caller."""
 
 import attrs
 
@@ -10,8 +10,9 @@
     """The time at an event.
 
     Attributes:
-        now_s: Seconds of the host's monotonic clock, for timers.
-        wall_ms: Milliseconds since 1970 by its wall clock, for key times.
+        now_s: Time of the host's monotonic clock in seconds, for timers.
+        wall_ms: Time of the host's wall clock in milliseconds since 1970, to
+            compare with the times of keys.
     """
 
     now_s: float
@@ -20,11 +21,11 @@
 
 @attrs.frozen
 class SendClaim:
-    """Send a message to a host, which may be this one.
+    """Commands to send a message to a host, which may be this one.
 
     Attributes:
         host: The receiver's name.
-        message: What to send.
+        message: The message to send.
     """
 
     host: str
@@ -33,11 +34,11 @@
 
 @attrs.frozen
 class ClaimGranted:
-    """The request may be dispatched, by this host and this attempt alone.
+    """Allows the request to be dispatched, by this host and attempt alone.
 
     Attributes:
         key: The claim key.
-        attempt: The attempt, for `finish`.
+        attempt: The attempt to which the key is granted.
     """
 
     key: bytes
@@ -46,12 +47,12 @@
 
 @attrs.frozen
 class ClaimRefused:
-    """The request must not be dispatched.
+    """Forbids to dispatch the request.
 
     Attributes:
         key: The claim key.
-        attempt: The attempt that ended.
-        verdict: For the caller.
+        attempt: The attempt that was refused.
+        verdict: The verdict that the caller gets.
         earlier: How the attempt that holds the key ended, if a holder knows.
     """
 
@@ -62,4 +63,4 @@
 
 
 ClaimCommand = SendClaim | ClaimGranted | ClaimRefused
-"""All commands of the coordinator; the holder gives only `SendClaim`."""
+"""All commands of the coordinator; the holder returns only `SendClaim`."""
--- a/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: claims the keys of the requests that this host has."""
+"""The coordinator claims the keys of the requests that this host receives."""
 
 import random
 
@@ -41,15 +41,16 @@
 
 @attrs.define
 class _PendingClaim:
-    """An attempt with its times, in seconds of the monotonic clock.
+    """An undecided attempt and its timers.
 
     Attributes:
         attempt: The attempt.
-        cancel_s: When to stop waiting for silent holders and to try to cancel
-            others instead.
-        give_up_s: When to give up.
-        repeat_s: When to repeat unanswered messages.
-        wait_s: The time between repeats.
+        cancel_s: Monotonic time, in seconds, from which on the attempt no
+            longer waits for silent holders but tries to cancel its rivals.
+        deadline_s: Monotonic time, in seconds, at which the attempt fails.
+        repeat_s: Monotonic time, in seconds, at which unanswered messages are
+            repeated.
+        wait_s: Seconds between the next messages and their repeat.
     """
 
     attempt: ClaimAttempt
@@ -61,16 +62,17 @@
 
 @attrs.define
 class Coordinator:
-    """Claims keys on behalf of requests; has one attempt for a key at a time.
+    """Claims keys on behalf of requests, with one attempt per key at a time.
 
-    Holders rely on that: they refuse a coordinator's attempts up to a number
-    instead of one by one. A second request for the same key is therefore
-    refused here while the first is under way.
+    Holders rely on the single attempt: they refuse all of a coordinator's
+    attempts up to a number instead of one by one. A second request with the
+    same key is therefore refused here while the first is in flight.
 
     Attributes:
         host: This host's name in the host list.
         incarnation: A number that no earlier process of this name had.
-        rng: For spreading the times at which callers come back.
+        placement: The holders of all slots by the newest host list.
+        rng: Source of the jitter of the times after which callers retry.
         options: Times and limits.
     """
 
@@ -85,7 +87,7 @@
     _releases: Releases = attrs.Factory(Releases)
 
     def update(self, placement: Placement, now: Instant) -> list[ClaimCommand]:
-        """Takes a newer host list, or newly declared data centres."""
+        """Adopts a newer host list, or newly declared data centres."""
         if placement.revision < self.placement.revision:
             return []
         self.placement = placement
@@ -100,17 +102,18 @@
     def claim(
         self, key: bytes, now: Instant, timeout_s: float
     ) -> list[ClaimCommand]:
-        """Begins to claim a key.
+        """Starts to claim a key.
 
         Args:
-            key: From `claim_key`.
+            key: A key that `claim_key` returned.
             now: The time.
-            patience_s: Seconds after which to give up.
+            timeout_s: Seconds after which the claim is refused if it is still
+                undecided.
 
         Returns:
-            Messages to send; or at once a refusal. The end comes as a
-            `ClaimGranted` or `ClaimRefused` of the same key from one of
-            `claim`, `receive`, `update` and `poll`.
+            Messages to send, or an immediate refusal. The result is a
+            `ClaimGranted` or `ClaimRefused` of the same key that one of
+            `claim`, `receive`, `update` and `poll` returns.
         """
         self._number += 1
         name = Attempt(f"{self.host}/{self.incarnation}", self._number)
@@ -139,12 +142,13 @@
     def receive(
         self, sender: str, answer: ClaimAnswer, now: Instant
     ) -> list[ClaimCommand]:
-        """Takes a holder's answer."""
+        """Processes a holder's answer."""
         if answer.kind is ClaimAnswerKind.RELEASED:
             self._releases.handle_answer(sender, answer)
             return []
         pending = self._pending.get(answer.key)
-        # An answer to an attempt that was given up must not revive it.
+        # An answer to an attempt that has ended must not affect the attempt
+        # that claims the same key now.
         if pending is None or pending.attempt.attempt != answer.asker:
             return []
         if pending.attempt.handle_answer(sender, answer):
@@ -152,7 +156,7 @@
         return self._advance(pending, now)
 
     def poll(self, now: Instant) -> list[ClaimCommand]:
-        """Repeats unanswered messages, and gives up what takes too long."""
+        """Repeats unanswered messages; refuses claims past their deadline."""
         commands: list[ClaimCommand] = [*self._releases.due(now.now_s)]
         for pending in list(self._pending.values()):
             commands += self._advance(pending, now)
@@ -162,18 +166,18 @@
         return commands
 
     def next_poll_s(self) -> float:
-        """Returns when to call `poll` at the latest, infinity if not at all."""
+        """Returns when `poll` is due; infinity if there is nothing to do."""
         times = [min(c.deadline_s, c.repeat_s) for c in self._pending.values()]
         return min([*times, self._releases.next_due_s()])
 
     def finish(self, key: bytes, outcome: Outcome) -> list[ClaimCommand]:
-        """Ends a claim, granted or not; the request must not run from now on.
+        """Ends a claim, granted or not; its request must not run afterwards.
 
         Args:
-            key: The key.
-            outcome: How the request ended. `NOT_RUN` needs proof, since it
-                lets the key be granted again: that nothing was dispatched, or
-                the upstream's published refusal.
+            key: The claim key.
+            outcome: How the request ended. `NOT_RUN` lets the key be granted
+                again and therefore needs proof: either nothing was dispatched,
+                or the upstream gave one of its published refusals.
         """
         pending = self._pending.pop(key, None)
         if pending is not None:
@@ -215,7 +219,7 @@
         return self._refuse(pending)
 
     def _is_time_to_cancel(self, pending: _PendingClaim, now: Instant) -> bool:
-        """Tells whether others are cancelled though holders are silent."""
+        """Returns whether to cancel rivals although some holders are silent."""
         attempt = pending.attempt
         return (
             attempt.phase is Phase.ASKING
@@ -248,6 +252,7 @@
         return [*self._releases.send(attempt), refused]
 
     def _random_retry_after_s(self) -> float:
-        # Two that split the votes must not come back at the same moment.
+        # Two callers whose attempts split the grants must not retry at the
+        # same moment, or they would split them again.
         mean_s = self.options.retry_after_s
         return self.rng.uniform(mean_s / 2, mean_s * 3 / 2)
--- a/packages/coordination/src/hollyknot_coordination/claims/_grants.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_grants.py
@@ -1,4 +1,4 @@
-"""A holder's decisions on single keys: grant, promise, release, record."""
+"""Decides what a holder answers to a message about a single key."""
 
 import attrs
 
@@ -27,7 +27,7 @@
     now: Instant,
     options: ClaimOptions,
 ) -> ClaimAnswer:
-    """Grants a key to an attempt, or tells why not."""
+    """Grants a key to an attempt, or returns why it can't."""
     answer = _base_answer(slot, message.key, message.attempt, message.attempt)
     view_refusal = _check_view(host, slot, message, answer)
     if view_refusal is not None:
@@ -45,13 +45,17 @@
 
 
 def answer_cancel(host: str, slot: Slot, message: CancelClaim) -> ClaimAnswer:
-    """Promises never to grant an attempt, unless it may hold the key."""
+    """Promises never to grant an attempt, unless it may hold the key.
+
+    Returns:
+        The promise, or why the holder can't give it.
+    """
     answer = _base_answer(slot, message.key, message.asker, message.attempt)
     view_refusal = _check_view(host, slot, message, answer)
     if view_refusal is not None:
         return view_refusal
-    # The record of a key below the horizon may be forgotten: not to hold the
-    # attempt would then prove nothing.
+    # Records of keys below the horizon may have been evicted, so that a missing
+    # record doesn't prove that the attempt wasn't granted.
     if key_time_ms(message.key) <= slot.horizon_ms:
         return attrs.evolve(answer, kind=ClaimAnswerKind.EXPIRED)
     held = slot.records.held(message.key)
@@ -62,10 +66,10 @@
 
 
 def handle_release(slot: Slot, message: ReleaseClaim) -> None:
-    """Forgets a grant to an attempt that is proved never to run.
+    """Removes the grant of an attempt that is proved never to run.
 
     The attempt is refused from now on: its own request for a grant may still
-    be under way, and a grant after the release would block the key.
+    be in flight, and a grant after the release would block the key.
     """
     if key_time_ms(message.key) <= slot.horizon_ms:
         return
@@ -74,7 +78,7 @@
 
 
 def handle_outcome(slot: Slot, message: RecordClaim) -> None:
-    """Remembers how an attempt ended, if the key is held for it."""
+    """Records how an attempt ended, if the key is granted to it."""
     held = slot.records.held(message.key)
     if any(one.attempt == message.attempt for one in held):
         slot.records.grant(message.key, message.attempt, message.outcome)
@@ -93,14 +97,15 @@
     message: GrantClaim | CancelClaim,
     answer: ClaimAnswer,
 ) -> ClaimAnswer | None:
-    """Returns the refusal if asker and holder differ over the holders."""
+    """Returns the refusal if asker and holder disagree on the holders."""
     if message.group == slot.digest and host in slot.epoch.holders:
         if slot.is_active:
             return None
         return attrs.evolve(answer, kind=ClaimAnswerKind.LEARNING)
     if message.revision < slot.seen and slot.epoch.holders:
-        # As a server of GIGA+ corrects a client's stale index: the asker gets
-        # just what it needs to ask the right hosts.
+        # The answer carries the newer holders, so that the asker can send its
+        # request to the right hosts at once (as servers of GIGA+ correct a
+        # client's stale index).
         return attrs.evolve(
             answer,
             kind=ClaimAnswerKind.NEWER,
@@ -113,7 +118,7 @@
 def _check_time(
     slot: Slot, answer: ClaimAnswer, now: Instant, options: ClaimOptions
 ) -> ClaimAnswer | None:
-    """Returns the refusal if a key is too old or too far ahead."""
+    """Returns the refusal if a key's time is too old or too far ahead."""
     time_ms = key_time_ms(answer.key)
     if time_ms <= slot.horizon_ms:
         return attrs.evolve(answer, kind=ClaimAnswerKind.EXPIRED)
--- a/packages/coordination/src/hollyknot_coordination/claims/_keys.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_keys.py
@@ -1,9 +1,9 @@
-"""Claim keys: what names a non-idempotent request between hosts.
+"""Derives claim keys, which identify non-idempotent requests between hosts.
 
 A claim key is 16 bytes: the 48-bit time of the caller's UUID of version 7 and
 80 bits of a hash over customer, service and UUID. The time comes first, so
-that keys sort by time. Two requests whose hashes collide are taken for one:
-the second is refused, never run twice.
+that keys sort by time. Two requests whose keys collide count as one request:
+the second is refused, so that a collision never lets a request run twice.
 """
 
 import enum
@@ -11,10 +11,10 @@
 import uuid
 
 SLOTS = 1024
-"""Keys are spread over this many slots; every host must use the same number.
+"""Number of slots that keys are spread over, the same at every host.
 
-A host list of 2,500 hosts then gives a host two slots on average. Fewer slots
-would leave most hosts without any and fill the memory of the rest.
+With 2,500 hosts a host holds two slots on average. With fewer slots most hosts
+would hold none, and the memory of the others would fill up.
 """
 
 _HASH_BYTES = 10
@@ -25,7 +25,7 @@
 
 
 class KeyFault(enum.Enum):
-    """Why a caller's `Idempotency-Key` makes no claim key."""
+    """Why a caller's `Idempotency-Key` is rejected."""
 
     NOT_A_UUID = "the Idempotency-Key is not a UUID"
     NOT_VERSION_7 = "the Idempotency-Key is not a UUID of version 7"
@@ -39,7 +39,7 @@
     Args:
         customer: The customer's name.
         service: The plain service's name.
-        idempotency_key: The caller's `Idempotency-Key` header.
+        idempotency_key: The value of the caller's `Idempotency-Key` header.
     """
     try:
         value = uuid.UUID(idempotency_key)
@@ -47,8 +47,8 @@
         return KeyFault.NOT_A_UUID
     if value.version != _UUID_VERSION:
         return KeyFault.NOT_VERSION_7
-    # Lengths go first: without them customer `a` with service `bc` would
-    # share its keys with customer `ab` and service `c`.
+    # The lengths keep the names apart: without them customer `a` with service
+    # `bc` would share its keys with customer `ab` and service `c`.
     name = f"{len(customer)} {len(service)} {customer}{service}"
     digest = hashlib.blake2b(name.encode(), digest_size=_HASH_BYTES)
     digest.update(value.bytes)
--- a/packages/coordination/src/hollyknot_coordination/claims/_options.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_options.py
@@ -1,4 +1,4 @@
-"""Settings of the coordinator and the holder, with their reasons."""
+"""Options of the coordinator and the holder."""
 
 import attrs
 from attrs import validators
@@ -12,21 +12,26 @@
     """Times and limits of claims.
 
     Attributes:
-        remember_s: Seconds for which a key is remembered: the greatest
+        remember_s: Seconds for which the record of a key is kept: the greatest
             `remember_s` of the declared services.
-        ahead_s: Seconds by which a key's time may be beyond a holder's clock
-            for the holder to grant it. A key further ahead has to wait.
-        max_ahead_s: Seconds by which it may be ahead to be told to wait; one
-            further ahead is refused as a bad request.
-        skew_s: Seconds by which hosts' wall clocks may differ. Only a data
-            centre whose hosts have all lost their memory relies on it.
-        first_retry_s: Seconds after which an unanswered message is repeated;
-            doubled each time.
-        last_retry_s: The longest such time.
-        come_back_s: Mean seconds after which a caller is told to come back.
-        max_rounds: Times that one attempt clears rivals out of its way.
-        questions_a_message: Slots asked for in one message.
-        records_a_message: Records in one message (some 60 bytes each).
+        ahead_s: Seconds by which a key's time may be ahead of a holder's clock
+            for the holder to grant the key. The caller of a key further ahead
+            is told to retry later.
+        max_ahead_s: Seconds by which a key's time may be ahead of a holder's
+            clock for the caller to be told to retry. A key further ahead is
+            refused as a bad request.
+        skew_s: Greatest difference between the wall clocks of two hosts, in
+            seconds. Safety depends on it only in a data centre whose hosts have
+            all lost their records.
+        initial_retry_interval_s: Seconds after which an unanswered message is
+            first repeated; the interval doubles with each repeat.
+        max_retry_interval_s: Greatest interval between repeats, in seconds.
+        retry_after_s: Mean seconds after which a refused caller is told to
+            retry.
+        max_rounds: Times that one attempt may cancel its rivals and ask again.
+        max_questions_per_message: Most slots that one message asks about.
+        max_records_per_message: Most records in one message, of about 60 bytes
+            each.
     """
 
     remember_s: float = attrs.field(default=86_400.0, validator=_positive)
@@ -48,9 +53,9 @@
 
     @property
     def opening_margin_s(self) -> float:
-        """Seconds beyond its clock for which a first holder refuses keys.
+        """Seconds ahead of its clock up to which a first holder refuses keys.
 
-        Earlier holders, all lost, may have granted keys as far ahead as
-        `ahead_s` by clocks that were ahead by `skew_s`.
+        Earlier holders, all of them lost, may have granted keys up to `ahead_s`
+        ahead of their clocks, which may have been ahead by `skew_s`.
         """
         return self.ahead_s + self.skew_s
--- a/packages/coordination/src/hollyknot_coordination/claims/_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_releases.py
@@ -1,9 +1,9 @@
-"""Releases that were sent and not yet taken by every holder.
+"""Repeats releases until every holder has acknowledged them.
 
-A cut that makes an attempt fail also loses its releases. The holders that
-granted it would then keep its key for an attempt that never ran: each later
-attempt would be told that the request may have run, and it never would. So a
-release is repeated until each holder has said that it took it.
+A network partition that makes an attempt fail also loses its releases. The
+holders that granted the attempt would then keep the key for an attempt that
+never ran. Each later attempt would be refused because the request may have run,
+so that the request would never run.
 """
 
 from collections import OrderedDict
@@ -16,18 +16,20 @@
 
 INITIAL_REPEAT_INTERVAL_S = 0.5
 MAX_REPEAT_INTERVAL_S = 60.0
-"""A cut lasts an hour now and then; a minute more after it does no harm."""
+"""Longest interval between repeats. A network partition can last an hour; a
+minute more after it does no harm."""
 
 MAX_REPEATS = 130
-"""Repeats after which a holder counts as gone: some two hours."""
+"""Repeats after which holders that don't answer count as lost: about two hours.
+"""
 
 MAX_PENDING = 4_096
-"""Releases that are repeated; beyond it the oldest are given up."""
+"""Most releases that are repeated; beyond it the oldest are dropped."""
 
 
 @attrs.define
 class _PendingRelease:
-    """A release and who has not taken it yet."""
+    """A release and the hosts that have not acknowledged it yet."""
 
     message: ReleaseClaim
     hosts: set[str]
@@ -37,18 +39,18 @@
 
 
 class Releases:
-    """The releases of one coordinator."""
+    """Sends and repeats the releases of one coordinator."""
 
     def __init__(self) -> None:
-        """Has none to repeat."""
+        """Creates a sender without pending releases."""
         self._pending: OrderedDict[Attempt, _PendingRelease] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many are not yet taken by every holder."""
+        """Returns how many releases some holder has not acknowledged."""
         return len(self._pending)
 
     def send(self, attempt: ClaimAttempt) -> list[SendClaim]:
-        """Returns an attempt's releases and repeats them from now on."""
+        """Returns an attempt's releases and keeps them to be repeated."""
         sends = list(attempt.releases())
         message = ReleaseClaim(attempt.key, attempt.attempt)
         hosts = {send.host for send in sends}
@@ -58,7 +60,7 @@
         return sends
 
     def handle_answer(self, sender: str, answer: ClaimAnswer) -> None:
-        """Notes that a holder has taken a release."""
+        """Processes a holder's acknowledgement of a release."""
         pending = self._pending.get(answer.attempt)
         if pending is None:
             return
@@ -87,6 +89,6 @@
         return sends
 
     def next_due_s(self) -> float:
-        """Returns when something is due, infinity if nothing is."""
+        """Returns when the next repeat is due; infinity if none is."""
         times = (pending.repeat_s for pending in self._pending.values())
         return min(times, default=float("inf"))
--- a/packages/coordination/src/hollyknot_coordination/claims/_verdicts.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_verdicts.py
@@ -1,4 +1,4 @@
-"""What a caller is told when its key isn't granted."""
+"""Builds the verdict that a caller gets when its key isn't granted."""
 
 from hollyknot_coordination.claims._attempt import ClaimAttempt
 from hollyknot_state import (
@@ -20,15 +20,15 @@
 
 
 def refusal(attempt: ClaimAttempt, retry_after_s: float) -> Verdict:
-    """Returns the verdict on an attempt that is given up.
+    """Returns the verdict on an attempt that failed to claim its key.
 
-    `NOT_RUN` speaks of the request at hand, which this attempt didn't
-    dispatch. Where another attempt of its key may have run, or the holders no
-    longer know, it is `MAY_HAVE_RUN`.
+    The outcome is `MAY_HAVE_RUN` if another attempt with the same key may have
+    run, or if the holders no longer know. Otherwise it is `NOT_RUN`, since this
+    attempt didn't dispatch the request.
 
     Args:
         attempt: The attempt.
-        come_back_s: Seconds after which the caller is to come back.
+        retry_after_s: Seconds after which the caller should retry.
     """
     earlier = attempt.rival_outcome
     if earlier is not None:
