--- a/packages/coordination/src/hollyknot_coordination/claims/_handovers.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_handovers.py
@@ -1,8 +1,8 @@
-"""The slots that this host held, until their new holders know them.
+"""Keeps the records of slots that moved away until new holders have them.
 
-The host asks the new holders whether they are active. Once a majority is, a
-learner never again needs what this host knows: it would meet one of them, and
-stop there.
+The host asks the new holders whether they are active. Once a majority of them
+is, no learner needs this host's records any more: it gets an answer from one of
+the active holders, and looks at no older epoch.
 """
 
 import attrs
@@ -20,18 +20,19 @@
 )
 
 _NO_RECORDS = b"\xff" * KEY_BYTES
-"""As the last key that was received: asks for no records."""
+"""Sent as the last key received: no key sorts after it, so that the answer has
+no records."""
 
 
 @attrs.define
 class _Handover:
-    """One slot that others hold now.
+    """A slot that other hosts hold now.
 
     Attributes:
-        epoch: The new holders.
-        active: Those that have said to be active.
-        due_s: When to ask (again).
-        wait_s: The time after which to repeat the question.
+        epoch: The epoch of the new holders.
+        due_s: Monotonic time, in seconds, of the next question.
+        wait_s: Seconds between that question and its repeat.
+        active: New holders that have answered that they are active.
     """
 
     epoch: HolderEpoch
@@ -42,7 +43,7 @@
 
 @attrs.define
 class Handovers:
-    """Slots that this host was active for and holds no longer.
+    """Tracks slots that this host was active for and no longer holds.
 
     Attributes:
         host: This host's name.
@@ -54,17 +55,17 @@
     _pending: dict[int, _Handover] = attrs.Factory(dict)
 
     def track(self, number: int, slot: Slot, now: Instant) -> None:
-        """Takes notice that a slot's holders have changed."""
+        """Starts to track a slot with new holders, if it moved away."""
         self._pending.pop(number, None)
         holders = slot.epoch.holders
         if slot.active and holders and self.host not in holders:
             wait_s = self.options.initial_retry_interval_s
-            # The new holders are learning just now; ask a little later.
+            # The new holders have only begun to learn; ask a little later.
             due_s = now.now_s + wait_s
             self._pending[number] = _Handover(slot.epoch, due_s, wait_s)
 
     def due(self, now: Instant) -> list[tuple[str, SlotQuestion]]:
-        """Returns the questions to put now, with whom to ask."""
+        """Returns the questions that are due, each with the host to ask."""
         found = []
         for number, handover in self._pending.items():
             if handover.due_s > now.now_s:
@@ -82,14 +83,14 @@
         return found
 
     def next_due_s(self) -> float:
-        """Returns when to ask next; infinity if there is nothing to ask."""
+        """Returns when the next question is due; infinity if none is."""
         times = (handover.due_s for handover in self._pending.values())
         return min(times, default=float("inf"))
 
     def handle_answer(
         self, sender: str, answer: SlotAnswer, slot: Slot
     ) -> None:
-        """Takes a new holder's answer; forgets the slot if enough know it."""
+        """Processes a new holder's answer; clears the slot once handed over."""
         handover = self._pending.get(answer.slot)
         if handover is None or answer.question != handover.epoch:
             return
--- a/packages/coordination/src/hollyknot_coordination/claims/_holder.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_holder.py
@@ -1,4 +1,4 @@
-"""The holder: one host's part in granting claims."""
+"""The holder grants the keys of the slots that this host holds."""
 
 from collections.abc import Iterable
 
@@ -31,13 +31,15 @@
 
 _MS = 1000
 _MIN_PAGE = 8
-"""Records that each question may get even in a full message, so that none has
-to wait for its turn."""
+"""Records with which each question is answered even if the message is full.
+
+Without it the questions after the first would have to wait for its records.
+"""
 
 
 @attrs.define
 class Holder:
-    """Grants keys of the slots that this host holds.
+    """Answers coordinators and learners about the slots that this host holds.
 
     Attributes:
         host: This host's name in the host list.
@@ -65,27 +67,28 @@
 
     @property
     def is_name_reused(self) -> bool:
-        """Whether another process had this host's name.
+        """Whether another process had this host's name before.
 
-        Such a host may have forgotten grants, so that it never becomes
-        active; it has to be listed under a new name.
+        Such a host may have lost grants. It never becomes active, and has to be
+        listed under a new name.
         """
         return self._slot_learner.is_name_reused
 
     @property
     def pending_handovers(self) -> int:
-        """How many slots would be lost with this host.
+        """Number of slots whose records would be lost with this host.
 
-        A planned stop waits for 0, or as long as it can: once the host list
-        says that this host is leaving, new holders learn its slots.
+        Once the host list says that this host is leaving, new holders learn its
+        slots. A planned stop waits until this is 0, or as long as it can.
         """
         return sum(slot.active > 0 for slot in self._slots.values())
 
     @property
     def horizon_ms(self) -> int:
-        """The key time up to which some slot held here refuses every key.
+        """The highest horizon of the active slots, in ms since 1970.
 
-        It is in the past, but for slots that first holders opened just now.
+        A slot refuses every key up to its horizon. The horizon is in the past,
+        except for slots that their first holders have just opened.
         """
         horizons = (s.horizon_ms for s in self._slots.values() if s.is_active)
         return max(horizons, default=0)
@@ -95,19 +98,20 @@
         return tuple(n for n, s in self._slots.items() if s.is_active)
 
     def learning_slots(self) -> tuple[int, ...]:
-        """Returns the slots that this host holds but doesn't yet know."""
+        """Returns the slots that this host holds and still has to learn."""
         return self._slot_learner.slots()
 
     def records(self) -> int:
-        """Returns how many keys are remembered."""
+        """Returns the number of keys that have a record."""
         return sum(len(slot.records) for slot in self._slots.values())
 
     def update(self, placement: Placement, now: Instant) -> list[SendClaim]:
-        """Takes a newer host list, or newly declared data centres."""
+        """Adopts a newer host list, or newly declared data centres."""
         known = self._slot_learner.placement
         if known is not None and placement.revision < known.revision:
             return []
-        # A change of homes between is as a revision that was missed.
+        # A change of the slots' home data centres counts as a gap in the
+        # revisions: holders may have changed between two revisions.
         has_same_homes = (
             known is not None and placement.data_centres == known.data_centres
         )
@@ -129,9 +133,9 @@
     def receive(
         self, sender: str, message: ClaimMessage, now: Instant
     ) -> list[SendClaim]:
-        """Takes a message of another host, or of this one.
+        """Processes a message from another host, or from this one.
 
-        Messages that are for a coordinator are passed over.
+        Messages to a coordinator are ignored.
         """
         match message:
             case GrantClaim() | CancelClaim():
@@ -149,7 +153,7 @@
         return []
 
     def poll(self, now: Instant) -> list[SendClaim]:
-        """Forgets old keys and repeats unanswered questions."""
+        """Evicts expired keys and repeats unanswered questions."""
         for slot in self._slots.values():
             self._raise_horizon(slot, now)
             slot.records.evict(slot.horizon_ms)
@@ -157,9 +161,9 @@
         return self._due_questions(now)
 
     def next_poll_s(self) -> float:
-        """Returns when to call `poll` at the latest, infinity if not at all.
+        """Returns when `poll` is due; infinity if there is nothing to do.
 
-        Forgetting may be up to a minute late without harm.
+        Evictions don't count: they may be up to a minute late without harm.
         """
         return min(
             self._slot_learner.next_due_s(), self._handovers.next_due_s()
@@ -179,11 +183,11 @@
     def _update_holders(
         self, number: int, placement: Placement, now: Instant
     ) -> None:
-        """Takes the holders of one slot in a new placement."""
+        """Adopts the holders that a new placement gives to a slot."""
         epoch = HolderEpoch(placement.revision, placement.group(number))
         slot = self._slot(number)
         if epoch.revision < slot.seen:
-            # Another host has told of newer holders already.
+            # Another host has already reported newer holders.
             slot.add_epoch(epoch)
         elif epoch.holders == slot.epoch.holders:
             slot.seen = epoch.revision
@@ -192,7 +196,7 @@
             self._on_new_holders(number, slot, now)
 
     def _on_new_holders(self, number: int, slot: Slot, now: Instant) -> None:
-        """Does what follows when a slot has new holders."""
+        """Starts to learn a slot with new holders, or to hand it over."""
         self._slot_learner.begin(number, slot, now)
         self._handovers.track(number, slot, now)
 
@@ -248,17 +252,17 @@
             )
             remaining -= len(answer.records)
             answers.append(answer)
-        # A seal may have made this host a learner of the new epoch.
+        # Sealing a slot may have made this host a learner of the new epoch.
         return [
             SendClaim(sender, SlotAnswers(tuple(answers))),
             *self._due_questions(now),
         ]
 
     def _is_reused(self, name: str, incarnation: int) -> bool:
-        """Tells whether this host has met another process of a name.
+        """Returns whether this host knows another incarnation of a name.
 
-        A restarted process has forgotten its grants. In its old place it
-        would complete a second majority.
+        A restarted process has lost its grants. If it took its old place among
+        the holders, it could complete a second majority.
         """
         return self._incarnations.setdefault(name, incarnation) != incarnation
 
@@ -282,7 +286,7 @@
         return kind
 
     def _due_questions(self, now: Instant) -> list[SendClaim]:
-        """Returns the questions that are due, in few messages a host."""
+        """Returns the questions that are due, batched into messages by host."""
         questions: dict[str, list[SlotQuestion]] = {}
         due = [*self._slot_learner.due(now), *self._handovers.due(now)]
         for host, question in due:
--- a/packages/coordination/src/hollyknot_coordination/claims/_learning_step.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_learning_step.py
@@ -1,18 +1,21 @@
-"""How a host that became a holder learns what earlier holders granted.
-
-It asks hosts to seal the slot: never again to grant for an older epoch. The
-epochs before its own are gone through, newest first. An epoch is settled once
-enough of its holders have sealed: if one of these was active for it, they know
-between them every attempt that has, or can still get, a majority; if none was,
-nobody has or gets a majority there, and the next older epoch counts. A holder
-that is active for the learner's own epoch has done all this already, so that
-its answer alone is enough.
-
-How many are enough? To meet every majority of grants, so many that the rest is
-no majority. But an epoch between, of which the learner never heard, may have
-been learnt from others of the same holders. To hear of it a majority has to
-answer, since any two majorities meet. Where all revisions between are known,
-the former is enough: one of two holders, two of four.
+"""Decides from whom a new holder still has to learn earlier grants.
+
+A learner, which is a host that became a holder, asks hosts to seal the slot:
+never again to grant for an older epoch. It goes through the epochs before its
+own, newest first. An epoch is settled once enough of its holders have sealed.
+If one of these was active for the epoch, they know between them every attempt
+that has, or can still get, a majority. If none was, nobody has or gets a
+majority in that epoch, and the next older epoch counts. A holder that is active
+for the learner's own epoch has done all this already, so that its answer alone
+is enough.
+
+The number of holders that is enough depends on which epochs the learner knows.
+If it knows every revision from that epoch to its own, a blocking minority is
+enough, since the other holders are no majority: one of two holders, two of
+four. Otherwise there may be an epoch in between that the learner doesn't know,
+and whose holders learnt from other holders of the older epoch. A majority has
+to answer then, since any two majorities have a host in common, which knows of
+the epoch in between.
 """
 
 import enum
@@ -24,16 +27,16 @@
 
 
 class Progress(enum.Enum):
-    """How far a learner has come."""
+    """The state of learning a slot."""
 
     ASKING = "asking"
-    """Hosts named in `LearningStep.to_ask` have to answer first."""
+    """Some hosts of `LearningStep.to_ask` have to answer first."""
 
     LEARNT = "learnt"
-    """All that matters is known."""
+    """Every grant that matters is known."""
 
     FIRST = "first"
-    """Every host of the data centre knows of no earlier holder."""
+    """All hosts of the data centre answered; none knows an earlier holder."""
 
 
 @attrs.frozen
@@ -41,8 +44,8 @@
     """What a learner needs next.
 
     Attributes:
-        progress: How far it has come.
-        ask: Hosts that haven't answered and of which some have to.
+        progress: The state of learning.
+        to_ask: Hosts that haven't answered, some of which have to.
     """
 
     progress: Progress
@@ -59,12 +62,12 @@
     """Returns what a learner needs next.
 
     Args:
-        epoch: The epoch to become active for.
+        epoch: The epoch that the learner is to become active for.
         epochs: All known epochs, by revision.
-        answers: For each host that has sealed and told all its records, the
-            newest revision for which it was active, 0 for none.
-        hosts: All hosts of the data centre that are listed, live or leaving.
-        known_from: The revision from which on `epochs` lacks none.
+        answers: The newest revision for which a host was active, 0 for none,
+            by each host that has sealed and sent all its records.
+        hosts: All hosts of the data centre in the host list, live or leaving.
+        known_from: The revision from which on `epochs` is complete.
     """
     if epoch.revision in answers.values():
         return LearningStep(Progress.LEARNT)
@@ -84,10 +87,10 @@
 def _step_without_earlier(
     epoch: HolderEpoch, answers: dict[str, int], hosts: tuple[str, ...]
 ) -> LearningStep:
-    """Returns the step of a learner that knows no earlier active holder."""
-    # The other holders of its own epoch are asked first: mostly they know, so
-    # that a new host doesn't ask the whole data centre. But only when every
-    # host has answered is it sure that there was no earlier holder.
+    """Returns the step of a learner that found no earlier active holder."""
+    # The other holders of its own epoch are asked first: they mostly know the
+    # earlier holders, which saves asking the whole data centre. That there was
+    # no earlier holder is certain only once every host has answered.
     missing = _missing(epoch.holders, answers)
     if missing and not _any_answered(epoch, answers):
         return LearningStep(Progress.ASKING, missing)
--- a/packages/coordination/src/hollyknot_coordination/claims/_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_placement.py
@@ -1,7 +1,7 @@
-"""Which data centre and which hosts hold the claims of a slot.
+"""Computes which data centre and which hosts hold the claims of a slot.
 
-All is computed from the platform's documents alone, so that every host that
-has the same documents computes the same.
+The result depends on the platform's documents alone, so that all hosts with the
+same documents compute the same holders.
 """
 
 from collections.abc import Iterable
@@ -12,13 +12,13 @@
 from hollyknot_state import HostList, Role
 
 GROUP_SIZE = 5
-"""Holders of a slot, or all hosts of the data centre if they are fewer."""
+"""Number of holders of a slot; all hosts of a data centre that has fewer."""
 
 _DIGEST_MASK = (1 << 63) - 1
 
 
 def _score(slot: int, name: str) -> tuple[int, str]:
-    # The name breaks a tie, so that equal hashes can't be ordered unalike.
+    # The name breaks ties, so that all hosts order equal hashes the same way.
     return xxhash.xxh3_64_intdigest(f"{slot}/{name}".encode()), name
 
 
@@ -34,28 +34,28 @@
 
 
 def group_digest(group: tuple[str, ...]) -> int:
-    """Returns 63 bits that stand for a group of holders."""
+    """Returns a 63-bit digest that identifies a group of holders."""
     # NUL can't be part of a name.
     return xxhash.xxh3_64_intdigest("\0".join(group).encode()) & _DIGEST_MASK
 
 
 def majority(group: tuple[str, ...]) -> int:
-    """Returns how many grants of a group no two attempts can both have."""
+    """Returns the least number of grants that two attempts can't both have."""
     return len(group) // 2 + 1
 
 
 def blocking_minority(group: tuple[str, ...]) -> int:
-    """Returns how many of a group have to refuse to prevent a majority."""
+    """Returns how many holders of a group must refuse to prevent a majority."""
     return len(group) - majority(group) + 1
 
 
 @attrs.define
 class Placement:
-    """The holders of all slots by one host list; computed when asked for.
+    """Computes the holders of all slots by one host list, on demand.
 
     Attributes:
-        revision: The host list's revision.
-        data_centres: Names of all data centres, as declared.
+        revision: The revision of the host list.
+        data_centres: Names of all declared data centres.
     """
 
     revision: int
@@ -83,7 +83,7 @@
         return found
 
     def listed(self, data_centre: str) -> tuple[str, ...]:
-        """Returns a data centre's hosts, with those that are leaving."""
+        """Returns the names of a data centre's hosts, live or leaving."""
         found = self._listed.get(data_centre)
         if found is None:
             found = tuple(
@@ -111,11 +111,11 @@
     """Returns the placement by a host list and the declared data centres.
 
     Args:
-        host_list: The list in force.
-        data_centres: As declared.
-        previous: An earlier placement. What can't have changed since is taken
-            from it: most lists change one host of one data centre, or an
-            upstream, and ranking the hosts for every slot costs far more.
+        host_list: The host list in force.
+        data_centres: Names of all declared data centres.
+        previous: An earlier placement. Results that can't have changed since
+            are copied from it: most lists change one host of one data centre,
+            or an upstream, and ranking the hosts for every slot costs far more.
     """
     placement = Placement(host_list.revision, tuple(data_centres), host_list)
     if previous is None or previous.data_centres != placement.data_centres:
--- a/packages/coordination/src/hollyknot_coordination/claims/_records.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_records.py
@@ -1,8 +1,9 @@
-"""What a holder remembers of the keys of one slot, in few bytes a key.
+"""Stores a holder's records of the keys of one slot compactly.
 
-Nearly every key has one attempt, granted or refused, and is one integer. The
-few keys with more are a tuple of such integers. Keys lie in buckets by their
-time, so that forgetting drops whole buckets and costs nothing for the rest.
+Nearly every key has one attempt, granted or refused, which is stored as one
+integer. The few keys with more attempts have a tuple of such integers. Keys lie
+in buckets by their time, so that eviction drops whole buckets and costs nothing
+for the rest.
 """
 
 import heapq
@@ -14,8 +15,8 @@
 from hollyknot_state import Attempt, ClaimOutcome, ClaimRecord, HeldAttempt
 
 BUCKET_MS = 60_000
-"""Key times that share a bucket. Shorter ones would cost more dicts, longer
-ones keep keys longer than needed."""
+"""Range of key times in one bucket, in ms. Shorter buckets would need more
+dicts, longer ones would keep keys longer than needed."""
 
 _STATE_BITS = 3
 _STATE_MASK = (1 << _STATE_BITS) - 1
@@ -36,17 +37,18 @@
 
 @attrs.define
 class CoordinatorTable:
-    """Small numbers for the names of coordinators, shared by all slots.
+    """Assigns small numbers to the names of coordinators, for all slots.
 
-    It only grows: by one name for each process that ever claimed here, which
-    is bounded by the replacements of hosts during this process's life.
+    The table never shrinks. It holds one name for each process that ever
+    claimed here, which is bounded by the replacements of hosts during the life
+    of this process.
     """
 
     _numbers: dict[str, int] = attrs.Factory(dict)
     _names: list[str] = attrs.Factory(list)
 
     def number_of(self, coordinator: str) -> int:
-        """Returns the number of a coordinator."""
+        """Returns the number of a coordinator; assigns one to a new name."""
         found = self._numbers.get(coordinator)
         if found is None:
             found = len(self._names)
@@ -55,7 +57,7 @@
         return found
 
     def name_of(self, number: int) -> str:
-        """Returns the coordinator of a number."""
+        """Returns the name of the coordinator with a number."""
         return self._names[number]
 
 
@@ -64,7 +66,7 @@
     """The records of one slot.
 
     Attributes:
-        coordinators: The names' numbers.
+        coordinators: Numbers of the coordinators' names.
     """
 
     coordinators: CoordinatorTable
@@ -75,7 +77,7 @@
         return sum(len(bucket) for bucket in self._buckets.values())
 
     def held(self, key: bytes) -> tuple[HeldAttempt, ...]:
-        """Returns the attempts to which a key may have been granted."""
+        """Returns the attempts that a key may have been granted to."""
         return tuple(
             HeldAttempt(self._attempt(code), _OUTCOMES[code & _STATE_MASK])
             for code in self._codes(key)
@@ -83,7 +85,7 @@
         )
 
     def refuses(self, key: bytes, attempt: Attempt) -> bool:
-        """Tells whether an attempt is never to be granted."""
+        """Returns whether an attempt must never be granted."""
         codes = self._codes(key)
         if not codes:
             return False
@@ -101,25 +103,25 @@
         attempt: Attempt,
         outcome: ClaimOutcome = ClaimOutcome.UNKNOWN,
     ) -> None:
-        """Remembers that a key may have been granted to an attempt."""
+        """Records that a key may have been granted to an attempt."""
         state = _STATES[outcome]
         wanted = self._encode(attempt, state)
         codes = self._codes(key)
         for code in codes:
             if _is_held(code) and _same_attempt(code, wanted):
-                # UNKNOWN is the lowest: a late or repeated message doesn't
-                # take back how an attempt ended.
+                # UNKNOWN is the lowest state, so that a late or repeated
+                # message doesn't erase how an attempt ended.
                 kept = tuple(c for c in codes if c != code)
                 self._put(key, (*kept, max(code, wanted)))
                 return
         self._put(key, (*codes, wanted))
 
     def refuse(self, key: bytes, attempt: Attempt) -> None:
-        """Remembers never to grant an attempt, nor an earlier one of its own.
+        """Refuses an attempt and all earlier ones of its coordinator for good.
 
         A coordinator has one attempt for a key at a time, so that its earlier
-        ones are over. Without this a caller that comes back for a day would
-        leave an entry for each time.
+        ones have ended. With an entry per attempt, the records of a caller that
+        retries for a day would grow with each retry.
         """
         if self.refuses(key, attempt):
             return
@@ -132,7 +134,7 @@
         self._put(key, (*kept, wanted))
 
     def drop(self, key: bytes, attempt: Attempt) -> None:
-        """Forgets that a key was granted to exactly this attempt."""
+        """Removes the grant of a key to exactly this attempt."""
         wanted = self._encode(attempt, _UNKNOWN)
         codes = self._codes(key)
         kept = tuple(
@@ -144,17 +146,20 @@
             self._put(key, kept)
 
     def merge(self, record: ClaimRecord) -> None:
-        """Takes in all that another holder knows of a key."""
+        """Adds all that another holder knows of a key."""
         for one in record.held:
             self.grant(record.key, one.attempt, one.outcome)
         for attempt in record.refused:
             self.refuse(record.key, attempt)
 
     def evict(self, horizon_ms: int) -> int:
-        """Drops buckets whose every key is at or below a time.
+        """Drops the buckets all of whose keys are at or below the horizon.
+
+        Args:
+            horizon_ms: Key time in ms since 1970.
 
         Returns:
-            How many keys were dropped.
+            The number of keys that were dropped.
         """
         dropped = 0
         while (
@@ -166,7 +171,7 @@
         return dropped
 
     def page(self, after: bytes, limit: int) -> tuple[ClaimRecord, ...]:
-        """Returns up to `limit` records with keys above one, by rising key."""
+        """Returns up to `limit` records of keys above `after`, in order."""
         found: list[ClaimRecord] = []
         for key in self._keys_after(after):
             if len(found) >= limit:
@@ -205,7 +210,10 @@
 
     def _encode(self, attempt: Attempt, state: int) -> int:
         if attempt.number > _NUMBER_MASK:
-            raise ValueError(f"{attempt.number}: too high for an attempt")
+            raise ValueError(
+                f"attempt number {attempt.number} of {attempt.coordinator}"
+                f" exceeds {_NUMBER_MASK}; restart that host to count from 1"
+            )
         coordinator = self.coordinators.number_of(attempt.coordinator)
         code = coordinator << _NUMBER_BITS | attempt.number
         return code << _STATE_BITS | state
--- a/packages/coordination/src/hollyknot_coordination/claims/_seal.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_seal.py
@@ -1,4 +1,4 @@
-"""How a host takes a learner's question about a slot."""
+"""Seals a slot for a learner and answers the learner's question."""
 
 import attrs
 
@@ -14,7 +14,7 @@
 
 
 def handle_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
-    """Seals a slot at a learner's epoch, or finds why it can't be.
+    """Seals a slot for a learner's epoch, or returns why that isn't possible.
 
     A slot that was sealed has `question.epoch` as its epoch afterwards.
     """
@@ -24,8 +24,8 @@
     if asked.revision > own.revision:
         is_same = asked.holders == own.holders
         if is_same and own.revision >= question.oldest:
-            # Both have the same holders; one skipped a revision. Sealing would
-            # stop a working group for a change that is none.
+            # Both have the same holders and one of them skipped a revision.
+            # Sealing would stop active holders although nothing has changed.
             return SlotAnswerKind.SAME
         if not is_same and asked.revision < slot.seen:
             return SlotAnswerKind.NEWER
@@ -44,11 +44,11 @@
     """Returns the answer to a question, with a page of records if sealed.
 
     Args:
-        slot: The slot, after `take_question`.
+        slot: The slot, after `handle_question`.
         question: The learner's question.
-        kind: What `take_question` found.
-        seen: The revisions that this host has seen.
-        limit: The most records to give.
+        kind: The result of `handle_question`.
+        seen: The revisions of the host list that this host has seen.
+        limit: Most records in the answer.
     """
     answer = SlotAnswer(
         question.slot,
@@ -77,8 +77,9 @@
     if kind is SlotAnswerKind.NEWER:
         if slot.epoch.revision > question.epoch.revision:
             return (slot.epoch,)
-        # The epoch's own revision is older than the learner's, whose holders
-        # this host knows to be out of date all the same.
+        # The epoch's revision is older than the learner's. But the epoch's
+        # holders are still valid at the newer revision `slot.seen`, so that the
+        # learner's are outdated.
         return (HolderEpoch(slot.seen, slot.epoch.holders),)
     if kind is SlotAnswerKind.SAME:
         return (slot.epoch,)
--- a/packages/coordination/src/hollyknot_coordination/claims/_slot.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_slot.py
@@ -1,4 +1,4 @@
-"""What a holder knows of one slot, apart from the records' layout."""
+"""Holds a holder's state of one slot: its epochs, horizon and records."""
 
 import attrs
 
@@ -7,25 +7,27 @@
 from hollyknot_state import HolderEpoch, SlotAnswer
 
 NO_EPOCH = HolderEpoch(0, ())
-"""Stands for no epoch at all; real revisions are above 0."""
+"""Stands for no epoch; the revisions of real epochs are above 0."""
 
 
 @attrs.define
 class Slot:
-    """One slot at one host.
+    """The state of one slot at one host.
 
     Attributes:
-        records: What is remembered of its keys.
-        epoch: The newest epoch that this host goes by. It never grants for an
-            older one.
-        seen: The newest revision of a host list by which `epoch` still has
-            the right holders.
-        promised: The newest revision at which this host sealed the slot for
-            another, or was told of by another; it never goes back below.
+        records: The records of the slot's keys.
+        epoch: The newest epoch that this host has adopted. It never grants for
+            an older one.
+        seen: The newest revision of the host list at which the holders of
+            `epoch` are known to be valid.
+        promised: The newest revision for which this host sealed the slot on
+            behalf of another, or which another reported; this host never adopts
+            an older one.
         active: The newest revision for which this host was active; 0 for
-            none. It grants only while this is the epoch's.
-        horizon_ms: Keys of this time and before are never granted.
-        epochs: Holders by revision, from the one it was active for on.
+            none. It grants only while this is the epoch's revision.
+        horizon_ms: Key time, in ms since 1970, up to which no key is granted.
+        epochs: Known holders by revision, from the one that this host was
+            active for on.
     """
 
     records: SlotRecords
@@ -48,7 +50,7 @@
         return self._digest
 
     def move_to(self, epoch: HolderEpoch) -> None:
-        """Takes an epoch; from now on no older one is granted for."""
+        """Adopts an epoch; from now on nothing is granted for older ones."""
         self.epoch = epoch
         self.seen = max(self.seen, epoch.revision)
         self.epochs = {
@@ -58,14 +60,15 @@
         self._digest = group_digest(epoch.holders)
 
     def add_epoch(self, epoch: HolderEpoch) -> None:
-        """Remembers an epoch, unless it is too old to matter."""
-        # Nobody can answer for no holders: such an epoch, of a slot whose
-        # home was elsewhere, would keep the slot closed for good.
+        """Adds an epoch to the known ones, unless it is too old to matter."""
+        # An epoch without holders, of a slot whose home was another data
+        # centre, can't be settled as nobody answers for it. It would keep the
+        # slot closed for good.
         if epoch.holders and epoch.revision >= self.active:
             self.epochs[epoch.revision] = epoch.holders
 
     def merge(self, answer: SlotAnswer) -> None:
-        """Takes in what another host knows of the slot."""
+        """Adds the records, epochs and horizon that another host has sent."""
         self.raise_horizon(answer.horizon_ms)
         for record in answer.records:
             self.records.merge(record)
@@ -73,18 +76,18 @@
             self.add_epoch(epoch)
 
     def activate(self) -> None:
-        """Begins to grant for the epoch."""
+        """Starts to grant keys for the epoch."""
         self.active = self.epoch.revision
-        # Whoever asks stops at the newest epoch that a holder was active
-        # for, so that older ones are never looked at again.
+        # Learners stop at the newest epoch that a holder was active for, so
+        # that older ones aren't needed any more.
         self.epochs = {r: h for r, h in self.epochs.items() if r >= self.active}
 
     def clear(self) -> None:
-        """Forgets the records and what this host was active for."""
+        """Drops the records and the revision that this host was active for."""
         self.records = SlotRecords(self.records.coordinators)
         self.active = 0
         self.epochs = {self.epoch.revision: self.epoch.holders}
 
     def raise_horizon(self, horizon_ms: int) -> None:
-        """Raises the horizon; a lower value, as by a clock set back, is not."""
+        """Raises the horizon; a lower value (clock set back) is ignored."""
         self.horizon_ms = max(self.horizon_ms, horizon_ms)
--- a/packages/coordination/src/hollyknot_coordination/claims/_slot_learner.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_slot_learner.py
@@ -1,4 +1,4 @@
-"""The slots that one host holds but doesn't yet know, and whom it asks."""
+"""Learns the slots that a host holds until it may grant their keys."""
 
 import attrs
 
@@ -33,10 +33,10 @@
         host: This host's name.
         data_centre: This host's data centre.
         options: Times and limits.
-        placement: By the newest host list that was seen, if any.
-        seen: The revisions that were seen without a gap.
-        is_name_reused: Whether another host has met another process under
-            this host's name.
+        placement: The placement by the newest host list, if there is one.
+        seen: The revisions of the host list that were seen without a gap.
+        is_name_reused: Whether another host knows another incarnation of this
+            host's name.
     """
 
     host: str
@@ -53,7 +53,7 @@
         return tuple(self._learning_state)
 
     def begin(self, number: int, slot: Slot, now: Instant) -> None:
-        """Begins to learn a slot for its epoch, if it is held here."""
+        """Starts to learn a slot for its epoch, if this host holds it."""
         self.end(number)
         if self.is_name_reused or self.host not in slot.epoch.holders:
             return
@@ -68,19 +68,19 @@
         self._advance(number, now)
 
     def end(self, number: int) -> None:
-        """Gives up learning a slot."""
+        """Stops learning a slot."""
         self._learning_state.pop(number, None)
         self._slots.pop(number, None)
 
     def advance(self, now: Instant) -> None:
-        """Looks again whether slots can be activated, and whom to ask."""
+        """Activates the slots that are learnt; updates the hosts to ask."""
         for number in tuple(self._learning_state):
             self._advance(number, now)
 
     def handle_answer(
         self, sender: str, answer: SlotAnswer, now: Instant
     ) -> None:
-        """Takes a host's answer on one slot."""
+        """Processes a host's answer about one slot."""
         learning = self._learning_state.get(answer.slot)
         if learning is None or answer.question != learning.epoch:
             return
@@ -99,7 +99,7 @@
                 self._advance(answer.slot, now)
 
     def due(self, now: Instant) -> list[tuple[str, SlotQuestion]]:
-        """Returns the questions to put now, with whom to ask."""
+        """Returns the questions that are due, each with the host to ask."""
         found = []
         for number, learning in self._learning_state.items():
             slot = self._slots[number]
@@ -109,7 +109,7 @@
         return found
 
     def next_due_s(self) -> float:
-        """Returns when something is due, infinity if nothing is."""
+        """Returns when the next question is due; infinity if none is."""
         times = (
             learning.next_due_s() for learning in self._learning_state.values()
         )
@@ -147,9 +147,9 @@
         return learning.known_from
 
     def _may_be_first(self, slot: Slot) -> bool:
-        """Tells whether this host's list is good enough to open a slot by.
+        """Returns whether this host's list is new enough to open a slot.
 
-        An older list than the epoch's may lack the very host that knows of
+        A list that is older than the epoch may lack the host that knows of
         earlier holders.
         """
         placement = self.placement
@@ -160,22 +160,23 @@
     def _adopt_newer(
         self, answer: SlotAnswer, slot: Slot, now: Instant
     ) -> None:
-        """Goes by the newer holders that another host knows."""
+        """Adopts the newer holders that another host knows."""
         newest = answer.epochs[0]
         if newest.revision > slot.epoch.revision:
             slot.move_to(newest)
-            # Were it to take an older revision of the same holders again, two
-            # hosts could send it to and fro for ever, as fast as they answer.
+            # Without this the host could adopt an older revision of the same
+            # holders again. Two others could then send it back and forth
+            # between the revisions for ever, as fast as they answer.
             slot.promised = max(slot.promised, newest.revision)
             self.begin(answer.slot, slot, now)
 
     def _adopt_older(
         self, answer: SlotAnswer, slot: Slot, now: Instant
     ) -> None:
-        """Takes an older revision at which the holders were the same already.
+        """Adopts an older revision of the same holders.
 
-        Not if this host has sealed for a newer one since it asked: whoever
-        asked for that seal counts on it.
+        It is ignored if this host has sealed the slot for a newer revision
+        since it asked: the learner that asked for that seal relies on it.
         """
         older: HolderEpoch = answer.epochs[0]
         if slot.promised <= older.revision:
