--- a/packages/coordination/src/hollyknot_coordination/claims/tests/_fleet.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts with holders and coordinators over a network that the test plays."""
+"""Simulates hosts with holders and coordinators, their network and time."""
 
 import random
 from collections import Counter
@@ -39,7 +39,7 @@
 
 
 def host_list(revision: int, names: tuple[str, ...]) -> HostList:
-    """Returns a list of hosts of one data centre; `~` marks one as leaving."""
+    """Returns a list of one data centre's hosts; `~` marks one as leaving."""
     entries = (
         HostListEntry(
             name.removeprefix("~"),
@@ -55,13 +55,21 @@
 
 
 def among(*names: str) -> Callable[["Message"], bool]:
-    """Returns a filter that passes what goes between some hosts."""
+    """Returns a filter that passes messages between the named hosts only."""
     return lambda m: m.sender in names and m.receiver in names
 
 
 @attrs.define
 class Host:
-    """One host: its two halves, and its wall clock's error."""
+    """One host.
+
+    Attributes:
+        holder: The holder of the host.
+        coordinator: The coordinator of the host.
+        skew_ms: Milliseconds by which the host's wall clock is ahead.
+        granted: Keys that are granted and not yet dispatched.
+        refused: Refusals, oldest first.
+    """
 
     holder: Holder
     coordinator: Coordinator
@@ -72,7 +80,7 @@
 
 @attrs.define
 class Message:
-    """A message under way."""
+    """A message in flight."""
 
     sender: str
     receiver: str
@@ -81,7 +89,16 @@
 
 @attrs.define
 class Fleet:
-    """Hosts, messages under way, host lists, and what upstreams started."""
+    """Simulates hosts, their network, the host lists and the upstreams.
+
+    Attributes:
+        hosts: Running hosts by name.
+        network: Messages in flight, oldest first.
+        lists: Names of the hosts in each revision of the host list.
+        started: Number of dispatches of each key.
+        now_s: Simulated time in seconds.
+        incarnations: Number of hosts that were started.
+    """
 
     hosts: dict[str, Host] = attrs.Factory(dict)
     network: list[Message] = attrs.Factory(list)
@@ -95,12 +112,12 @@
         return Instant(self.now_s, wall_ms)
 
     def publish(self, *names: str) -> int:
-        """Adds a revision of the host list; nobody has seen it yet."""
+        """Adds a revision of the host list, which no host has read yet."""
         self.lists.append(names)
         return len(self.lists)
 
     def start(self, name: str, revision: int = 0, skew_ms: int = 0) -> Host:
-        """Starts a host that reads a revision, the last one by default."""
+        """Starts a host that reads a revision, by default the newest."""
         self.incarnations += 1
         placement = self._placement(revision)
         number = self.incarnations
@@ -116,11 +133,11 @@
         return host
 
     def kill(self, name: str) -> None:
-        """Ends a host with all that it knows."""
+        """Stops a host, whose state is lost."""
         del self.hosts[name]
 
     def see(self, name: str, revision: int = 0) -> None:
-        """Lets a host read a revision of the list."""
+        """Lets a host read a revision of the list, by default the newest."""
         host = self.hosts[name]
         placement = self._placement(revision)
         self._run(name, host.holder.update(placement, self.at(host)))
@@ -132,7 +149,7 @@
         self._run(name, commands)
 
     def deliver(self, message: Message) -> None:
-        """Delivers a message; one to a host that is gone is lost."""
+        """Delivers a message; one to a stopped host is lost."""
         host = self.hosts.get(message.receiver)
         if host is None:
             return
@@ -149,7 +166,7 @@
     def deliver_all(
         self, passes: Callable[[Message], bool] = lambda _: True
     ) -> None:
-        """Delivers until nothing is under way; what doesn't pass is lost."""
+        """Delivers until no message is in flight; loses what doesn't pass."""
         while self.network:
             message = self.network.pop(0)
             if passes(message):
@@ -165,7 +182,7 @@
         seconds: float,
         passes: Callable[[Message], bool] = lambda _: True,
     ) -> None:
-        """Lets time pass, with all timers and all messages that pass."""
+        """Advances the time, with all timers and the messages that pass."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.deliver_all(passes)
@@ -175,14 +192,14 @@
         self.deliver_all(passes)
 
     def dispatch_granted(self) -> int:
-        """Sends all granted requests; returns the most starts of one key."""
+        """Dispatches all granted requests; returns the most starts of a key."""
         for name, host in self.hosts.items():
             for key in tuple(host.granted):
                 self.dispatch(name, key)
         return max(self.started.values(), default=0)
 
     def dispatch(self, name: str, key: bytes) -> None:
-        """Sends a granted request to the upstream, perhaps long after."""
+        """Dispatches a granted request to the upstream."""
         self.hosts[name].granted.remove(key)
         self.started[key] += 1
 
@@ -193,7 +210,7 @@
         """Claims a key with a working network; dispatches it if granted.
 
         Returns:
-            `granted`, or the refusal's outcome.
+            `granted`, or the outcome of the refusal.
         """
         host = self.hosts[name]
         before = len(host.refused)
@@ -224,7 +241,7 @@
 
 
 def make_fleet(*names: str) -> Fleet:
-    """Returns hosts that have read one list and become active."""
+    """Returns hosts that have read the same list and are active."""
     fleet = Fleet()
     fleet.publish(*names)
     for name in names:
@@ -234,5 +251,5 @@
 
 
 def fresh_key(fleet: Fleet, number: int = 0, slot: int = 0) -> bytes:
-    """Returns a key that a caller makes up now."""
+    """Returns a key whose time is now."""
     return make_key(START_MS + int(fleet.now_s * 1000), number, slot)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/conftest.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests of claims."""
+"""Fixtures of the tests of claims."""
 
 import pytest
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture(autouse=True)
 def _one_slot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Holders look after slot 0 alone; the others only take time."""
+    """Limits holders to slot 0: other slots only cost time."""
     monkeypatch.setattr(_holder, "SLOTS", 1)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Holders that change while hosts come, go and stop."""
+"""Tests claims while hosts are added, replaced and lost."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def replace(fleet: Fleet, old: str, new: str) -> None:
-    """Replaces a host as the platform does, and waits for the handover."""
+    """Replaces a host as the platform does and waits for the handover."""
     names = [n for n in fleet.lists[-1] if n != old]
     fleet.publish(*names, f"~{old}", new)
     fleet.start(new)
@@ -40,7 +40,7 @@
 
 
 class TestReplacement:
-    """Hosts that are replaced one after another."""
+    """Tests claims of hosts that are replaced or lost."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 5, 7])
     def test_claims_outlive_every_host_that_granted_them(
@@ -62,9 +62,10 @@
     def test_slot_grants_again_after_a_minority_is_lost(
         self, size: int, lost: int
     ) -> None:
-        """Lookups of half a data centre's keys fail for good after a crash.
+        """Guards against slots that grant nothing after a tolerable loss.
 
-        One of two holders was lost; the other alone is no majority of two.
+        Of two holders one is lost. The other is no majority of two, but knows
+        of every majority of grants.
         """
         names = [f"h{i}" for i in range(size)]
         fleet = make_fleet(*names)
@@ -107,7 +108,7 @@
 
 
 class TestViews:
-    """Hosts whose lists lag, or skipped revisions."""
+    """Tests hosts whose lists are outdated or skipped revisions."""
 
     @pytest.mark.parametrize("stale", ["coordinator", "holders"])
     def test_outdated_host_list_is_corrected(self, stale: str) -> None:
@@ -122,9 +123,10 @@
         assert fleet.try_key(name, fresh_key(fleet)) == "granted"
 
     def test_an_unchanged_group_keeps_its_epoch(self) -> None:
-        """Holders stop granting although none of them was replaced.
+        """Guards against an outage though no holder was replaced.
 
-        One skipped a revision, and so dates the same holders later.
+        One holder skipped a revision and knows the same holders only from a
+        later revision on.
         """
         fleet = make_fleet("a", "b")
         fleet.publish("a", "b", "c")
@@ -140,10 +142,11 @@
         assert {epoch.revision for epoch in epochs} == {2}
 
     def test_hosts_agree_on_the_revision_of_unchanged_holders(self) -> None:
-        """Two holders keep a core busy with messages and never grant.
+        """Guards against a learner that alternates between two revisions.
 
-        One saw the holders at revision 3, an earlier holder at 4. The one
-        sent the learner to 4, the other back to 3, as fast as they answered.
+        A holder saw the present holders at revision 3, an earlier holder at 4.
+        One answer moves the learner to 4, the other back to 3, as fast as they
+        arrive, and the slot never becomes active.
         """
         fleet = make_fleet("a", "b", "c")
         fleet.publish("a")
@@ -169,7 +172,7 @@
 
 
 class TestTraffic:
-    """How many messages and records go over the network."""
+    """Tests how many messages and records are sent."""
 
     def count(self, fleet: Fleet, kind: type) -> int:
         bodies: list[object] = []
@@ -231,12 +234,12 @@
 
 
 class TestRecords:
-    """What is remembered of one slot's keys."""
+    """Tests the records of the keys of one slot."""
 
     def test_refusals_of_one_coordinator_share_one_entry(self) -> None:
-        """A holder's memory fills with a caller that comes back for a day.
+        """Guards against records that grow with each retry of a caller.
 
-        Each time its request isn't run and its attempt is refused for good.
+        Each retry is a new attempt, which isn't run and is refused for good.
         """
         records = make_fleet("a").hosts["a"].holder._slots[0].records
         key = make_key(1)
@@ -250,7 +253,7 @@
         }
 
     def test_a_refusal_keeps_an_earlier_grant(self) -> None:
-        """An order goes out twice: a later attempt's end hid the earlier."""
+        """Guards against a grant lost by the release of a later attempt."""
         records = make_fleet("a").hosts["a"].holder._slots[0].records
         key, first, second = make_key(1), Attempt("a/1", 1), Attempt("a/1", 2)
         records.grant(key, first, ClaimOutcome.COMPLETE)
@@ -275,7 +278,7 @@
 
 
 class TestFirstHolders:
-    """A data centre whose hosts all start empty."""
+    """Tests a data centre whose hosts all start without records."""
 
     def test_a_silent_listed_host_keeps_the_slot_closed(self) -> None:
         fleet = Fleet()
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims among holders that stay the same."""
+"""Tests claims among holders that stay the same."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class TestKeys:
-    """Claim keys, from what the caller sends."""
+    """Tests claim keys and the `Idempotency-Key` headers without one."""
 
     def test_key_starts_with_the_uuid_time(self) -> None:
         key = claim_key("c", "s", UUID)
@@ -43,7 +43,7 @@
 
 
 class TestGrant:
-    """Grants, releases and records."""
+    """Tests grants, releases and recorded outcomes."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 4, 5, 8])
     def test_a_fresh_key_is_granted_once(self, size: int) -> None:
@@ -84,10 +84,11 @@
         assert fleet.try_key("b", key) == "granted"
 
     def test_a_late_request_of_a_released_attempt_is_refused(self) -> None:
-        """A key stays blocked although its attempt was given up.
+        """Guards against a key that stays blocked by a released attempt.
 
-        The request for a grant overtakes nothing: it arrives after the
-        release. Without a mark the holder would grant it, for ever.
+        The request for a grant arrives after the release. Unless the holder
+        has recorded the refusal, it grants the key to the dead attempt for
+        good.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
@@ -114,13 +115,13 @@
 
 
 class TestHalfFinished:
-    """Attempts that got no majority, or may have one."""
+    """Tests attempts without a majority, or of which that is unknown."""
 
     def test_a_retry_cancels_the_grant_of_a_lost_host(self) -> None:
-        """A key is refused for ever after its first host died.
+        """Guards against a key that is refused for good after a host is lost.
 
-        The host got one of five grants and was lost. No majority can come to
-        exist, yet each later attempt finds the grant in its way.
+        The host got one of five grants and was lost. It can't reach a majority
+        any more, but each later attempt finds its grant.
         """
         fleet = make_fleet("a", "b", "c", "d", "e", "f")
         key = fresh_key(fleet)
@@ -130,10 +131,10 @@
         assert fleet.try_key("b", key) == "granted"
 
     def test_a_possible_majority_is_not_cancelled(self) -> None:
-        """A key runs twice although its first host is merely slow.
+        """Guards against a second run of a request whose first host is slow.
 
-        Two of three holders granted to a host that hasn't dispatched yet; the
-        second attempt must not clear these grants away.
+        Two of three holders granted the key to a host that hasn't dispatched
+        the request yet. The second attempt must not cancel these grants.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
@@ -178,7 +179,7 @@
 
 
 class TestTimes:
-    """Keys that are old, or ahead of the clock."""
+    """Tests keys that are old or ahead of the clock."""
 
     @pytest.mark.parametrize(
         ("offset_ms", "result", "reason"),
@@ -205,10 +206,10 @@
             assert is_retryable == (offset_ms < 60_000)
 
     def test_evicted_keys_are_never_granted(self) -> None:
-        """A caller that never gives up sees its order run twice.
+        """Guards against a second run after the key's record was evicted.
 
-        Its first send ran; holders forgot it after a day; a later retry under
-        the same key finds nobody who remembers.
+        The first request ran, and the holders evicted its key after the
+        retention time. A later retry with the same key finds no record.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
@@ -221,7 +222,10 @@
         assert fleet.try_key("b", key) == "may-have-run"
 
     def test_a_clock_set_back_grants_no_evicted_key(self) -> None:
-        """As above, but the holders' clocks go back after forgetting."""
+        """Guards against a second run after clocks are set back.
+
+        The holders evicted the key; by their clocks it is recent again.
+        """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         assert fleet.try_key("a", key) == "granted"
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""A state machine that looks for a sequence by which a key starts twice."""
+"""Searches with a state machine for sequences that start a key twice."""
 
 from collections.abc import Callable
 
@@ -23,8 +23,8 @@
 from hollyknot_state import Attempt, Outcome
 
 ANCHOR = "a"
-"""Listed and up at all times: what happens when every host of a data centre
-is gone at once, unseen, is not promised."""
+"""A host that is listed and up at all times. Claims guarantee nothing if all
+hosts of a data centre are lost at once, unnoticed."""
 
 NAMES = ("a", "b", "c", "d", "e", "f", "g", "h")
 MAX_LISTED = 5
@@ -33,7 +33,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Hosts, lists, messages and pauses, in any order."""
+    """Changes hosts, lists, messages and clocks in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,7 +56,7 @@
         return names[number % len(names)]
 
     def reachable(self, mask: int) -> list[str]:
-        """Returns the hosts that reach each other, the anchor mostly."""
+        """Returns the hosts that a mask selects, the anchor if there is none."""
         names = sorted(self.fleet.hosts)
         return [n for i, n in enumerate(names) if mask >> i & 1] or [ANCHOR]
 
@@ -72,7 +72,7 @@
     @precondition(lambda self: self.fleet.network)
     @rule(message=picks, keep=st.booleans())
     def deliver(self, message: int, keep: bool) -> None:
-        """Delivers any message, first or last; it may come again."""
+        """Delivers any message in flight, and may keep it for a duplicate."""
         network = self.fleet.network
         chosen = network[message % len(network)]
         if not keep:
@@ -88,7 +88,7 @@
 
     @rule(mask=subsets, rounds=st.sampled_from([1, 4, 20]))
     def run_part(self, mask: int, rounds: int) -> None:
-        """Some hosts work and reach each other; all else waits."""
+        """Runs some hosts, which reach each other; other messages wait."""
         names = self.reachable(mask)
         passes = among(*names)
         for _ in range(rounds):
@@ -118,7 +118,7 @@
 
     @rule(mask=subsets, added=st.integers(0, 2), aware=subsets)
     def change(self, mask: int, added: int, aware: int) -> None:
-        """A change of the list that some hosts hear of at once."""
+        """Changes the host list; some hosts read it at once."""
         self.publish(mask, added)
         for name in self.fleet.lists[-1]:
             if name in self.spare:
@@ -132,7 +132,7 @@
 
     @rule(host=picks, step=st.sampled_from([1, 1, 2, 3]))
     def see(self, host: int, step: int) -> None:
-        """A host reads a newer list, perhaps after skipping some."""
+        """Lets a host read a newer list, which may skip revisions."""
         name = self.pick(host)
         revision = min(self.seen[name] + step, len(self.fleet.lists))
         if revision > self.seen[name]:
@@ -158,7 +158,7 @@
 
     @rule(host=picks, key=st.integers(0, 1), not_run=st.booleans())
     def finish(self, host: int, key: int, not_run: bool) -> None:
-        """A granted request goes out, long after perhaps, and ends."""
+        """Dispatches and ends a granted request, or ends it as not run."""
         name, claimed = self.pick(host), self.keys[key]
         granted = self.fleet.hosts[name].coordinator._granted.get(claimed)
         if granted is None:
@@ -176,7 +176,7 @@
 
     @invariant()
     def at_most_one_may_run(self) -> None:
-        """Every attempt that was granted and not released may yet start."""
+        """Checks that one granted and unreleased attempt at most may run."""
         for host in self.fleet.hosts.values():
             for key, attempt in host.coordinator._granted.items():
                 self.outstanding[key].add(attempt.attempt)
@@ -184,7 +184,7 @@
         assert all(count <= 1 for count in self.fleet.started.values())
 
     def teardown(self) -> None:
-        """A quiet, connected system that lost no host grants a fresh key."""
+        """Checks that a connected fleet that lost no host grants a new key."""
         listed = {name for names in self.fleet.lists for name in names}
         if listed & self.killed:
             return
@@ -200,7 +200,7 @@
 
 
 class TestClaimMachine:
-    """The machine on the real code, and on code that is broken."""
+    """Runs the machine on the real code and on code without a rule."""
 
     @pytest.fixture(autouse=True)
     def _small(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -215,7 +215,7 @@
                 deadline=None,
                 max_examples=examples,
                 stateful_step_count=steps,
-                # What was found needn't be made small: that takes minutes.
+                # Examples aren't shrunk: that would take minutes.
                 phases=[Phase.generate],
                 suppress_health_check=list(HealthCheck),
             ),
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests that a placement made from an earlier one is the same."""
+"""Tests that a placement made from an earlier one equals a new one."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 
 class TestMakePlacement:
-    """Taking over what did not change changes nothing."""
+    """Tests that reusing the results of an earlier placement is safe."""
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(lists=_LISTS, centres=st.lists(st.integers(2, 3), min_size=4))
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Tests that a release reaches every holder in the end, and then stops."""
+"""Tests that releases are repeated until every holder acknowledged them."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 def _no_answers(message: Message) -> bool:
-    """Holders hear the coordinator; their answers are lost."""
+    """Passes the requests for grants; loses the answers and the releases."""
     return not isinstance(message.body, ClaimAnswer | ReleaseClaim)
 
 
@@ -32,7 +32,7 @@
 
 
 def _sends_of(fleet: Fleet, name: str) -> int:
-    """Counts what a host sends in two minutes in which nothing happens."""
+    """Counts the messages that a host sends in two minutes without claims."""
     count = 0
     for _ in range(1_200):
         fleet.now_s += 0.1
@@ -43,17 +43,16 @@
 
 
 class TestReleases:
-    """Releases that a cut has lost."""
+    """Tests releases that a network partition has lost."""
 
     @pytest.mark.parametrize("names", ["abc", "abcde"])
     def test_lost_releases_are_repeated(self, names: str) -> None:
-        """A key whose grant was given up in a cut can be claimed after it.
+        """Guards against a request that can never run after a partition.
 
-        Symptom: each later attempt is told that the call may have run, and it
-        never runs.
-        Sequence: all holders grant; their answers are lost; the coordinator
-        gives up and says "not run"; its releases are lost, too.
-        Cause: a release was sent once.
+        All holders grant the key, but their answers are lost, so that the
+        coordinator refuses with "not run". Its releases are lost, too. If they
+        were sent only once, each later attempt would be refused because the
+        request may have run.
         """
         fleet = make_fleet(*names)
         key = _claim_in_a_partition(fleet, _no_answers)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
@@ -1,7 +1,7 @@
-"""Each rule of safety, and what happens without it.
+"""Tests each safety rule of claims by a sequence that depends on it.
 
-Each sequence keeps to one start of the key; with its rule switched off, the
-same sequence starts it twice. So the sequences can fail, and do.
+With all rules, each sequence starts the key at most once. Without its rule, the
+same sequence starts the key twice, which shows that the sequence can fail.
 """
 
 from collections.abc import Callable
@@ -46,16 +46,16 @@
 def claim_in_partition(
     fleet: Fleet, name: str, key: bytes, *names: str
 ) -> None:
-    """Claims a key while only some hosts reach one another."""
+    """Claims a key while only the named hosts reach one another."""
     fleet.claim(name, key)
     fleet.run_for(2.5, among(*names))
 
 
 def outdated_coordinator(fleet: Fleet) -> None:
-    """An order goes out twice: once by the old holders, once by the new.
+    """Claims a key from the old holders and from the new ones.
 
-    Two of three holders are replaced; a host that hasn't seen the new list
-    asks the old ones, which are still up.
+    Two of three holders are replaced. A host that hasn't read the new list asks
+    the old ones, which are still up.
     """
     fleet.publish("c", "d", "e")
     fleet.see("c")
@@ -69,10 +69,10 @@
 
 
 def new_holders_know_nothing(fleet: Fleet) -> None:
-    """An order goes out twice around a replacement of holders.
+    """Claims a key again from new holders without its records.
 
-    It ran by the grants of two holders; the list then names two new ones,
-    which cannot reach the old.
+    The key was granted by two holders. The list then names two new ones, which
+    can't reach the old ones.
     """
     key = fresh_key(fleet)
     claim_in_partition(fleet, "b", key, "a", "b")
@@ -85,10 +85,10 @@
 
 
 def granted_and_paused(fleet: Fleet) -> None:
-    """An order goes out twice: its first host was only slow.
+    """Claims a key again while its first host is paused.
 
-    The first attempt has two of three grants and pauses; the second finds
-    them in its way.
+    The first attempt has two of three grants and has not dispatched yet; the
+    second finds these grants.
     """
     key = fresh_key(fleet)
     claim_in_partition(fleet, "a", key, "a", "b")
@@ -97,7 +97,7 @@
 
 
 def two_pairs_of_five(fleet: Fleet) -> None:
-    """An order goes out twice: each side of a cut has two of five holders."""
+    """Claims a key on both sides of a partition, with two holders each."""
     key = fresh_key(fleet)
     fleet.claim("a", key)
     fleet.claim("c", key)
@@ -105,7 +105,7 @@
 
 
 def older_than_retention(fleet: Fleet) -> None:
-    """An order goes out again when its caller comes back the next day."""
+    """Claims a key again after its retention time."""
     key = fresh_key(fleet)
     fleet.claim("a", key)
     fleet.run_for(0.5)
@@ -116,9 +116,9 @@
 
 
 def holders_that_stay(fleet: Fleet) -> None:
-    """An order goes out twice after a data centre shrank from five to two.
+    """Claims a key again after a data centre shrank from five hosts to two.
 
-    Three of five holders granted it; the other two are all that is left.
+    Three of five holders granted it; the other two are the new holders.
     """
     key = fresh_key(fleet)
     claim_in_partition(fleet, "a", key, "a", "b", "c")
@@ -129,10 +129,11 @@
 
 
 def grants_of_two_groups(fleet: Fleet) -> None:
-    """An order goes out twice: grants of old and new holders were added up.
+    """Claims a key with grants of both old and new holders.
 
-    The first attempt has one old grant, which the new holders didn't hear
-    of, and then gets one new grant; a second one gets the other two.
+    The first attempt has one grant of an old holder, which the new holders
+    don't know of, and then gets one grant of a new holder. A second attempt
+    gets the other two.
     """
     key = fresh_key(fleet)
     fleet.claim("a", key, 60.0)
@@ -148,10 +149,10 @@
 
 
 def cancelled_and_late(fleet: Fleet) -> None:
-    """An order goes out twice: a cancelled attempt was granted after all.
+    """Delivers the request for a grant of an attempt after its cancellation.
 
-    It has two of five grants and its request to `e` is late. Another attempt
-    has it cancelled, with the promise of `e`, and gets its two grants.
+    The attempt has two of five grants, and its request to `e` is late. Another
+    attempt cancels it, with the promise of `e`, and gets its two grants.
     """
     key = fresh_key(fleet)
     fleet.claim("e", key, 60.0)
@@ -171,7 +172,7 @@
 
 
 def restarted_under_its_name(fleet: Fleet) -> None:
-    """An order goes out twice: a holder restarted and forgot its grant."""
+    """Claims a key again after a holder restarted and lost its grant."""
     key = fresh_key(fleet)
     claim_in_partition(fleet, "a", key, "a", "b")
     fleet.kill("b")
@@ -181,9 +182,10 @@
 
 
 def successor_of_a_leaving_host(fleet: Fleet) -> None:
-    """An order goes out twice: the only host is leaving, not gone.
+    """Claims a key from a leaving host, the only one, and from its successor.
 
-    Its successor takes itself for the first holder ever.
+    A successor that doesn't ask the leaving host concludes that it is the first
+    holder ever.
     """
     fleet.publish("~a", "n")
     fleet.start("n")
@@ -195,7 +197,7 @@
 
 
 def all_lost(fleet: Fleet) -> None:
-    """An order goes out twice: every host that knew of it was lost."""
+    """Claims a key again after every host that knew of it was lost."""
     key = fresh_key(fleet)
     fleet.claim("a", key)
     fleet.run_for(0.5)
@@ -208,10 +210,10 @@
 
 
 def skipped_revision(fleet: Fleet) -> None:
-    """An order goes out twice after one of two holders skipped a list.
+    """Claims a key again after one of two holders skipped a revision.
 
-    The list went from a, b by a, c to b, d. With c, a granted the order; b
-    and d, who saw only the last list, heard just of a and b.
+    The list changed from a, b to a, c and then to b, d. The key was granted by
+    a and c. b and d read only the last list and know only the epoch of a and b.
     """
     fleet.publish("a", "c")
     fleet.see("a")
@@ -227,9 +229,9 @@
 
 
 def discarded_too_early(fleet: Fleet) -> None:
-    """An order goes out twice: old holders forgot it after a replacement.
+    """Claims a key again after old holders dropped its record.
 
-    One of three new holders had learnt it and was lost.
+    Only one of three new holders had learnt the key, and that one was lost.
     """
     key = fresh_key(fleet)
     claim_in_partition(fleet, "b", key, "a", "b")
@@ -254,7 +256,7 @@
 
 
 def without_seal(monkeypatch: Patch) -> None:
-    """Old holders go on granting."""
+    """Lets old holders go on granting."""
     real = _seal.handle_question
 
     def handle_question(slot: Slot, question: SlotQuestion) -> SlotAnswerKind:
@@ -266,12 +268,12 @@
 
 
 def without_abstaining(monkeypatch: Patch) -> None:
-    """A new holder grants before it has learnt."""
+    """Lets a new holder grant before it has learnt."""
     monkeypatch.setattr(Slot, "is_active", True)
 
 
 def without_proof(monkeypatch: Patch) -> None:
-    """Another attempt's grants are released unproved."""
+    """Releases a rival's grants without proof that it never runs."""
 
     def clear(self: _attempt.ClaimAttempt) -> _attempt.AttemptStatus:
         for rival in self._rivals.values():
@@ -284,12 +286,12 @@
 
 
 def without_horizon(monkeypatch: Patch) -> None:
-    """A key is granted whatever its time."""
+    """Grants a key whatever its time is."""
     monkeypatch.setattr(_grants, "_check_time", lambda *_: None)
 
 
 def without_learning_of_stayers(monkeypatch: Patch) -> None:
-    """Who held the slot before doesn't learn."""
+    """Lets hosts that held the slot before grant without learning."""
     real = SlotLearner.begin
 
     def begin(self: SlotLearner, number: int, slot: Slot, now: object) -> None:
@@ -302,7 +304,7 @@
 
 
 def without_groups(monkeypatch: Patch) -> None:
-    """Grants of different holders are added up."""
+    """Adds up grants of different groups of holders."""
 
     def move_to(
         self: _attempt.ClaimAttempt, group: tuple[str, ...], revision: int
@@ -317,43 +319,49 @@
 
 
 def without_marks(monkeypatch: Patch) -> None:
-    """A refused attempt can be granted later."""
+    """Lets a refused attempt be granted later."""
     monkeypatch.setattr(SlotRecords, "refuses", lambda *_: False)
 
 
 def without_names(monkeypatch: Patch) -> None:
-    """A restarted holder takes its old place."""
+    """Lets a restarted holder take its old place."""
     monkeypatch.setattr(Holder, "_is_reused", lambda *_: False)
 
 
 def without_leaving(monkeypatch: Patch) -> None:
-    """Leaving hosts aren't asked by a first holder."""
+    """Lets a first holder not ask leaving hosts."""
     monkeypatch.setattr(Placement, "listed", Placement.hosts)
 
 
 def without_margin(monkeypatch: Patch) -> None:
-    """A first holder grants keys of before its start."""
+    """Lets a first holder grant keys from before its start."""
     monkeypatch.setattr(ClaimOptions, "opening_margin_s", 0.0)
 
 
 def without_majority_of_readers(monkeypatch: Patch) -> None:
-    """A minority that would block is always enough."""
+    """Settles every epoch with the answers of a blocking minority."""
     monkeypatch.setattr(_learning_step, "majority", blocking_minority)
 
 
 def without_majority_of_successors(monkeypatch: Patch) -> None:
-    """One new holder is enough for the old to forget."""
+    """Lets old holders drop their records once one new holder is active."""
     monkeypatch.setattr(_handovers, "majority", lambda _: 1)
 
 
 def with_two_of_five(monkeypatch: Patch) -> None:
-    """Half a group, rounded down, is a majority."""
+    """Counts half a group, rounded down, as a majority."""
     monkeypatch.setattr(_attempt, "majority", lambda group: len(group) // 2)
 
 
 @attrs.frozen
 class Case:
-    """A sequence, the hosts it begins with, and the rule that it needs."""
+    """A sequence and the rule that it depends on.
+
+    Attributes:
+        hosts: Names of the hosts at its start, one letter each.
+        sequence: The function that plays the sequence.
+        switch_off: The function that switches the rule off.
+    """
 
     hosts: str
     sequence: Callable[[Fleet], None]
@@ -381,7 +389,7 @@
     "case", CASES, ids=lambda case: case.switch_off.__name__
 )
 class TestRule:
-    """Sequences in which one rule alone prevents a second start."""
+    """Tests sequences in which one rule alone prevents a second start."""
 
     @pytest.mark.fault(
         fault="host pause",
