--- a/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_coordinator.py
@@ -213,7 +213,7 @@
                 return []
             status = AttemptStatus.BLOCKED
         if status is AttemptStatus.BLOCKED:
-            return self._cancel_others(pending, now)
+            return self._cancel_rivals(pending, now)
         if status is AttemptStatus.CLEARED:
             return self._start_new_round(pending, now)
         return self._refuse(pending)
@@ -227,7 +227,7 @@
             and attempt.status_at_deadline() is AttemptStatus.BLOCKED
         )
 
-    def _cancel_others(
+    def _cancel_rivals(
         self, pending: _PendingClaim, now: Instant
     ) -> list[ClaimCommand]:
         if pending.attempt.rounds >= self.options.max_rounds:
--- a/packages/coordination/src/hollyknot_coordination/claims/_holder.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_holder.py
@@ -225,14 +225,14 @@
         self, sender: str, message: ReleaseClaim
     ) -> list[SendClaim]:
         _grants.handle_release(self._slot(slot_of(message.key)), message)
-        taken = ClaimAnswer(
+        acknowledgement = ClaimAnswer(
             message.key,
             message.attempt,
             message.attempt,
             ClaimAnswerKind.RELEASED,
             0,
         )
-        return [SendClaim(sender, taken)]
+        return [SendClaim(sender, acknowledgement)]
 
     def _answer_questions(
         self, sender: str, message: LearnSlots, now: Instant
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
@@ -130,7 +130,7 @@
         fleet.kill("f")
         assert fleet.try_key("b", key) == "granted"
 
-    def test_a_possible_majority_is_not_cancelled(self) -> None:
+    def test_an_attempt_with_a_possible_majority_is_not_cancelled(self) -> None:
         """Guards against a second run of a request whose first host is slow.
 
         Two of three holders granted the key to a host that hasn't dispatched
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
@@ -240,11 +240,11 @@
         "switch_off",
         [
             test_rules.with_two_of_five,
-            test_rules.without_abstaining,
+            test_rules.without_waiting_to_learn,
             test_rules.without_proof,
         ],
     )
-    def test_the_machine_finds_a_missing_rule(
+    def test_machine_fails_without_a_rule(
         self,
         switch_off: Callable[[pytest.MonkeyPatch], None],
         monkeypatch: pytest.MonkeyPatch,
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
@@ -68,7 +68,7 @@
     fleet.run_for(3.0)
 
 
-def new_holders_know_nothing(fleet: Fleet) -> None:
+def new_holders_without_records(fleet: Fleet) -> None:
     """Claims a key again from new holders without its records.
 
     The key was granted by two holders. The list then names two new ones, which
@@ -115,7 +115,7 @@
     fleet.run_for(3.0)
 
 
-def holders_that_stay(fleet: Fleet) -> None:
+def previous_holders_that_stay(fleet: Fleet) -> None:
     """Claims a key again after a data centre shrank from five hosts to two.
 
     Three of five holders granted it; the other two are the new holders.
@@ -267,7 +267,7 @@
     monkeypatch.setattr(_seal, "handle_question", handle_question)
 
 
-def without_abstaining(monkeypatch: Patch) -> None:
+def without_waiting_to_learn(monkeypatch: Patch) -> None:
     """Lets a new holder grant before it has learnt."""
     monkeypatch.setattr(Slot, "is_active", True)
 
@@ -290,7 +290,7 @@
     monkeypatch.setattr(_grants, "_check_time", lambda *_: None)
 
 
-def without_learning_of_stayers(monkeypatch: Patch) -> None:
+def without_learning_by_previous_holders(monkeypatch: Patch) -> None:
     """Lets hosts that held the slot before grant without learning."""
     real = SlotLearner.begin
 
@@ -303,7 +303,7 @@
     monkeypatch.setattr(SlotLearner, "begin", begin)
 
 
-def without_groups(monkeypatch: Patch) -> None:
+def without_counting_by_group(monkeypatch: Patch) -> None:
     """Adds up grants of different groups of holders."""
 
     def move_to(
@@ -318,27 +318,27 @@
     monkeypatch.setattr(_attempt.ClaimAttempt, "move_to", move_to)
 
 
-def without_marks(monkeypatch: Patch) -> None:
+def without_recorded_refusals(monkeypatch: Patch) -> None:
     """Lets a refused attempt be granted later."""
     monkeypatch.setattr(SlotRecords, "refuses", lambda *_: False)
 
 
-def without_names(monkeypatch: Patch) -> None:
+def without_name_check(monkeypatch: Patch) -> None:
     """Lets a restarted holder take its old place."""
     monkeypatch.setattr(Holder, "_is_reused", lambda *_: False)
 
 
-def without_leaving(monkeypatch: Patch) -> None:
+def without_asking_leaving_hosts(monkeypatch: Patch) -> None:
     """Lets a first holder not ask leaving hosts."""
     monkeypatch.setattr(Placement, "listed", Placement.hosts)
 
 
-def without_margin(monkeypatch: Patch) -> None:
+def without_opening_margin(monkeypatch: Patch) -> None:
     """Lets a first holder grant keys from before its start."""
     monkeypatch.setattr(ClaimOptions, "opening_margin_s", 0.0)
 
 
-def without_majority_of_readers(monkeypatch: Patch) -> None:
+def without_majority_of_answers(monkeypatch: Patch) -> None:
     """Settles every epoch with the answers of a blocking minority."""
     monkeypatch.setattr(_learning_step, "majority", blocking_minority)
 
@@ -370,17 +370,21 @@
 
 CASES = (
     Case("abc", outdated_coordinator, without_seal),
-    Case("abc", new_holders_know_nothing, without_abstaining),
+    Case("abc", new_holders_without_records, without_waiting_to_learn),
     Case("abc", granted_and_paused, without_proof),
     Case("abcde", two_pairs_of_five, with_two_of_five),
     Case("abc", older_than_retention, without_horizon),
-    Case("abcde", holders_that_stay, without_learning_of_stayers),
-    Case("abc", grants_of_two_groups, without_groups),
-    Case("abcde", cancelled_and_late, without_marks),
-    Case("abc", restarted_under_its_name, without_names),
-    Case("a", successor_of_a_leaving_host, without_leaving),
-    Case("a", all_lost, without_margin),
-    Case("ab", skipped_revision, without_majority_of_readers),
+    Case(
+        "abcde",
+        previous_holders_that_stay,
+        without_learning_by_previous_holders,
+    ),
+    Case("abc", grants_of_two_groups, without_counting_by_group),
+    Case("abcde", cancelled_and_late, without_recorded_refusals),
+    Case("abc", restarted_under_its_name, without_name_check),
+    Case("a", successor_of_a_leaving_host, without_asking_leaving_hosts),
+    Case("a", all_lost, without_opening_margin),
+    Case("ab", skipped_revision, without_majority_of_answers),
     Case("abc", discarded_too_early, without_majority_of_successors),
 )
 
@@ -402,7 +406,7 @@
         case.sequence(fleet)
         assert fleet.dispatch_granted() <= 1
 
-    def test_without_the_rule_it_starts_twice(
+    def test_key_starts_twice_without_the_rule(
         self, case: Case, monkeypatch: Patch
     ) -> None:
         fleet = make_fleet(*case.hosts)
