--- a/packages/coordination/src/hollyknot_coordination/claims/_holder.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_holder.py
@@ -31,9 +31,10 @@
 
 _MS = 1000
 _MIN_PAGE = 8
-"""Records with which each question is answered even if the message is full.
+"""Records that each question may get even if the message is full.
 
-Without it the questions after the first would have to wait for its records.
+Without it, the later questions of a message would get no records until those of
+the first question have been sent.
 """
 
 
