--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_machine.py
@@ -56,7 +56,7 @@
         return names[number % len(names)]
 
     def reachable(self, mask: int) -> list[str]:
-        """Returns the hosts that a mask selects; the anchor if it's none."""
+        """Returns the hosts that a mask selects, or else the anchor."""
         names = sorted(self.fleet.hosts)
         return [n for i, n in enumerate(names) if mask >> i & 1] or [ANCHOR]
 
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_rules.py
@@ -213,7 +213,8 @@
     """Claims a key again after one of two holders skipped a revision.
 
     The list changed from a, b to a, c and then to b, d. The key was granted by
-    a and c. b and d read only the last list and know only the epoch of a and b.
+    a and c. b and d never read the list with a, c and know only the epoch of a
+    and b.
     """
     fleet.publish("a", "c")
     fleet.see("a")
