--- a/packages/coordination/src/hollyknot_coordination/claims/_grants.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/_grants.py
@@ -1,4 +1,4 @@
-"""A holder's decisions on single keys: grant, promise, release, record."""
+"""Decides what a holder answers to a message about a single key."""
 
 import attrs
 
@@ -27,31 +27,35 @@
     now: Instant,
     options: ClaimOptions,
 ) -> ClaimAnswer:
-    """Grants a key to an attempt, or tells why not."""
-    answer = _begin(slot, message.key, message.attempt, message.attempt)
-    wrong_view = _check_view(host, slot, message, answer)
-    if wrong_view is not None:
-        return wrong_view
-    timely = _check_time(slot, answer, now, options)
-    if timely is not None:
-        return timely
+    """Grants a key to an attempt, or returns why it can't."""
+    answer = _base_answer(slot, message.key, message.attempt, message.attempt)
+    view_refusal = _check_view(host, slot, message, answer)
+    if view_refusal is not None:
+        return view_refusal
+    time_refusal = _check_time(slot, answer, now, options)
+    if time_refusal is not None:
+        return time_refusal
     held = slot.records.held(message.key)
     if slot.records.refuses(message.key, message.attempt):
         return attrs.evolve(answer, kind=ClaimAnswerKind.CANCELLED, held=held)
-    if _others(held, message.attempt):
+    if _is_held_by_others(held, message.attempt):
         return attrs.evolve(answer, kind=ClaimAnswerKind.HELD, held=held)
     slot.records.grant(message.key, message.attempt)
     return attrs.evolve(answer, kind=ClaimAnswerKind.GRANTED)
 
 
 def answer_cancel(host: str, slot: Slot, message: CancelClaim) -> ClaimAnswer:
-    """Promises never to grant an attempt, unless it may hold the key."""
-    answer = _begin(slot, message.key, message.asker, message.attempt)
-    wrong_view = _check_view(host, slot, message, answer)
-    if wrong_view is not None:
-        return wrong_view
-    # The record of a key below the horizon may be forgotten: not to hold the
-    # attempt would then prove nothing.
+    """Promises never to grant an attempt, unless it may hold the key.
+
+    Returns:
+        The promise, or why the holder can't give it.
+    """
+    answer = _base_answer(slot, message.key, message.asker, message.attempt)
+    view_refusal = _check_view(host, slot, message, answer)
+    if view_refusal is not None:
+        return view_refusal
+    # Records of keys below the horizon may have been evicted, so that a missing
+    # record doesn't prove that the attempt wasn't granted.
     if key_time_ms(message.key) <= slot.horizon_ms:
         return attrs.evolve(answer, kind=ClaimAnswerKind.EXPIRED)
     held = slot.records.held(message.key)
@@ -61,11 +65,11 @@
     return attrs.evolve(answer, kind=ClaimAnswerKind.PROMISED, held=held)
 
 
-def take_release(slot: Slot, message: ReleaseClaim) -> None:
-    """Forgets a grant to an attempt that is proved never to run.
+def handle_release(slot: Slot, message: ReleaseClaim) -> None:
+    """Removes the grant of an attempt that is proved never to run.
 
     The attempt is refused from now on: its own request for a grant may still
-    be under way, and a grant after the release would block the key.
+    be in flight, and a grant after the release would block the key.
     """
     if key_time_ms(message.key) <= slot.horizon_ms:
         return
@@ -73,14 +77,14 @@
     slot.records.refuse(message.key, message.attempt)
 
 
-def take_outcome(slot: Slot, message: RecordClaim) -> None:
-    """Remembers how an attempt ended, if the key is held for it."""
+def handle_outcome(slot: Slot, message: RecordClaim) -> None:
+    """Records how an attempt ended, if the key is granted to it."""
     held = slot.records.held(message.key)
     if any(one.attempt == message.attempt for one in held):
         slot.records.grant(message.key, message.attempt, message.outcome)
 
 
-def _begin(
+def _base_answer(
     slot: Slot, key: bytes, asker: Attempt, attempt: Attempt
 ) -> ClaimAnswer:
     kind = ClaimAnswerKind.BEHIND
@@ -93,14 +97,15 @@
     message: GrantClaim | CancelClaim,
     answer: ClaimAnswer,
 ) -> ClaimAnswer | None:
-    """Returns the refusal if asker and holder differ over the holders."""
+    """Returns the refusal if asker and holder disagree on the holders."""
     if message.group == slot.digest and host in slot.epoch.holders:
         if slot.is_active:
             return None
         return attrs.evolve(answer, kind=ClaimAnswerKind.LEARNING)
     if message.revision < slot.seen and slot.epoch.holders:
-        # As a server of GIGA+ corrects a client's stale index: the asker gets
-        # just what it needs to ask the right hosts.
+        # The answer carries the newer holders, so that the asker can send its
+        # request to the right hosts at once (as servers of GIGA+ correct a
+        # client's stale index).
         return attrs.evolve(
             answer,
             kind=ClaimAnswerKind.NEWER,
@@ -113,7 +118,7 @@
 def _check_time(
     slot: Slot, answer: ClaimAnswer, now: Instant, options: ClaimOptions
 ) -> ClaimAnswer | None:
-    """Returns the refusal if a key is too old or too far ahead."""
+    """Returns the refusal if a key's time is too old or too far ahead."""
     time_ms = key_time_ms(answer.key)
     if time_ms <= slot.horizon_ms:
         return attrs.evolve(answer, kind=ClaimAnswerKind.EXPIRED)
@@ -129,5 +134,5 @@
     )
 
 
-def _others(held: tuple[HeldAttempt, ...], attempt: Attempt) -> bool:
+def _is_held_by_others(held: tuple[HeldAttempt, ...], attempt: Attempt) -> bool:
     return any(one.attempt != attempt for one in held)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Holders that change while hosts come, go and stop."""
+"""Tests claims while hosts are added, replaced and lost."""
 
 import pytest
 
@@ -8,10 +8,10 @@
     OPTIONS,
     Fleet,
     Message,
+    among,
     fresh_key,
     make_fleet,
     make_key,
-    only,
 )
 from hollyknot_state import (
     Attempt,
@@ -24,23 +24,23 @@
 
 
 def replace(fleet: Fleet, old: str, new: str) -> None:
-    """Replaces a host as the platform does, and waits for the handover."""
+    """Replaces a host as the platform does and waits for the handover."""
     names = [n for n in fleet.lists[-1] if n != old]
     fleet.publish(*names, f"~{old}", new)
     fleet.start(new)
     for name in fleet.hosts:
         fleet.see(name)
-    fleet.settle(6.0)
+    fleet.run_for(6.0)
     assert fleet.hosts[old].holder.pending_handovers == 0
     fleet.kill(old)
     fleet.publish(*names, new)
     for name in fleet.hosts:
         fleet.see(name)
-    fleet.settle(1.0)
+    fleet.run_for(1.0)
 
 
 class TestReplacement:
-    """Hosts that are replaced one after another."""
+    """Tests claims of hosts that are replaced or lost."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 5, 7])
     def test_claims_outlive_every_host_that_granted_them(
@@ -51,7 +51,7 @@
         key = fresh_key(fleet)
         assert fleet.try_key("h0", key) == "granted"
         fleet.finish("h0", key, Outcome.COMPLETE)
-        fleet.settle(0.5)
+        fleet.run_for(0.5)
         for index, name in enumerate(names):
             replace(fleet, name, f"n{index}")
         assert fleet.try_key("n0", key) == "may-have-run"
@@ -59,10 +59,13 @@
         assert fleet.try_key("n0", fresh_key(fleet, 1)) == "granted"
 
     @pytest.mark.parametrize(("size", "lost"), [(2, 1), (3, 1), (4, 2), (5, 2)])
-    def test_lost_hosts_leave_the_slot_open(self, size: int, lost: int) -> None:
-        """Lookups of half a data centre's keys fail for good after a crash.
+    def test_slot_grants_again_after_a_minority_is_lost(
+        self, size: int, lost: int
+    ) -> None:
+        """Guards against slots that grant nothing after a tolerable loss.
 
-        One of two holders was lost; the other alone is no majority of two.
+        Of two holders one is lost. The other is no majority of two, but knows
+        of every majority of grants.
         """
         names = [f"h{i}" for i in range(size)]
         fleet = make_fleet(*names)
@@ -74,11 +77,11 @@
         fleet.start("n")
         for name in fleet.hosts:
             fleet.see(name)
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         assert fleet.try_key("n", key) == "may-have-run"
         assert fleet.try_key("n", fresh_key(fleet, 1)) == "granted"
 
-    def test_a_lost_majority_closes_the_slot(self) -> None:
+    def test_slot_grants_nothing_after_a_majority_is_lost(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.kill("a")
         fleet.kill("b")
@@ -86,7 +89,7 @@
         fleet.see("c")
         fleet.start("d")
         fleet.start("e")
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         assert fleet.try_key("d", fresh_key(fleet)) == "not-run"
         verdict = fleet.hosts["d"].refused[-1].verdict
         assert verdict.reason is Reason.CLAIM_UNDECIDED
@@ -105,24 +108,25 @@
 
 
 class TestViews:
-    """Hosts whose lists lag, or skipped revisions."""
+    """Tests hosts whose lists are outdated or skipped revisions."""
 
     @pytest.mark.parametrize("stale", ["coordinator", "holders"])
-    def test_one_that_lags_is_corrected(self, stale: str) -> None:
+    def test_outdated_host_list_is_corrected(self, stale: str) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.publish("c", "d", "e")
         fleet.start("d")
         fleet.start("e")
         if stale == "coordinator":
             fleet.see("c")
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         name = "a" if stale == "coordinator" else "d"
         assert fleet.try_key(name, fresh_key(fleet)) == "granted"
 
     def test_an_unchanged_group_keeps_its_epoch(self) -> None:
-        """Holders stop granting although none of them was replaced.
+        """Guards against an outage though no holder was replaced.
 
-        One skipped a revision, and so dates the same holders later.
+        One holder skipped a revision and knows the same holders only from a
+        later revision on.
         """
         fleet = make_fleet("a", "b")
         fleet.publish("a", "b", "c")
@@ -130,18 +134,19 @@
         fleet.see("a", 2)
         fleet.start("c", 2)
         fleet.see("b", 3)
-        fleet.settle(2.0)
+        fleet.run_for(2.0)
         fleet.see("a", 3)
         fleet.see("c", 3)
         assert all(h.holder.active_slots() for h in fleet.hosts.values())
         epochs = {h.holder._slots[0].epoch for h in fleet.hosts.values()}
         assert {epoch.revision for epoch in epochs} == {2}
 
-    def test_hosts_agree_on_the_date_of_the_same_holders(self) -> None:
-        """Two holders keep a core busy with messages and never grant.
+    def test_hosts_agree_on_the_revision_of_unchanged_holders(self) -> None:
+        """Guards against a learner that alternates between two revisions.
 
-        One saw the holders at revision 3, an earlier holder at 4. The one
-        sent the learner to 4, the other back to 3, as fast as they answered.
+        A holder saw the present holders at revision 3, an earlier holder at 4.
+        One answer moves the learner to 4, the other back to 3, as fast as they
+        arrive, and the slot never becomes active.
         """
         fleet = make_fleet("a", "b", "c")
         fleet.publish("a")
@@ -154,20 +159,20 @@
         fleet.see("c", 4)
         fleet.start("d", 4)
         count = iter(range(2_000))
-        fleet.settle(3.0, lambda _: next(count) >= 0)
+        fleet.run_for(3.0, lambda _: next(count) >= 0)
         assert fleet.try_key("d", fresh_key(fleet)) == "granted"
 
     def test_a_restarted_host_says_that_its_name_is_reused(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.kill("b")
         fleet.start("b")
-        fleet.settle(1.0)
+        fleet.run_for(1.0)
         assert fleet.hosts["b"].holder.is_name_reused
         assert not fleet.hosts["b"].holder.active_slots()
 
 
 class TestTraffic:
-    """How many messages and records go over the network."""
+    """Tests how many messages and records are sent."""
 
     def count(self, fleet: Fleet, kind: type) -> int:
         bodies: list[object] = []
@@ -176,7 +181,7 @@
             bodies.append(message.body)
             return True
 
-        fleet.settle(3.0, note)
+        fleet.run_for(3.0, note)
         return sum(isinstance(body, kind) for body in bodies)
 
     def test_questions_of_many_slots_share_messages(
@@ -188,15 +193,15 @@
         for name in "abc":
             fleet.see(name)
         fleet.start("d")
-        slots_a_message = OPTIONS.questions_a_message
+        slots_per_message = OPTIONS.max_questions_per_message
         pairs = 4 * 3
-        at_most = 2 * pairs * -(-SLOTS // slots_a_message)
+        at_most = 2 * pairs * -(-SLOTS // slots_per_message)
         assert self.count(fleet, LearnSlots) <= at_most
         assert all(
             len(h.holder.active_slots()) == SLOTS for h in fleet.hosts.values()
         )
 
-    def test_an_unchanged_group_asks_nobody(self) -> None:
+    def test_an_unchanged_group_sends_no_questions(self) -> None:
         fleet = make_fleet("a", "b", "c")
         fleet.publish("a", "b", "c", "~x")
         for name in "abc":
@@ -223,18 +228,18 @@
                 sizes.append(sum(len(a.records) for a in answers))
             return True
 
-        fleet.settle(3.0, measure)
+        fleet.run_for(3.0, measure)
         assert fleet.hosts["b"].holder.records() == 5_001
-        assert max(sizes) <= OPTIONS.records_a_message
+        assert max(sizes) <= OPTIONS.max_records_per_message
 
 
 class TestRecords:
-    """What is remembered of one slot's keys."""
+    """Tests the records of the keys of one slot."""
 
-    def test_refusals_of_one_coordinator_take_one_place(self) -> None:
-        """A holder's memory fills with a caller that comes back for a day.
+    def test_refusals_of_one_coordinator_share_one_entry(self) -> None:
+        """Guards against records that grow with each retry of a caller.
 
-        Each time its request isn't run and its attempt is refused for good.
+        Each retry is a new attempt, which isn't run and is refused for good.
         """
         records = make_fleet("a").hosts["a"].holder._slots[0].records
         key = make_key(1)
@@ -248,7 +253,7 @@
         }
 
     def test_a_refusal_keeps_an_earlier_grant(self) -> None:
-        """An order goes out twice: a later attempt's end hid the earlier."""
+        """Guards against a grant lost by the release of a later attempt."""
         records = make_fleet("a").hosts["a"].holder._slots[0].records
         key, first, second = make_key(1), Attempt("a/1", 1), Attempt("a/1", 2)
         records.grant(key, first, ClaimOutcome.COMPLETE)
@@ -256,7 +261,7 @@
         records.refuse(key, second)
         assert [h.attempt for h in records.held(key)] == [first]
 
-    def test_pages_are_whole_and_forgetting_is_by_time(self) -> None:
+    def test_pages_are_complete_and_eviction_is_by_time(self) -> None:
         holder = make_fleet("a").hosts["a"].holder
         records: SlotRecords = holder._slots[0].records
         keys = [make_key(n * 20_000, n) for n in range(20)]
@@ -267,33 +272,33 @@
             found += [record.key for record in page]
             after = page[-1].key
         assert found == keys
-        assert records.forget(119_999) == 3
-        assert records.forget(120_000) == 3
+        assert records.evict(119_999) == 3
+        assert records.evict(120_000) == 3
         assert len(records) == 14
 
 
 class TestFirstHolders:
-    """A data centre whose hosts all start empty."""
+    """Tests a data centre whose hosts all start without records."""
 
     def test_a_silent_listed_host_keeps_the_slot_closed(self) -> None:
         fleet = Fleet()
         fleet.publish("a", "b")
         fleet.start("a")
-        fleet.settle(8.0)
+        fleet.run_for(8.0)
         assert not fleet.hosts["a"].holder.active_slots()
         fleet.start("b")
-        fleet.settle(8.0)
+        fleet.run_for(8.0)
         assert fleet.hosts["a"].holder.active_slots()
 
-    def test_staggered_starts_agree(self) -> None:
+    def test_staggered_starts_grant_a_key_once(self) -> None:
         fleet = Fleet()
         for count in (1, 2, 3):
             fleet.publish(*"abc"[:count])
             fleet.start("abc"[count - 1])
-            fleet.settle(1.0, only("a", "b", "c"))
+            fleet.run_for(1.0, among("a", "b", "c"))
         for name in "abc":
             fleet.see(name)
-        fleet.settle(5.0)
+        fleet.run_for(5.0)
         key = fresh_key(fleet)
         assert fleet.try_key("c", key) == "granted"
         assert fleet.try_key("a", key) == "may-have-run"
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims among holders that stay the same."""
+"""Tests claims among holders that stay the same."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class TestKeys:
-    """Claim keys, from what the caller sends."""
+    """Tests claim keys and the `Idempotency-Key` headers without one."""
 
     def test_key_starts_with_the_uuid_time(self) -> None:
         key = claim_key("c", "s", UUID)
@@ -43,7 +43,7 @@
 
 
 class TestGrant:
-    """Grants, releases and records."""
+    """Tests grants, releases and recorded outcomes."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 4, 5, 8])
     def test_a_fresh_key_is_granted_once(self, size: int) -> None:
@@ -64,7 +64,7 @@
             (Outcome.MAY_HAVE_RUN, ClaimOutcome.MAY_HAVE_RUN),
         ],
     )
-    def test_a_retry_learns_the_recorded_end(
+    def test_a_retry_gets_the_recorded_outcome(
         self, outcome: Outcome, earlier: ClaimOutcome
     ) -> None:
         fleet = make_fleet("a", "b", "c")
@@ -74,20 +74,21 @@
         assert fleet.try_key("b", key) == "may-have-run"
         assert fleet.hosts["b"].refused[-1].earlier is earlier
 
-    def test_what_was_proved_not_run_is_granted_again(self) -> None:
+    def test_a_key_proved_not_run_is_granted_again(self) -> None:
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         fleet.claim("a", key)
         fleet.deliver_all()
         fleet.finish("a", key, Outcome.NOT_RUN)
-        fleet.settle(0.1)
+        fleet.run_for(0.1)
         assert fleet.try_key("b", key) == "granted"
 
     def test_a_late_request_of_a_released_attempt_is_refused(self) -> None:
-        """A key stays blocked although its attempt was given up.
+        """Guards against a key that stays blocked by a released attempt.
 
-        The request for a grant overtakes nothing: it arrives after the
-        release. Without a mark the holder would grant it, for ever.
+        The request for a grant arrives after the release. Unless the holder
+        has recorded the refusal, it grants the key to the dead attempt for
+        good.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
@@ -114,13 +115,13 @@
 
 
 class TestHalfFinished:
-    """Attempts that got no majority, or may have one."""
+    """Tests attempts without a majority, or of which that is unknown."""
 
-    def test_a_retry_cancels_what_a_lost_host_left(self) -> None:
-        """A key is refused for ever after its first host died.
+    def test_a_retry_cancels_the_grant_of_a_lost_host(self) -> None:
+        """Guards against a key that is refused for good after a host is lost.
 
-        The host got one of five grants and was lost. No majority can come to
-        exist, yet each later attempt finds the grant in its way.
+        The host got one of five grants and was lost. It can't reach a majority
+        any more, but each later attempt finds its grant.
         """
         fleet = make_fleet("a", "b", "c", "d", "e", "f")
         key = fresh_key(fleet)
@@ -129,11 +130,11 @@
         fleet.kill("f")
         assert fleet.try_key("b", key) == "granted"
 
-    def test_a_possible_majority_is_not_cancelled(self) -> None:
-        """A key runs twice although its first host is merely slow.
+    def test_an_attempt_with_a_possible_majority_is_not_cancelled(self) -> None:
+        """Guards against a second run of a request whose first host is slow.
 
-        Two of three holders granted to a host that hasn't dispatched yet; the
-        second attempt must not clear these grants away.
+        Two of three holders granted the key to a host that hasn't dispatched
+        the request yet. The second attempt must not cancel these grants.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
@@ -157,7 +158,7 @@
                 or m.receiver in reach[m.sender]
             )
         )
-        fleet.settle(3.0)
+        fleet.run_for(3.0)
         for name in names:
             for granted in tuple(fleet.hosts[name].granted):
                 fleet.dispatch(name, granted)
@@ -165,11 +166,11 @@
         if not fleet.started[key]:
             assert fleet.try_key("d", key) == "granted"
 
-    def test_no_majority_is_not_run_come_back(self) -> None:
+    def test_no_majority_is_refused_as_not_run_and_retryable(self) -> None:
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         fleet.claim("a", key)
-        fleet.settle(3.0, lambda m: m.receiver == "a")
+        fleet.run_for(3.0, lambda m: m.receiver == "a")
         verdict = fleet.hosts["a"].refused[-1].verdict
         assert verdict.reason is Reason.CLAIM_UNDECIDED
         assert verdict.is_proved_not_run
@@ -178,7 +179,7 @@
 
 
 class TestTimes:
-    """Keys that are old, or ahead of the clock."""
+    """Tests keys that are old or ahead of the clock."""
 
     @pytest.mark.parametrize(
         ("offset_ms", "result", "reason"),
@@ -201,32 +202,35 @@
             [] if reason is Reason.NONE else [reason]
         )
         if reason is Reason.IDEMPOTENCY_KEY:
-            comes_back = refused[0].verdict.retry_after_s > 0
-            assert comes_back == (offset_ms < 60_000)
+            is_retryable = refused[0].verdict.retry_after_s > 0
+            assert is_retryable == (offset_ms < 60_000)
 
-    def test_forgotten_keys_are_never_run(self) -> None:
-        """A caller that never gives up sees its order run twice.
+    def test_evicted_keys_are_never_granted(self) -> None:
+        """Guards against a second run after the key's record was evicted.
 
-        Its first send ran; holders forgot it after a day; a later retry under
-        the same key finds nobody who remembers.
+        The first request ran, and the holders evicted its key after the
+        retention time. A later retry with the same key finds no record.
         """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         assert fleet.try_key("a", key) == "granted"
         fleet.finish("a", key, Outcome.COMPLETE)
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         fleet.now_s += 800
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         assert all(h.holder.records() == 0 for h in fleet.hosts.values())
         assert fleet.try_key("b", key) == "may-have-run"
 
-    def test_a_clock_set_back_revives_nothing(self) -> None:
-        """As above, but the holders' clocks go back after forgetting."""
+    def test_a_clock_set_back_grants_no_evicted_key(self) -> None:
+        """Guards against a second run after clocks are set back.
+
+        The holders evicted the key; by their clocks it is recent again.
+        """
         fleet = make_fleet("a", "b", "c")
         key = fresh_key(fleet)
         assert fleet.try_key("a", key) == "granted"
         fleet.now_s += 800
-        fleet.settle(0.2)
+        fleet.run_for(0.2)
         for host in fleet.hosts.values():
             host.skew_ms = -800_000
         fleet.finish("a", key, Outcome.COMPLETE)
--- a/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
+++ b/packages/coordination/src/hollyknot_coordination/claims/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Tests that a release reaches every holder in the end, and then stops."""
+"""Tests that releases are repeated until every holder acknowledged them."""
 
 from collections.abc import Callable
 
@@ -13,24 +13,26 @@
 )
 from hollyknot_state import ClaimAnswer, ReleaseClaim
 
-_CUT_S = 30.0
+_PARTITION_S = 30.0
 
 
 def _no_answers(message: Message) -> bool:
-    """Holders hear the coordinator; their answers are lost."""
+    """Passes the requests for grants; loses the answers and the releases."""
     return not isinstance(message.body, ClaimAnswer | ReleaseClaim)
 
 
-def _claim_in_a_cut(fleet: Fleet, passes: Callable[[Message], bool]) -> bytes:
+def _claim_in_a_partition(
+    fleet: Fleet, passes: Callable[[Message], bool]
+) -> bytes:
     key = fresh_key(fleet)
     fleet.claim("a", key)
-    fleet.settle(_CUT_S, passes)
+    fleet.run_for(_PARTITION_S, passes)
     assert key not in fleet.hosts["a"].granted
     return key
 
 
 def _sends_of(fleet: Fleet, name: str) -> int:
-    """Counts what a host sends in two minutes in which nothing happens."""
+    """Counts the messages that a host sends in two minutes without claims."""
     count = 0
     for _ in range(1_200):
         fleet.now_s += 0.1
@@ -41,35 +43,34 @@
 
 
 class TestReleases:
-    """Releases that a cut has lost."""
+    """Tests releases that a network partition has lost."""
 
     @pytest.mark.parametrize("names", ["abc", "abcde"])
     def test_lost_releases_are_repeated(self, names: str) -> None:
-        """A key whose grant was given up in a cut can be claimed after it.
+        """Guards against a request that can never run after a partition.
 
-        Symptom: each later attempt is told that the call may have run, and it
-        never runs.
-        Sequence: all holders grant; their answers are lost; the coordinator
-        gives up and says "not run"; its releases are lost, too.
-        Cause: a release was sent once.
+        All holders grant the key, but their answers are lost, so that the
+        coordinator refuses with "not run". Its releases are lost, too. If they
+        were sent only once, each later attempt would be refused because the
+        request may have run.
         """
         fleet = make_fleet(*names)
-        key = _claim_in_a_cut(fleet, _no_answers)
-        fleet.settle(_releases.LAST_REPEAT_S)
+        key = _claim_in_a_partition(fleet, _no_answers)
+        fleet.run_for(_releases.MAX_REPEAT_INTERVAL_S)
         assert fleet.try_key("b", key) == "granted"
         assert fleet.started[key] == 1
 
-    def test_taken_releases_are_not_repeated(self) -> None:
+    def test_acknowledged_releases_are_not_repeated(self) -> None:
         fleet = make_fleet("a", "b", "c")
-        _claim_in_a_cut(fleet, _no_answers)
-        fleet.settle(_releases.LAST_REPEAT_S)
+        _claim_in_a_partition(fleet, _no_answers)
+        fleet.run_for(_releases.MAX_REPEAT_INTERVAL_S)
         assert _sends_of(fleet, "a") == 0
 
-    def test_a_holder_that_is_gone_is_given_up(
+    def test_repeats_to_a_lost_holder_end(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(_releases, "REPEATS_MAX", 3)
+        monkeypatch.setattr(_releases, "MAX_REPEATS", 3)
         fleet = make_fleet("a", "b", "c")
         fleet.kill("c")
-        _claim_in_a_cut(fleet, _no_answers)
+        _claim_in_a_partition(fleet, _no_answers)
         assert _sends_of(fleet, "a") == 0
