--- a/packages/bench/src/hollyknot_bench/slopes/__main__.py
+++ b/packages/bench/src/hollyknot_bench/slopes/__main__.py
@@ -44,7 +44,7 @@
     SUCCESSORS,
 )
 from hollyknot_coordination.spread import READ_PAUSE_S
-from hollyknot_daemon._probes import REPORTS_A_SECOND
+from hollyknot_daemon._probes import REPORTS_PER_S
 
 SIDE_BY_SIDE: dict[str, Measurement] = {
     "hosts": _real_hosts.measure,
@@ -141,7 +141,7 @@
         holders=GROUP_SIZE,
         readers=READERS,
         read_pause_s=READ_PAUSE_S,
-        reports_s=REPORTS_A_SECOND,
+        reports_s=REPORTS_PER_S,
         neighbours=SUCCESSORS + RANDOM_NEIGHBOURS,
     )
 
--- a/packages/bench/src/hollyknot_bench/slopes/_document_host.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_document_host.py
@@ -10,7 +10,7 @@
 from hollyknot_bench.slopes._wire import frame_of, read_back, wire_bytes
 from hollyknot_coordination.checks import check_declarations, check_hosts
 from hollyknot_coordination.spread import Apply, PeerCommand, PeerState, Send
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_state import (
     Declarations,
     DocumentKind,
@@ -41,7 +41,7 @@
         """Takes a state that knows nothing."""
         self.name = name
         self.state = state
-        self._view = InForce()
+        self._view = DocumentsView()
         self._now_s = 0.0
 
     def read(self, document: DocumentKind, version: int, body: bytes) -> None:
--- a/packages/bench/src/hollyknot_bench/slopes/_reports.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_reports.py
@@ -115,5 +115,5 @@
     async with asyncio.timeout(_WAIT_S):
         while engine.asked < wanted:
             seen = engine.asked
-            probes.start_reports()
+            probes.request_reports()
             await engine.until(seen + _AT_ONCE)
--- a/packages/daemon/src/hollyknot_daemon/_claiming.py
+++ b/packages/daemon/src/hollyknot_daemon/_claiming.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Granted:
+class Grant:
     """That this attempt alone may run the request.
 
     Attributes:
@@ -19,5 +19,5 @@
     settle: Callable[[Verdict], None]
 
 
-Claim = Callable[[str, str, str], Awaitable[Granted | Verdict]]
+Claim = Callable[[str, str, str], Awaitable[Grant | Verdict]]
 """Asks for the claim of a customer, a service and an idempotency key."""
--- a/packages/daemon/src/hollyknot_daemon/_claims_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_claims_task.py
@@ -20,8 +20,8 @@
     claim_key,
     make_placement,
 )
-from hollyknot_daemon._claiming import Granted
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._claiming import Grant
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_state import (
     ClaimAnswer,
     ClaimMessage,
@@ -31,10 +31,10 @@
     Verdict,
 )
 
-PATIENCE_S = 2.0
+CLAIM_TIMEOUT_S = 2.0
 """Seconds for a claim; the caller is then told when to come back."""
 
-_SETTLE_MAX_S = 10.0
+_MAX_LEARNING_S = 10.0
 _NS_PER_MS = 1_000_000
 
 Send = Callable[[str, ClaimMessage], None]
@@ -65,19 +65,19 @@
         # No process may repeat another's number, or it could release, or take
         # for its own, what that one was granted.
         incarnation = time.time_ns()
-        placement = make_placement(InForce().hosts, ())
+        placement = make_placement(DocumentsView().hosts, ())
         self._coordinator = Coordinator(
             settings.host, incarnation, placement, rng, options
         )
         self._holder = Holder(
             settings.host, settings.data_centre, incarnation, options
         )
-        self._viewed_s = float("inf")
-        self._placed_by: tuple[int, tuple[str, ...]] = (0, ())
-        self._is_settled = False
-        self._handed_over = asyncio.Event()
-        self._handed_over.set()
-        self._waiting: dict[bytes, asyncio.Future[Granted | Verdict]] = {}
+        self._listed_since_s = float("inf")
+        self._placement_inputs: tuple[int, tuple[str, ...]] = (0, ())
+        self._may_serve = False
+        self._handover_done = asyncio.Event()
+        self._handover_done.set()
+        self._waiting: dict[bytes, asyncio.Future[Grant | Verdict]] = {}
 
     @property
     def records(self) -> int:
@@ -95,15 +95,15 @@
         return len(self._holder.learning_slots())
 
     @property
-    def is_settled(self) -> bool:
+    def may_serve(self) -> bool:
         """Whether this host may serve non-idempotent requests.
 
         Once true it stays so: slots that it learns later are claimed at the
         other holders meanwhile.
         """
-        return self._is_settled
+        return self._may_serve
 
-    def on_view(self, view: InForce, is_listed: bool) -> None:
+    def on_view(self, view: DocumentsView, is_listed: bool) -> None:
         """Takes a newer host list, or newly declared data centres.
 
         Args:
@@ -114,7 +114,7 @@
         # A list from before this host was added gives it no slots to learn: it
         # would look settled, and refuse the first keys as too old.
         if view.is_complete and is_listed:
-            self._viewed_s = min(self._viewed_s, now.now_s)
+            self._listed_since_s = min(self._listed_since_s, now.now_s)
         services = view.declarations.services.values()
         remember_s = max((s.remember_s for s in services), default=0)
         if remember_s:
@@ -122,11 +122,11 @@
                 self._holder.options, remember_s=remember_s
             )
         data_centres = view.declarations.data_centres
-        placed_by = (view.hosts.revision, data_centres)
+        placement_inputs = (view.hosts.revision, data_centres)
         # Most changes of the declarations move no holder.
-        if placed_by == self._placed_by:
+        if placement_inputs == self._placement_inputs:
             return
-        self._placed_by = placed_by
+        self._placement_inputs = placement_inputs
         placement = make_placement(
             view.hosts, data_centres, self._coordinator.placement
         )
@@ -148,27 +148,27 @@
             self._execute(self._coordinator.poll(now))
         if now.now_s >= self._holder.next_poll_s():
             self._execute(self._holder.poll(now))
-        if not self._is_settled:
-            self._is_settled = self._may_settle(now)
-        if not self._handed_over.is_set() and not self.pending_handovers:
-            self._handed_over.set()
+        if not self._may_serve:
+            self._may_serve = self._can_start_serving(now)
+        if not self._handover_done.is_set() and not self.pending_handovers:
+            self._handover_done.set()
 
-    def _may_settle(self, now: Instant) -> bool:
+    def _can_start_serving(self, now: Instant) -> bool:
         """Tells whether all slots are learnt, and open to keys of this moment.
 
         A slot that can't be learnt must not keep the host from serving
         everything else, so that the wait is bounded.
         """
-        waited_s = now.now_s - self._viewed_s
-        if waited_s >= _SETTLE_MAX_S:
+        waited_s = now.now_s - self._listed_since_s
+        if waited_s >= _MAX_LEARNING_S:
             return True
         is_learnt = waited_s >= 0 and not self._holder.learning_slots()
         return is_learnt and now.wall_ms > self._holder.horizon_ms
 
-    async def handed_over(self) -> None:
+    async def wait_handed_over(self) -> None:
         """Waits until other hosts could tell all claims that this one holds."""
-        self._handed_over.clear()
-        await self._handed_over.wait()
+        self._handover_done.clear()
+        await self._handover_done.wait()
 
     def forget(self) -> None:
         """Forgets keys that are too old; called every minute or so."""
@@ -176,7 +176,7 @@
 
     async def claim(
         self, customer: str, service: str, idempotency_key: str
-    ) -> Granted | Verdict:
+    ) -> Grant | Verdict:
         """Asks for the claim of a non-idempotent request.
 
         Returns:
@@ -185,13 +185,13 @@
         key = claim_key(customer, service, idempotency_key)
         if isinstance(key, KeyFault):
             return _key_refusal(key, idempotency_key)
-        commands = self._coordinator.claim(key, self._now(), PATIENCE_S)
+        commands = self._coordinator.claim(key, self._now(), CLAIM_TIMEOUT_S)
         # A second request for a key that is under way here is refused at once
         # and must not answer the first one's wait.
         for command in commands:
             if isinstance(command, ClaimRefused):
                 return command.verdict
-        waiting: asyncio.Future[Granted | Verdict] = (
+        waiting: asyncio.Future[Grant | Verdict] = (
             asyncio.get_running_loop().create_future()
         )
         self._waiting[key] = waiting
@@ -212,7 +212,7 @@
                 case SendClaim(host=host, message=message):
                     self._deliver(host, message)
                 case ClaimGranted(key=key):
-                    self._answer(key, self._granted(key))
+                    self._answer(key, self._build_grant(key))
                 case ClaimRefused(key=key, verdict=verdict):
                     self._answer(key, verdict)
 
@@ -225,16 +225,16 @@
         loop = asyncio.get_running_loop()
         loop.call_soon(self.on_message, self._host, message)
 
-    def _answer(self, key: bytes, answer: Granted | Verdict) -> None:
+    def _answer(self, key: bytes, answer: Grant | Verdict) -> None:
         waiting = self._waiting.get(key)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def _granted(self, key: bytes) -> Granted:
+    def _build_grant(self, key: bytes) -> Grant:
         def settle(verdict: Verdict) -> None:
             self._execute(self._coordinator.finish(key, verdict.outcome))
 
-        return Granted(settle)
+        return Grant(settle)
 
     def _now(self) -> Instant:
         return Instant(self._clock(), time.time_ns() // _NS_PER_MS)
--- a/packages/daemon/src/hollyknot_daemon/_control.py
+++ b/packages/daemon/src/hollyknot_daemon/_control_plane.py
@@ -9,12 +9,12 @@
 
 from hollyknot_coordination.claims import ClaimOptions
 from hollyknot_coordination.spread import ReportSignals
-from hollyknot_daemon._claiming import Granted
+from hollyknot_daemon._claiming import Grant
 from hollyknot_daemon._claims_task import ClaimsTask
 from hollyknot_daemon._delisted import Delisted
 from hollyknot_daemon._dispatch import Dispatcher
 from hollyknot_daemon._documents import Documents
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_daemon._peers_task import PeersTask
 from hollyknot_state import (
     ClaimMessage,
@@ -40,7 +40,7 @@
 _LOG = get_logger("daemon")
 
 
-class Control:
+class ControlPlane:
     """Everything between this host, its peers and the platform."""
 
     def __init__(
@@ -96,7 +96,7 @@
         settled would refuse fresh idempotency keys as too old.
         """
         view = self._documents.view
-        if not self._claims.is_settled:
+        if not self._claims.may_serve:
             return False
         is_caught_up = self._peers_task.state.is_ready
         return view.is_complete and self._is_listed and is_caught_up
@@ -111,7 +111,7 @@
         """Traffic of the links."""
         return self._counters
 
-    async def __aenter__(self) -> "Control":
+    async def __aenter__(self) -> "ControlPlane":
         """Listens for other hosts.
 
         Raises:
@@ -128,7 +128,7 @@
         """Closes all links."""
         await self._stack.aclose()
 
-    def on_view(self, view: InForce) -> None:
+    def on_view(self, view: DocumentsView) -> None:
         """Takes a change of the documents in force."""
         if view.hosts.revision != self._listed_revision:
             self._listed_revision = view.hosts.revision
@@ -156,7 +156,7 @@
 
     async def claim(
         self, customer: str, service: str, idempotency_key: str
-    ) -> Granted | Verdict:
+    ) -> Grant | Verdict:
         """Asks for the claim of a non-idempotent request."""
         return await self._claims.claim(customer, service, idempotency_key)
 
@@ -172,7 +172,7 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.handover_s):
-                await self._claims.handed_over()
+                await self._claims.wait_handed_over()
         left = self._claims.pending_handovers
         _LOG.info("claims-handed-over", slots_left=left)
 
--- a/packages/daemon/src/hollyknot_daemon/_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/_delisted.py
@@ -10,7 +10,7 @@
 
 from hollyknot_state import HostListEntry
 
-KEPT = 256
+MAX_ENTRIES = 256
 """Most addresses kept; at the planned size a data centre replaces some 120
 hosts a day."""
 
@@ -30,7 +30,7 @@
                 self._gone[name] = entry
         for name in listed:
             self._gone.pop(name, None)
-        while len(self._gone) > KEPT:
+        while len(self._gone) > MAX_ENTRIES:
             self._gone.popitem(last=False)
         self._listed = listed
 
--- a/packages/daemon/src/hollyknot_daemon/_dispatch.py
+++ b/packages/daemon/src/hollyknot_daemon/_dispatch.py
@@ -91,7 +91,7 @@
     def on_host_list(self, hosts: HostList) -> None:
         """Takes a new host list in."""
         self._table.on_host_list(hosts, self._clock())
-        self._pump_all()
+        self._admit_all_pools()
 
     async def place(
         self, info: RequestInfo, excluded: frozenset[str] = frozenset()
@@ -118,11 +118,11 @@
         self._waiting[info.request_id] = _Waiting(info, excluded, future)
         now = self._clock()
         self._apply(self._queue.offer(info, now))
-        self._pump(info.pool)
+        self._admit_waiting(info.pool)
         try:
             return await future
         except asyncio.CancelledError:
-            self._abandon(info, future)
+            self._release_cancelled(info, future)
             raise
         finally:
             self._waiting.pop(info.request_id, None)
@@ -143,7 +143,7 @@
             choice.upstream, info.request_id, verdict, now, met_target
         )
         self._queue.on_finished(info.request_id, service_time_s, tokens, now)
-        self._pump(info.pool)
+        self._admit_waiting(info.pool)
 
     def on_first_byte(self, choice: Choice, info: RequestInfo) -> None:
         """Notes that an upstream began to answer."""
@@ -162,7 +162,7 @@
         self._queue.on_peer_pressure(pressures, now)
         self._table.on_signs(signs, now)
         self._suspects.on_records(suspects, now)
-        self._pump_all()
+        self._admit_all_pools()
 
     def local_pressure(self) -> tuple[TierPressure, ...]:
         """Returns the pressure to tell peers of."""
@@ -183,14 +183,14 @@
     def tick(self) -> None:
         """Does what has become due by time alone."""
         self._apply(self._queue.tick(self._clock()))
-        self._pump_all()
+        self._admit_all_pools()
 
-    def _pump_all(self) -> None:
+    def _admit_all_pools(self) -> None:
         pools = {waiting.info.pool for waiting in self._waiting.values()}
         for pool in sorted(pools):
-            self._pump(pool)
+            self._admit_waiting(pool)
 
-    def _pump(self, pool: str) -> None:
+    def _admit_waiting(self, pool: str) -> None:
         now = self._clock()
         free = self._table.free_slots(pool, now)
         if free > 0:
@@ -214,11 +214,13 @@
         if isinstance(gate, RefuseSuspect):
             self._queue.withdraw(info.request_id, now)
             return gate.verdict
-        kept_apart = gate.exclude if isinstance(gate, Isolate) else frozenset()
+        isolated_from = (
+            gate.exclude if isinstance(gate, Isolate) else frozenset()
+        )
         # Every other upstream may have been tried or be full: one tried
         # before is better than none, since its refusal may have passed.
         for excluded in dict.fromkeys((waiting.excluded, frozenset[str]())):
-            found = self._table.choose(info, now, excluded | kept_apart)
+            found = self._table.choose(info, now, excluded | isolated_from)
             if isinstance(found, Choice):
                 self._suspects.on_dispatch(info.fingerprint, found.upstream)
                 return found
@@ -233,7 +235,7 @@
             _NO_UPSTREAM_RETRY_S * self._rng.uniform(0.5, 1.5),
         )
 
-    def _abandon(
+    def _release_cancelled(
         self, info: RequestInfo, future: asyncio.Future[Place]
     ) -> None:
         """Gives back what a cancelled request held or waited for.
--- a/packages/daemon/src/hollyknot_daemon/_documents.py
+++ b/packages/daemon/src/hollyknot_daemon/_documents.py
@@ -3,24 +3,24 @@
 from collections.abc import Callable
 
 from hollyknot_coordination.checks import check_declarations, check_hosts
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_state import Declarations, DocumentKind, HostList
 
 
 class Documents:
     """The view in force."""
 
-    def __init__(self, on_change: Callable[[InForce], None]) -> None:
+    def __init__(self, on_change: Callable[[DocumentsView], None]) -> None:
         """Starts with nothing in force.
 
         Args:
             on_change: Called with each new view, before any request sees it.
         """
-        self._view = InForce()
+        self._view = DocumentsView()
         self._on_change = on_change
 
     @property
-    def view(self) -> InForce:
+    def view(self) -> DocumentsView:
         """The view of this moment."""
         return self._view
 
--- a/packages/daemon/src/hollyknot_daemon/_in_force.py
+++ b/packages/daemon/src/hollyknot_daemon/_documents_view.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class InForce:
+class DocumentsView:
     """One consistent view; a new one is made for each change.
 
     A request keeps the view that it arrived under, so that a change in its
@@ -31,7 +31,7 @@
         """Whether there is something to serve by."""
         return self.declarations.version > 0 and self.hosts.revision > 0
 
-    def with_declarations(self, declarations: Declarations) -> "InForce":
+    def with_declarations(self, declarations: Declarations) -> "DocumentsView":
         """Returns a view with newer declarations; an older one is ignored.
 
         A restored configuration service offers old versions as if they were
@@ -44,7 +44,7 @@
             self, declarations=declarations, customers_by_key=by_key
         )
 
-    def with_hosts(self, hosts: HostList) -> "InForce":
+    def with_hosts(self, hosts: HostList) -> "DocumentsView":
         """Returns a view with a newer host list; an older one is ignored."""
         if hosts.revision <= self.hosts.revision:
             return self
--- a/packages/daemon/src/hollyknot_daemon/_flow.py
+++ b/packages/daemon/src/hollyknot_daemon/_flow.py
@@ -15,7 +15,7 @@
 )
 from hollyknot_coordination.retries import http_status
 from hollyknot_daemon._claiming import Claim
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_daemon._tries import Job, Tries
 from hollyknot_state import (
     Outcome,
@@ -53,7 +53,7 @@
         max_body_bytes: The largest body that is read.
     """
 
-    in_force: Callable[[], InForce]
+    in_force: Callable[[], DocumentsView]
     readiness: Callable[[], Readiness]
     tries: Tries
     claim: Claim
@@ -78,7 +78,7 @@
             return response.refuse(_not_ready(ready))
         view = parts.in_force()
         if path == _MODELS_PATH:
-            return _models(view, request, response)
+            return _models_response(view, request, response)
         arrived_s = asyncio.get_running_loop().time()
         call = await read_call(request, request_id, parts.max_body_bytes)
         if isinstance(call, Refusal):
@@ -90,12 +90,12 @@
 
 async def _serve(
     parts: FlowParts,
-    view: InForce,
+    view: DocumentsView,
     call: CallerCall,
     response: CallerResponse,
     arrived_s: float,
 ) -> web.StreamResponse:
-    found = _classified(view, call)
+    found = _authenticate_and_classify(view, call)
     if isinstance(found, Verdict):
         return response.refuse(Refusal(http_status(found), found))
     with parts.tracing.span(
@@ -108,7 +108,7 @@
         job = Job(
             call=call,
             classification=found,
-            info=_info(call, found, arrived_s),
+            info=_request_info(call, found, arrived_s),
             traceparent=traceparent,
         )
         result = await parts.tries.run(job, response.sink(), parts.claim)
@@ -121,7 +121,9 @@
     return response.refuse(refusal)
 
 
-def _classified(view: InForce, call: CallerCall) -> Classification | Verdict:
+def _authenticate_and_classify(
+    view: DocumentsView, call: CallerCall
+) -> Classification | Verdict:
     customer = authenticate(view.customers_by_key, call.authorization)
     if isinstance(customer, Verdict):
         return customer
@@ -129,7 +131,7 @@
     return classify(view.declarations, customer, name, call.target)
 
 
-def _info(
+def _request_info(
     call: CallerCall, found: Classification, arrived_s: float
 ) -> RequestInfo:
     return RequestInfo(
@@ -152,8 +154,8 @@
     )
 
 
-def _models(
-    view: InForce, request: web.BaseRequest, response: CallerResponse
+def _models_response(
+    view: DocumentsView, request: web.BaseRequest, response: CallerResponse
 ) -> web.Response:
     header = request.headers.get("Authorization", "")
     customer = authenticate(view.customers_by_key, header)
--- a/packages/daemon/src/hollyknot_daemon/_host.py
+++ b/packages/daemon/src/hollyknot_daemon/_host.py
@@ -6,11 +6,11 @@
 from collections.abc import Coroutine
 
 from hollyknot_coordination.claims import ClaimOptions
-from hollyknot_daemon._control import Control
+from hollyknot_daemon._control_plane import ControlPlane
 from hollyknot_daemon._dispatch import Dispatcher
 from hollyknot_daemon._documents import Documents
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_daemon._flow import FlowParts, caller_handler
-from hollyknot_daemon._in_force import InForce
 from hollyknot_daemon._probes import Probes
 from hollyknot_daemon._record import Recorder
 from hollyknot_daemon._status import status_document
@@ -34,7 +34,9 @@
 _SWEEP_S = 1.0
 _FORGET_S = 60.0
 _READY = Readiness(True, "ready")
-_LEARNING = Readiness(False, "This host has not learnt its configuration yet")
+_NOT_CONFIGURED = Readiness(
+    False, "This host has not learnt its configuration yet"
+)
 _STOPPING = Readiness(False, "This host is stopping", Reason.STOPPING)
 
 
@@ -82,15 +84,15 @@
     @property
     def links_port(self) -> int:
         """The port on which other hosts are served."""
-        return self._control.links_port
+        return self._control_plane.links_port
 
     @property
     def readiness(self) -> Readiness:
         """Whether the balancer may send callers here."""
         if self._is_stopping:
             return _STOPPING
-        if not self._control.is_ready:
-            return _LEARNING
+        if not self._control_plane.is_ready:
+            return _NOT_CONFIGURED
         return _READY
 
     async def __aenter__(self) -> "Host":
@@ -123,7 +125,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s):
                 await self._callers.idle()
-        await self._control.hand_over()
+        await self._control_plane.hand_over()
         _LOG.info("stopped", in_work=self._callers.in_work)
         self._stopped.set()
 
@@ -140,7 +142,7 @@
             self._documents.view,
             self._dispatcher.table.view(clock()),
             self._recorder.tallies,
-            self._control.view(),
+            self._control_plane.view(),
         )
 
     async def _start(self, stack: contextlib.AsyncExitStack) -> None:
@@ -160,7 +162,7 @@
         stack.push_async_callback(exchanges.close)
         self._probes = Probes(dispatcher.table, clock)
         stack.push_async_callback(self._probes.close)
-        self._control = Control(
+        self._control_plane = ControlPlane(
             settings,
             self._rng,
             self._documents,
@@ -168,7 +170,7 @@
             self._claim_options,
             tracing,
         )
-        await stack.enter_async_context(self._control)
+        await stack.enter_async_context(self._control_plane)
         tries = Tries(
             dispatcher, exchanges, self._recorder, tracing, self._rng, clock
         )
@@ -176,12 +178,12 @@
             in_force=lambda: self._documents.view,
             readiness=lambda: self.readiness,
             tries=tries,
-            claim=self._control.claim,
+            claim=self._control_plane.claim,
             tracing=tracing,
             max_body_bytes=settings.max_body_bytes,
         )
         await self._listen(stack, parts)
-        self._spawn(stack, self._tick_for_ever())
+        self._spawn(stack, self._run_ticks())
         _LOG.info(
             "started",
             callers_port=self._callers_port,
@@ -216,13 +218,13 @@
 
         stack.push_async_callback(end)
 
-    def _on_change(self, view: InForce) -> None:
+    def _on_change(self, view: DocumentsView) -> None:
         # Declarations change far more often than the host list, and the
         # upstreams don't follow from them.
         if view.hosts.revision != self._listed_revision:
             self._listed_revision = view.hosts.revision
             self._dispatcher.on_host_list(view.hosts)
-        self._control.on_view(view)
+        self._control_plane.on_view(view)
         versions = {
             "declarations": view.declarations.version,
             "hosts": view.hosts.revision,
@@ -230,7 +232,7 @@
         for name, version in versions.items():
             self._metrics.version.set({"document": name}, version)
 
-    async def _tick_for_ever(self) -> None:
+    async def _run_ticks(self) -> None:
         clock = asyncio.get_running_loop().time
         sweep_at = clock()
         forget_at = clock()
@@ -240,14 +242,14 @@
             # then never expire, and nobody would see why.
             try:
                 self._dispatcher.tick()
-                self._control.tick()
-                self._probes.start_due()
+                self._control_plane.tick()
+                self._probes.start_due_probes()
                 if clock() >= sweep_at:
                     sweep_at = clock() + _SWEEP_S
                     self._sweep(clock())
                 if clock() >= forget_at:
                     forget_at = clock() + _FORGET_S
-                    self._control.forget()
+                    self._control_plane.forget()
             except Exception:
                 _LOG.exception("tick-failed")
 
@@ -255,7 +257,7 @@
         self._guard.sweep(now_s)
         self._callers.sweep(now_s)
         self._dispatcher.expire()
-        self._probes.start_reports()
+        self._probes.request_reports()
         self._metrics.queued.set({}, self._dispatcher.queued)
         for upstream in self._dispatcher.table.view(now_s):
             labels = {"upstream": upstream.name}
--- a/packages/daemon/src/hollyknot_daemon/_peers_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_peers_task.py
@@ -68,7 +68,7 @@
         self._state = PeerState(
             settings.host, settings.data_centre, CHECKS, rng, self._clock()
         )
-        self._watches: dict[DocumentKind, asyncio.Task[None]] = {}
+        self._polls: dict[DocumentKind, asyncio.Task[None]] = {}
 
     @property
     def state(self) -> PeerState:
@@ -77,9 +77,9 @@
 
     async def close(self) -> None:
         """Ends the reads of the platform."""
-        for task in self._watches.values():
+        for task in self._polls.values():
             task.cancel()
-        await asyncio.gather(*self._watches.values(), return_exceptions=True)
+        await asyncio.gather(*self._polls.values(), return_exceptions=True)
 
     def on_message(self, peer: str, message: PeerMessage) -> None:
         """Takes a message of an authenticated peer."""
@@ -106,9 +106,9 @@
 
     def _execute(self, commands: list[PeerCommand]) -> None:
         for command in commands:
-            self._do(command)
+            self._execute_one(command)
 
-    def _do(self, command: PeerCommand) -> None:
+    def _execute_one(self, command: PeerCommand) -> None:
         match command:
             case Send(peer=peer, message=message):
                 self._send(peer, message)
@@ -134,9 +134,9 @@
                     peer=command.peer,
                 )
             case StartWatching(document=document, pause_s=pause_s):
-                self._start_watching(document, pause_s)
+                self._start_polling(document, pause_s)
             case StopWatching(document=document):
-                task = self._watches.pop(document, None)
+                task = self._polls.pop(document, None)
                 if task is not None:
                     task.cancel()
             case ReportMember(host=host, state=state):
@@ -144,24 +144,26 @@
             case ReportSignals():
                 self._on_signals(command)
 
-    def _start_watching(self, document: DocumentKind, pause_s: float) -> None:
+    def _start_polling(self, document: DocumentKind, pause_s: float) -> None:
         platform = self._settings.platform
         addresses = {
             DocumentKind.DECLARATIONS: platform.configuration,
             DocumentKind.HOSTS: platform.host_list,
         }
-        self._watches[document] = asyncio.ensure_future(
+        self._polls[document] = asyncio.ensure_future(
             watch(
                 document,
                 addresses[document],
                 lambda: self._state.read_after(document),
                 pause_s,
-                self._on_platform,
+                self._on_platform_result,
                 self._rng,
             )
         )
 
-    def _on_platform(self, found: PlatformDocument | PlatformFailure) -> None:
+    def _on_platform_result(
+        self, found: PlatformDocument | PlatformFailure
+    ) -> None:
         if isinstance(found, PlatformFailure):
             _LOG.warning(
                 "platform-read-failed",
--- a/packages/daemon/src/hollyknot_daemon/_probes.py
+++ b/packages/daemon/src/hollyknot_daemon/_probes.py
@@ -13,7 +13,7 @@
 )
 from hollyknot_state import LoadReport
 
-REPORTS_A_SECOND = 2
+REPORTS_PER_S = 2
 """Load reports asked for by one host, whatever the number of upstreams: the
 rate is fixed, so that the cost for control does not grow with the fleet."""
 
@@ -33,7 +33,7 @@
     ) -> None:
         self._table = table
         self._clock = clock
-        self._turn = 0
+        self._last_asked = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
@@ -48,17 +48,17 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._session.close()
 
-    def start_due(self) -> None:
+    def start_due_probes(self) -> None:
         """Probes the upstreams that are due."""
         for probe in self._table.probes_due(self._clock()):
             self._spawn(probe, is_probe=True)
 
-    def start_reports(self) -> None:
+    def request_reports(self) -> None:
         """Asks the next few upstreams for their load; called each second."""
         targets = self._table.report_targets()
-        for _ in range(min(REPORTS_A_SECOND, len(targets))):
-            self._turn = (self._turn + 1) % len(targets)
-            self._spawn(targets[self._turn], is_probe=False)
+        for _ in range(min(REPORTS_PER_S, len(targets))):
+            self._last_asked = (self._last_asked + 1) % len(targets)
+            self._spawn(targets[self._last_asked], is_probe=False)
 
     def _spawn(self, probe: Probe, is_probe: bool) -> None:
         task = asyncio.ensure_future(self._run(probe, is_probe))
@@ -72,14 +72,14 @@
             async with self._session.get(url) as response:
                 body = await response.content.read(_MAX_REPORT_BYTES)
             is_alive = True
-            self._take_report(probe, body)
+            self._apply_report(probe, body)
         except (aiohttp.ClientError, TimeoutError, OSError):
             pass
         # A lost report alone is no sign: it may be this host that is slow.
         if is_probe:
             self._table.on_probe(probe.upstream, is_alive, self._clock())
 
-    def _take_report(self, probe: Probe, body: bytes) -> None:
+    def _apply_report(self, probe: Probe, body: bytes) -> None:
         report = _parse_report(body)
         if report is not None:
             now = self._clock()
--- a/packages/daemon/src/hollyknot_daemon/_record.py
+++ b/packages/daemon/src/hollyknot_daemon/_record.py
@@ -81,7 +81,7 @@
             took_ms=round((timing.ended_s - timing.arrived_s) * 1000, 1),
         )
 
-    def tried(self, pool: str, parts: int) -> None:
+    def record_try(self, pool: str, parts: int) -> None:
         """Counts a try at an upstream and the parts of a stream it relayed."""
         self._metrics.tries.add(pool)
         if parts:
@@ -98,12 +98,12 @@
             metrics.within_target.add(name)
             metrics.goodput_bytes.add(name, amount=ended.size)
         kinds = [Waste.DUPLICATED] * ended.wasted_tries
-        kinds += _waste_of_last(ended)
+        kinds += _last_try_waste(ended)
         for kind in kinds:
             metrics.wasted.add(name, kind.value)
 
 
-def _waste_of_last(ended: Ended) -> list[Waste]:
+def _last_try_waste(ended: Ended) -> list[Waste]:
     if ended.verdict.outcome not in _RAN:
         return []
     if not ended.verdict.is_complete:
@@ -125,7 +125,7 @@
     )
 
 
-def met(
+def is_target_met(
     classification: Classification, verdict: Verdict, timing: Timing
 ) -> bool:
     """Tells whether an end counts as a met target."""
--- a/packages/daemon/src/hollyknot_daemon/_status.py
+++ b/packages/daemon/src/hollyknot_daemon/_status.py
@@ -4,7 +4,7 @@
 
 from hollyknot_coordination.outcomes import Tallies
 from hollyknot_coordination.routing import UpstreamView
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_state import Settings
 from hollyknot_transport import Readiness
 
@@ -12,7 +12,7 @@
 def status_document(
     settings: Settings,
     readiness: Readiness,
-    view: InForce,
+    view: DocumentsView,
     upstreams: tuple[UpstreamView, ...],
     tallies: Tallies,
     control: dict[str, object],
--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -18,9 +18,9 @@
     retry_after_s,
 )
 from hollyknot_coordination.routing import Choice, timeouts
-from hollyknot_daemon._claiming import Claim, Granted
+from hollyknot_daemon._claiming import Claim, Grant
 from hollyknot_daemon._dispatch import Dispatcher
-from hollyknot_daemon._record import Ended, Recorder, met, timing_of
+from hollyknot_daemon._record import Ended, Recorder, is_target_met, timing_of
 from hollyknot_state import Nature, Outcome, Reason, RequestInfo, Verdict
 from hollyknot_transport import (
     CallerCall,
@@ -35,7 +35,7 @@
 _CALLER_GONE = Verdict(
     Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE, "The caller went away"
 )
-_WHOLE_ANSWER_S = 120.0
+_MIN_WHOLE_ANSWER_TIMEOUT_S = 120.0
 """The least wait for an answer of a model that is not streamed: its output's
 length is not known."""
 
@@ -133,7 +133,7 @@
         self, job: Job, sink: Sink, claim: Claim, history: _History
     ) -> Result:
         if job.info.nature is Nature.IDEMPOTENT:
-            return await self._until_answered(job, sink, history)
+            return await self._try_until_answered(job, sink, history)
         # The request waits for a slot first: a claim that is granted and then
         # shed would have to be given back, and may not be if this host dies.
         place = await self._place(job, history)
@@ -146,7 +146,7 @@
         # outcome must be settled all the same, so that the caller's next
         # attempt is told the truth.
         work = asyncio.ensure_future(
-            self._claimed(job, sink, history, place, granted)
+            self._run_claimed(job, sink, history, place, granted)
         )
         try:
             return await asyncio.shield(work)
@@ -154,17 +154,17 @@
             await work
             raise
 
-    async def _claimed(
+    async def _run_claimed(
         self,
         job: Job,
         sink: Sink,
         history: _History,
         place: Choice,
-        granted: Granted,
+        granted: Grant,
     ) -> Result:
         verdict = Verdict(Outcome.MAY_HAVE_RUN, Reason.INTERNAL)
         try:
-            result = await self._until_answered(job, sink, history, place)
+            result = await self._try_until_answered(job, sink, history, place)
             verdict = result.verdict
             return result
         finally:
@@ -172,7 +172,7 @@
 
     async def _claim(
         self, job: Job, claim: Claim, place: Choice
-    ) -> Granted | Verdict:
+    ) -> Grant | Verdict:
         found = job.classification
         not_run = Verdict(Outcome.NOT_RUN, Reason.CLAIM_UNDECIDED)
         is_granted = False
@@ -181,13 +181,13 @@
                 answer = await claim(
                     found.customer, found.pool, job.call.idempotency_key
                 )
-            is_granted = isinstance(answer, Granted)
+            is_granted = isinstance(answer, Grant)
             return answer
         finally:
             if not is_granted:
-                self._free(job, place, Result(not_run), 0.0)
+                self._release_place(job, place, Result(not_run), 0.0)
 
-    async def _until_answered(
+    async def _try_until_answered(
         self,
         job: Job,
         sink: Sink,
@@ -199,10 +199,12 @@
             if place is None:
                 found = await self._place(job, history)
                 if isinstance(found, Verdict):
-                    return self._whole(job, history, Result(found))
+                    return self._with_combined_verdict(
+                        job, history, Result(found)
+                    )
                 place = found
             result = await self._try(job, sink, place, history)
-            self._note(history, place, result)
+            self._add_try(history, place, result)
             if result.verdict.is_complete:
                 return result
             attempt = _attempt(job, history)
@@ -235,16 +237,16 @@
                 "upstream", job.traceparent, upstream=place.upstream
             ) as traceparent:
                 request = _upstream_request(job, place, traceparent)
-                noted = self._noting(job, place, sink)
-                result = await self._exchanges.run(request, noted)
+                noting_sink = self._first_byte_sink(job, place, sink)
+                result = await self._exchanges.run(request, noting_sink)
                 return result
         finally:
             parts = result.parts if job.call.is_streamed else 0
-            self._recorder.tried(job.info.pool, parts)
+            self._recorder.record_try(job.info.pool, parts)
             took_s = self._clock() - started_s
-            history.timing = self._free(job, place, result, took_s)
+            history.timing = self._release_place(job, place, result, took_s)
 
-    def _noting(self, job: Job, place: Choice, sink: Sink) -> Sink:
+    def _first_byte_sink(self, job: Job, place: Choice, sink: Sink) -> Sink:
         """Returns a sink that tells the decisions of the first byte."""
 
         async def start(answer: UpstreamAnswer) -> None:
@@ -253,7 +255,7 @@
 
         return Sink(start, sink.write, sink.write_now)
 
-    def _free(
+    def _release_place(
         self, job: Job, place: Choice, result: Result, took_s: float
     ) -> Timing:
         """Gives a place back and returns the timing of what it was used for."""
@@ -264,18 +266,22 @@
             place,
             job.info,
             result.verdict,
-            met(job.classification, result.verdict, timing),
+            is_target_met(job.classification, result.verdict, timing),
             timing.tokens,
             took_s,
         )
         return timing
 
-    def _note(self, history: _History, place: Choice, result: Result) -> None:
+    def _add_try(
+        self, history: _History, place: Choice, result: Result
+    ) -> None:
         history.tries += 1
         history.excluded |= {place.upstream}
         history.last = result
 
-    def _whole(self, job: Job, history: _History, result: Result) -> Result:
+    def _with_combined_verdict(
+        self, job: Job, history: _History, result: Result
+    ) -> Result:
         if not history.tries:
             return result
         verdict = combined_verdict(result.verdict, _attempt(job, history))
@@ -295,7 +301,9 @@
             size=result.size,
             tries=history.tries,
             wasted_tries=history.wasted,
-            met_target=met(job.classification, result.verdict, timing),
+            met_target=is_target_met(
+                job.classification, result.verdict, timing
+            ),
         )
         # Once the answer is on its way: the caller doesn't wait for metrics
         # and a line in the log.
@@ -338,7 +346,7 @@
     first_byte_s = bounds.first_byte_s
     if not call.is_streamed:
         # The first byte of a whole answer comes with its last token.
-        first_byte_s = max(first_byte_s, _WHOLE_ANSWER_S)
+        first_byte_s = max(first_byte_s, _MIN_WHOLE_ANSWER_TIMEOUT_S)
     return UpstreamRequest(
         url=f"http://{place.ip}:{place.port}{call.upstream_path}",
         method=call.method,
--- a/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
@@ -25,7 +25,7 @@
 
     def test_is_bounded(self) -> None:
         delisted = Delisted()
-        names = [f"h{n}" for n in range(_delisted.KEPT + 2)]
+        names = [f"h{n}" for n in range(_delisted.MAX_ENTRIES + 2)]
         delisted.note(_hosts(*names))
         delisted.note(_hosts(names[0]))
         assert delisted.find(names[1]) is None
