--- a/packages/daemon/src/hollyknot_daemon/__init__.py
+++ b/packages/daemon/src/hollyknot_daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The entry-host process, hollyknotd."""
+"""Provides hollyknotd, the process that routes requests on each host."""
 
 from hollyknot_daemon._host import Host
 from hollyknot_daemon._main import main
--- a/packages/daemon/src/hollyknot_daemon/_claiming.py
+++ b/packages/daemon/src/hollyknot_daemon/_claiming.py
@@ -1,4 +1,4 @@
-"""Claims for non-idempotent requests, as the flow sees them."""
+"""Defines how the request path claims a non-idempotent request."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,15 +9,16 @@
 
 @attrs.frozen
 class Grant:
-    """That this attempt alone may run the request.
+    """Permission to run the request, which no other attempt holds.
 
     Attributes:
-        settle: To be called once with the verdict of the attempt. A request
-            proved not run gives the claim back; any other end is recorded.
+        settle: Callback to be called once with the verdict of the attempt.
+            It releases the claim if the request is proved not to have run,
+            and records the outcome otherwise.
     """
 
     settle: Callable[[Verdict], None]
 
 
 Claim = Callable[[str, str, str], Awaitable[Grant | Verdict]]
-"""Asks for the claim of a customer, a service and an idempotency key."""
+"""Requests the claim for a customer, a service and an idempotency key."""
--- a/packages/daemon/src/hollyknot_daemon/_claims_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_claims_task.py
@@ -1,4 +1,8 @@
-"""Claims on this host: as the coordinator of its requests and as a holder."""
+"""Runs this host's part in claims of non-idempotent requests.
+
+The host is the coordinator of the claims for its own requests, and a holder of
+claims for the requests of all hosts.
+"""
 
 import asyncio
 import random
@@ -32,17 +36,21 @@
 )
 
 CLAIM_TIMEOUT_S = 2.0
-"""Seconds for a claim; the caller is then told when to come back."""
+"""Longest wait for a claim. After it the request is refused with a time after
+which to retry."""
 
 _MAX_LEARNING_S = 10.0
+"""Longest wait for all slots to be learnt, from the first host list that names
+this host."""
+
 _NS_PER_MS = 1_000_000
 
 Send = Callable[[str, ClaimMessage], None]
-"""Sends a message to a host by name, best effort."""
+"""Sends a message to the named host, without a guarantee of delivery."""
 
 
 class ClaimsTask:
-    """Owns the coordinator and the holder of this host."""
+    """Connects the claim coordinator and holder of this host to its links."""
 
     def __init__(
         self,
@@ -51,19 +59,21 @@
         send: Send,
         options: ClaimOptions,
     ) -> None:
-        """Knows no hosts yet.
+        """Creates a coordinator and a holder that know no hosts yet.
 
         Args:
-            settings: Of this host.
-            rng: Spreads times to come back.
-            send: Sends to other hosts.
-            options: Times; `remember_s` follows the declarations.
+            settings: This host's settings.
+            rng: Source of the jitter in the times after which callers retry.
+            send: Sends a message to another host.
+            options: Timeouts and limits of claims. Its `remember_s` is
+                replaced by the longest one declared for a service.
         """
         self._host = settings.host
         self._send = send
         self._clock = asyncio.get_running_loop().time
-        # No process may repeat another's number, or it could release, or take
-        # for its own, what that one was granted.
+        # The incarnation must differ from that of every other process of this
+        # host. With the same number, a process could release claims granted to
+        # another one, or take them for its own.
         incarnation = time.time_ns()
         placement = make_placement(DocumentsView().hosts, ())
         self._coordinator = Coordinator(
@@ -81,38 +91,39 @@
 
     @property
     def records(self) -> int:
-        """Keys that this host remembers as a holder."""
+        """Number of keys that this host stores as a holder."""
         return self._holder.records()
 
     @property
     def pending_handovers(self) -> int:
-        """Slots whose claims no other host could tell yet."""
+        """Number of slots whose claims would be lost with this host."""
         return self._holder.pending_handovers
 
     @property
     def learning_slots(self) -> int:
-        """Slots that this host holds but may not grant for yet."""
+        """Number of slots that this host holds but may not grant for yet."""
         return len(self._holder.learning_slots())
 
     @property
     def may_serve(self) -> bool:
         """Whether this host may serve non-idempotent requests.
 
-        Once true it stays so: slots that it learns later are claimed at the
-        other holders meanwhile.
+        Once true it stays true: while this host learns a slot that is assigned
+        to it later, the slot's other holders grant the claims.
         """
         return self._may_serve
 
     def on_view(self, view: DocumentsView, is_listed: bool) -> None:
-        """Takes a newer host list, or newly declared data centres.
+        """Updates placement and retention from newly adopted documents.
 
         Args:
-            view: The documents in force.
+            view: Declarations and host list in force.
             is_listed: Whether the host list names this host.
         """
         now = self._now()
-        # A list from before this host was added gives it no slots to learn: it
-        # would look settled, and refuse the first keys as too old.
+        # A host list from before this host was added assigns it no slots to
+        # learn. If it counted, the host would seem ready and then refuse the
+        # first keys as too old.
         if view.is_complete and is_listed:
             self._listed_since_s = min(self._listed_since_s, now.now_s)
         services = view.declarations.services.values()
@@ -123,7 +134,7 @@
             )
         data_centres = view.declarations.data_centres
         placement_inputs = (view.hosts.revision, data_centres)
-        # Most changes of the declarations move no holder.
+        # Most changes of the declarations leave the placement as it is.
         if placement_inputs == self._placement_inputs:
             return
         self._placement_inputs = placement_inputs
@@ -134,7 +145,7 @@
         self._execute(self._coordinator.update(placement, now))
 
     def on_message(self, sender: str, message: ClaimMessage) -> None:
-        """Takes a message of an authenticated host, or of this one."""
+        """Handles a claim message of an authenticated host or of this one."""
         now = self._now()
         if isinstance(message, ClaimAnswer):
             self._execute(self._coordinator.receive(sender, message, now))
@@ -142,7 +153,7 @@
             self._execute(self._holder.receive(sender, message, now))
 
     def tick(self) -> None:
-        """Repeats what is unanswered; called every 0.1 s or so."""
+        """Resends unanswered messages; called about every 0.1 s."""
         now = self._now()
         if now.now_s >= self._coordinator.next_poll_s():
             self._execute(self._coordinator.poll(now))
@@ -154,10 +165,10 @@
             self._handover_done.set()
 
     def _can_start_serving(self, now: Instant) -> bool:
-        """Tells whether all slots are learnt, and open to keys of this moment.
+        """Tells whether all slots are learnt and accept keys made just now.
 
-        A slot that can't be learnt must not keep the host from serving
-        everything else, so that the wait is bounded.
+        The wait is bounded by `_MAX_LEARNING_S`: a slot that can't be learnt
+        must not keep the host from serving all other requests.
         """
         waited_s = now.now_s - self._listed_since_s
         if waited_s >= _MAX_LEARNING_S:
@@ -166,28 +177,30 @@
         return is_learnt and now.wall_ms > self._holder.horizon_ms
 
     async def wait_handed_over(self) -> None:
-        """Waits until other hosts could tell all claims that this one holds."""
+        """Waits until no claim would be lost if this host stopped."""
         self._handover_done.clear()
         await self._handover_done.wait()
 
     def forget(self) -> None:
-        """Forgets keys that are too old; called every minute or so."""
+        """Drops keys past their retention; called about every minute."""
         self._execute(self._holder.poll(self._now()))
 
     async def claim(
         self, customer: str, service: str, idempotency_key: str
     ) -> Grant | Verdict:
-        """Asks for the claim of a non-idempotent request.
+        """Requests the claim for a non-idempotent request.
 
         Returns:
-            The grant, to be settled once; or why the request must not run.
+            The grant, which must be settled exactly once, or a verdict that
+            says why the request must not run.
         """
         key = claim_key(customer, service, idempotency_key)
         if isinstance(key, KeyFault):
             return _key_refusal(key, idempotency_key)
         commands = self._coordinator.claim(key, self._now(), CLAIM_TIMEOUT_S)
-        # A second request for a key that is under way here is refused at once
-        # and must not answer the first one's wait.
+        # A second request with a key that is being claimed on this host is
+        # refused at once. Its refusal must not complete the future on which
+        # the first request waits.
         for command in commands:
             if isinstance(command, ClaimRefused):
                 return command.verdict
@@ -199,8 +212,8 @@
         try:
             return await waiting
         except asyncio.CancelledError:
-            # Nothing was dispatched: without giving the claim back, the
-            # caller's next attempt would be told that it may have run.
+            # Nothing was sent upstream, so the claim is released. Otherwise
+            # the caller's next attempt would be refused as possibly run.
             self._execute(self._coordinator.finish(key, Outcome.NOT_RUN))
             raise
         finally:
@@ -220,8 +233,8 @@
         if host != self._host:
             self._send(host, message)
             return
-        # Later, not now: the decisions are not to be entered again while they
-        # give their commands.
+        # Deferred to the event loop: the coordinator and the holder are not
+        # reentrant while their commands are being executed.
         loop = asyncio.get_running_loop()
         loop.call_soon(self.on_message, self._host, message)
 
--- a/packages/daemon/src/hollyknot_daemon/_control_plane.py
+++ b/packages/daemon/src/hollyknot_daemon/_control_plane.py
@@ -1,4 +1,4 @@
-"""What this host shares with others: documents, signals and claims."""
+"""Exchanges documents, health signals and claims with the other hosts."""
 
 import asyncio
 import contextlib
@@ -41,7 +41,7 @@
 
 
 class ControlPlane:
-    """Everything between this host, its peers and the platform."""
+    """Connects this host to its peers and to the platform's services."""
 
     def __init__(
         self,
@@ -52,18 +52,18 @@
         claim_options: ClaimOptions,
         tracing: Tracing,
     ) -> None:
-        """Makes the parts; nothing listens yet.
+        """Creates the links and tasks; nothing listens yet.
 
         Args:
-            settings: Of this host.
-            rng: For all random choices.
-            documents: Told of what comes in force.
-            dispatcher: Told of peers' signals, asked for this host's.
-            claim_options: Times of the claims.
-            tracing: Records the hop of a claim to its holders.
+            settings: This host's settings.
+            rng: Source of all random choices.
+            documents: Receives each newly adopted document.
+            dispatcher: Receives peers' signals and supplies this host's own.
+            claim_options: Timeouts and limits of claims.
+            tracing: Records a span for each hop of a claim to its holders.
 
         Raises:
-            OSError: A file of the TLS can't be read.
+            OSError: A TLS certificate or key file can't be read.
         """
         self._settings = settings
         self._dispatcher = dispatcher
@@ -71,8 +71,8 @@
         self._documents = documents
         self._peers: dict[str, HostListEntry] = {}
         self._delisted = Delisted()
-        # Kept, since each request asks whether the host is ready, and a list
-        # names some 12,500 hosts and upstreams.
+        # Cached, since every request checks whether the host is ready, and a
+        # host list names about 12,500 hosts and upstreams.
         self._is_listed = False
         self._listed_revision = 0
         self._stack = contextlib.AsyncExitStack()
@@ -89,11 +89,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this host knows enough to serve.
+        """Whether this host has the documents and claims it needs to serve.
 
-        A list that does not name this host yet may be one from before the
-        upstreams that it should use were added. A host whose claims have not
-        settled would refuse fresh idempotency keys as too old.
+        A host list that does not name this host may also predate the upstreams
+        that this host should use. A host that has not learnt its claim slots
+        would refuse new idempotency keys as too old.
         """
         view = self._documents.view
         if not self._claims.may_serve:
@@ -103,19 +103,19 @@
 
     @property
     def links_port(self) -> int:
-        """The port on which other hosts are served."""
+        """Port that accepts links from other hosts."""
         return self._server.port
 
     @property
     def counters(self) -> LinkCounters:
-        """Traffic of the links."""
+        """Counters of the traffic over links to other hosts."""
         return self._counters
 
     async def __aenter__(self) -> "ControlPlane":
-        """Listens for other hosts.
+        """Starts to listen for links from other hosts.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The address can't be bound.
         """
         async with contextlib.AsyncExitStack() as stack:
             await stack.enter_async_context(self._pool)
@@ -129,7 +129,7 @@
         await self._stack.aclose()
 
     def on_view(self, view: DocumentsView) -> None:
-        """Takes a change of the documents in force."""
+        """Applies a change of the documents in force."""
         if view.hosts.revision != self._listed_revision:
             self._listed_revision = view.hosts.revision
             self._on_hosts(view.hosts)
@@ -142,7 +142,7 @@
         self._delisted.note(listed)
 
     def tick(self) -> None:
-        """Does what is due; called every 0.1 s or so."""
+        """Runs gossip and claim timers; called about every 0.1 s."""
         self._peers_task.tick(
             self._dispatcher.local_pressure(),
             self._dispatcher.local_signs(),
@@ -151,22 +151,23 @@
         self._claims.tick()
 
     def forget(self) -> None:
-        """Forgets keys that are too old; called every minute or so."""
+        """Drops claims past their retention; called about every minute."""
         self._claims.forget()
 
     async def claim(
         self, customer: str, service: str, idempotency_key: str
     ) -> Grant | Verdict:
-        """Asks for the claim of a non-idempotent request."""
+        """Requests the claim for a non-idempotent request."""
         return await self._claims.claim(customer, service, idempotency_key)
 
     async def hand_over(self) -> None:
         """Waits until other hosts have learnt this host's claims.
 
-        They learn once the host list calls this host leaving, which may be
-        after the signal to stop. Meanwhile it answers their questions. Gone
-        too early with most of a slot's other holders, it would leave that
-        slot closed: its keys could never be claimed again.
+        They start to learn once the host list marks this host as leaving,
+        which may happen after the signal to stop. Meanwhile this host
+        answers their questions. If it stopped too early, together with most
+        of a slot's other holders, the slot would stay closed and its keys
+        could never be claimed again. The wait is limited to `handover_s`.
         """
         if not self._has_successors():
             return
@@ -184,7 +185,7 @@
         )
 
     def view(self) -> dict[str, object]:
-        """Returns what status pages show of this part."""
+        """Returns what the status page shows of peers, claims and links."""
         state = self._peers_task.state
         alive = set(state.alive_peers(self._settings.data_centre))
         return {
--- a/packages/daemon/src/hollyknot_daemon/_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/_delisted.py
@@ -1,8 +1,9 @@
-"""Addresses of hosts that the host list no longer names.
+"""Keeps the addresses of hosts that were removed from the host list.
 
-Holders of a changed group learn from the earlier holders, one of which may have
-just been taken off the list and still answer. Without its address that group
-might never be learnt, and its keys stay closed.
+When the holders of a claim slot change, the new holders learn its claims from
+the earlier ones. An earlier holder may have just been removed from the host
+list and still answer. Without its address the slot might never be learnt, and
+its keys could not be claimed.
 """
 
 from collections import OrderedDict
@@ -11,20 +12,20 @@
 from hollyknot_state import HostListEntry
 
 MAX_ENTRIES = 256
-"""Most addresses kept; at the planned size a data centre replaces some 120
-hosts a day."""
+"""Maximum number of addresses. At the planned size a data centre replaces about
+120 hosts a day."""
 
 
 class Delisted:
-    """The hosts that were listed and are not any more, newest last."""
+    """Hosts removed from the host list, the most recently removed last."""
 
     def __init__(self) -> None:
-        """Has seen no list yet."""
+        """Creates an empty record, before any host list is known."""
         self._listed: Mapping[str, HostListEntry] = {}
         self._gone: OrderedDict[str, HostListEntry] = OrderedDict()
 
     def note(self, listed: Mapping[str, HostListEntry]) -> None:
-        """Takes the hosts that a newer list names."""
+        """Records which hosts are missing from a newer host list."""
         for name, entry in self._listed.items():
             if name not in listed:
                 self._gone[name] = entry
@@ -35,5 +36,5 @@
         self._listed = listed
 
     def find(self, name: str) -> HostListEntry | None:
-        """Returns the last entry of a host that is gone, if it is kept."""
+        """Returns the last known entry of a removed host, if it is kept."""
         return self._gone.get(name)
