--- a/packages/daemon/src/hollyknot_daemon/_dispatch.py
+++ b/packages/daemon/src/hollyknot_daemon/_dispatch.py
@@ -1,8 +1,8 @@
-"""Owns the decisions about who runs when and where on this host.
+"""Decides when and at which upstream each request of this host runs.
 
-Request tasks ask for a place and await it; everything that changes the
-decisions' state is done here, without awaiting, so that no two tasks can see a
-free slot and both take it.
+A request's task asks for a place (a slot at an upstream) and awaits it. The
+state of admission and routing changes only here and without awaiting, so that
+no two tasks can see a free slot and both take it.
 """
 
 import asyncio
@@ -54,7 +54,7 @@
 
 
 class Dispatcher:
-    """The admission queue and the table of upstreams of one host."""
+    """Combines the admission queue and the upstream table of one host."""
 
     def __init__(
         self,
@@ -63,13 +63,14 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Makes empty decisions.
+        """Creates an empty queue and an empty upstream table.
 
         Args:
             host: This host's name.
-            data_centre: Its data centre; upstreams here are preferred.
-            rng: Spreads choices and times to come back.
-            clock: The loop's monotonic clock, in seconds.
+            data_centre: This host's data centre, whose upstreams are preferred.
+            rng: Source of random choices of upstreams and of the jitter in
+                the times after which callers retry.
+            clock: Returns the event loop's monotonic time, in seconds.
         """
         self._clock = clock
         self._rng = rng
@@ -80,16 +81,16 @@
 
     @property
     def table(self) -> UpstreamTable:
-        """The upstreams, for probes, load reports and status pages."""
+        """Upstream table, for probes, load reports and the status page."""
         return self._table
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return self._queue.waiting
 
     def on_host_list(self, hosts: HostList) -> None:
-        """Takes a new host list in."""
+        """Updates the upstreams from a new host list."""
         self._table.on_host_list(hosts, self._clock())
         self._admit_all_pools()
 
@@ -99,13 +100,17 @@
         """Waits for a slot at an upstream.
 
         Args:
-            info: The request.
-            excluded: Upstreams that it was tried at already.
+            info: Properties of the request that admission and routing use.
+            excluded: Upstreams at which the request has already been tried.
 
         Returns:
-            The upstream, where the request then counts as in flight until
-            `finished`; or the verdict by which it is refused. Cancelling
-            takes the request out of the queue.
+            The chosen upstream, or the verdict by which the request is
+            refused. The request counts as in flight at the upstream until
+            `finished` is called.
+
+        Raises:
+            asyncio.CancelledError: The task was cancelled; the request has
+                left the queue and holds no slot.
         """
         if not self._table.has_pool(info.pool):
             return self._no_upstream(info)
@@ -136,7 +141,7 @@
         tokens: int,
         service_time_s: float,
     ) -> None:
-        """Frees a slot; called once for each place that was given."""
+        """Frees the slot of a place; called once for each place given."""
         now = self._clock()
         self._suspects.on_end(info.fingerprint, choice.upstream, verdict, now)
         self._table.on_finished(
@@ -146,7 +151,7 @@
         self._admit_waiting(info.pool)
 
     def on_first_byte(self, choice: Choice, info: RequestInfo) -> None:
-        """Notes that an upstream began to answer."""
+        """Records that an upstream began to answer a request."""
         self._table.on_first_byte(
             choice.upstream, info.request_id, self._clock()
         )
@@ -157,7 +162,7 @@
         signs: tuple[UpstreamSign, ...],
         suspects: tuple[SuspectRecord, ...],
     ) -> None:
-        """Takes peers' soft signals in."""
+        """Applies pressures, health signs and suspects that peers gossip."""
         now = self._clock()
         self._queue.on_peer_pressure(pressures, now)
         self._table.on_signs(signs, now)
@@ -165,23 +170,23 @@
         self._admit_all_pools()
 
     def local_pressure(self) -> tuple[TierPressure, ...]:
-        """Returns the pressure to tell peers of."""
+        """Returns this host's pressures, to be gossiped to peers."""
         return self._queue.local_pressure(self._clock())
 
     def local_signs(self) -> tuple[UpstreamSign, ...]:
-        """Returns the signs of upstreams to tell peers of."""
+        """Returns this host's health signs, to be gossiped to peers."""
         return self._table.local_signs(self._clock())
 
     def local_suspects(self) -> tuple[SuspectRecord, ...]:
-        """Returns the evidence against requests to tell peers of."""
+        """Returns this host's suspect records, to be gossiped to peers."""
         return self._suspects.records(self._clock())
 
     def expire(self) -> None:
-        """Forgets old evidence; called every second or so."""
+        """Drops expired suspect records; called about every second."""
         self._suspects.expire(self._clock())
 
     def tick(self) -> None:
-        """Does what has become due by time alone."""
+        """Admits or refuses waiting requests that have become due."""
         self._apply(self._queue.tick(self._clock()))
         self._admit_all_pools()
 
@@ -209,7 +214,8 @@
     def _choose(self, waiting: _Waiting) -> Place:
         now = self._clock()
         info = waiting.info
-        # Again, since other requests may have been lost while it waited.
+        # The request is checked again, since upstreams may have been lost to
+        # requests with its fingerprint while it waited.
         gate = self._suspects.gate(info.fingerprint, now)
         if isinstance(gate, RefuseSuspect):
             self._queue.withdraw(info.request_id, now)
@@ -217,8 +223,8 @@
         isolated_from = (
             gate.exclude if isinstance(gate, Isolate) else frozenset()
         )
-        # Every other upstream may have been tried or be full: one tried
-        # before is better than none, since its refusal may have passed.
+        # If every other upstream has been tried or is full, the request goes
+        # to one that was tried before, since its cause of refusal may be over.
         for excluded in dict.fromkeys((waiting.excluded, frozenset[str]())):
             found = self._table.choose(info, now, excluded | isolated_from)
             if isinstance(found, Choice):
@@ -238,11 +244,11 @@
     def _release_cancelled(
         self, info: RequestInfo, future: asyncio.Future[Place]
     ) -> None:
-        """Gives back what a cancelled request held or waited for.
+        """Releases the slot or the queue entry of a cancelled request.
 
-        The caller may go just after the slot was given and before its task
-        ran again. The slot would then be counted as taken for ever: the
-        upstream would look busier and busier while it idles.
+        A caller may disconnect after its request got a slot and before the
+        request's task resumes. Without the release such slots would count as
+        in use for ever, and the upstream would seem busy while it idles.
         """
         now = self._clock()
         if future.done() and not future.cancelled():
--- a/packages/daemon/src/hollyknot_daemon/_documents.py
+++ b/packages/daemon/src/hollyknot_daemon/_documents.py
@@ -1,4 +1,4 @@
-"""The documents in force on this host, and who is told of a change."""
+"""Holds the documents in force on this host and reports their changes."""
 
 from collections.abc import Callable
 
@@ -8,30 +8,38 @@
 
 
 class Documents:
-    """The view in force."""
+    """Keeps the newest valid declarations and host list."""
 
     def __init__(self, on_change: Callable[[DocumentsView], None]) -> None:
-        """Starts with nothing in force.
+        """Creates a view without declarations and hosts.
 
         Args:
-            on_change: Called with each new view, before any request sees it.
+            on_change: Callback that gets each new view before any request
+                uses it.
         """
         self._view = DocumentsView()
         self._on_change = on_change
 
     @property
     def view(self) -> DocumentsView:
-        """The view of this moment."""
+        """View of the documents that are in force now."""
         return self._view
 
     def put(self, value: object) -> None:
-        """Puts a checked document in force; an older one changes nothing."""
+        """Puts a checked document in force unless it is an older one.
+
+        Raises:
+            TypeError: The value is neither declarations nor a host list.
+        """
         if isinstance(value, HostList):
             view = self._view.with_hosts(value)
         elif isinstance(value, Declarations):
             view = self._view.with_declarations(value)
         else:
-            raise TypeError(f"{type(value).__name__} is not a document")
+            raise TypeError(
+                f"expected Declarations or a HostList, got"
+                f" {type(value).__name__}"
+            )
         if view is not self._view:
             self._view = view
             self._on_change(view)
@@ -41,5 +49,5 @@
     DocumentKind.DECLARATIONS: check_declarations,
     DocumentKind.HOSTS: check_hosts,
 }
-"""How a newer version of each document is checked, whole, before it is in
-force."""
+"""Functions that check a newer version of each document as a whole before it
+is put in force."""
--- a/packages/daemon/src/hollyknot_daemon/_documents_view.py
+++ b/packages/daemon/src/hollyknot_daemon/_documents_view.py
@@ -1,4 +1,4 @@
-"""The declarations and the host list in force on this host."""
+"""Defines the immutable view of declarations and host list of one moment."""
 
 import attrs
 
@@ -11,15 +11,16 @@
 
 @attrs.frozen
 class DocumentsView:
-    """One consistent view; a new one is made for each change.
+    """A consistent view of the documents, replaced at each change.
 
-    A request keeps the view that it arrived under, so that a change in its
-    midst can't give it the class of one version and the target of another.
+    A request keeps the view that was in force when it arrived. A change during
+    the request can't give it the class of one version and the target of
+    another.
 
     Attributes:
-        declarations: The highest good version known here.
-        hosts: The highest revision known here.
-        customers_by_key: Customers' names by the SHA-256 of their keys.
+        declarations: Highest valid version of the declarations known here.
+        hosts: Highest revision of the host list known here.
+        customers_by_key: Customers' names by the SHA-256 of their API keys.
     """
 
     declarations: Declarations = _NOTHING_DECLARED
@@ -28,14 +29,15 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether there is something to serve by."""
+        """Whether both declarations and a host list are known."""
         return self.declarations.version > 0 and self.hosts.revision > 0
 
     def with_declarations(self, declarations: Declarations) -> "DocumentsView":
-        """Returns a view with newer declarations; an older one is ignored.
+        """Returns a view with newer declarations; older ones are ignored.
 
-        A restored configuration service offers old versions as if they were
-        new. Taking one would bring back, say, a customer's revoked key.
+        A configuration service that was restored from a backup offers old
+        versions as the newest. Applying one could, for example, make a
+        customer's revoked key valid again.
         """
         if declarations.version <= self.declarations.version:
             return self
--- a/packages/daemon/src/hollyknot_daemon/_flow.py
+++ b/packages/daemon/src/hollyknot_daemon/_flow.py
@@ -1,4 +1,4 @@
-"""One request, from the caller to its verdict."""
+"""Handles each caller's request: checks, classifies, runs and answers it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -42,15 +42,15 @@
 
 @attrs.frozen
 class FlowParts:
-    """What the flow is made of.
+    """Dependencies of the request handler.
 
     Attributes:
-        in_force: Returns the view of this moment.
-        readiness: Returns whether new work is taken.
-        tries: Runs an admitted request at upstreams.
-        claim: Asks for the claim of a non-idempotent request.
+        in_force: Returns the view of the documents in force now.
+        readiness: Returns whether the host accepts new requests.
+        tries: Places a request at upstreams and retries it.
+        claim: Requests the claim for a non-idempotent request.
         tracing: Records a span for each hop.
-        max_body_bytes: The largest body that is read.
+        max_body_bytes: Largest request body that is read, in bytes.
     """
 
     in_force: Callable[[], DocumentsView]
@@ -64,7 +64,7 @@
 def caller_handler(
     parts: FlowParts,
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    """Returns the handler of every caller's request."""
+    """Returns the handler for all requests of callers."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         request_id = new_request_id()
--- a/packages/daemon/src/hollyknot_daemon/_host.py
+++ b/packages/daemon/src/hollyknot_daemon/_host.py
@@ -1,4 +1,4 @@
-"""One host: owns every server, client, task and decision of its process."""
+"""Builds, runs and stops all parts of one host's process."""
 
 import asyncio
 import contextlib
@@ -54,12 +54,12 @@
         rng: random.Random,
         claim_options: ClaimOptions = DEFAULT_CLAIM_OPTIONS,
     ) -> None:
-        """Makes the parts; nothing listens yet.
+        """Creates a host that does not listen yet.
 
         Args:
-            settings: Checked settings.
-            rng: The source of all random choices of this host.
-            claim_options: Times of the claims, to shorten them in tests.
+            settings: Validated settings of this host.
+            rng: Source of all random choices of this host.
+            claim_options: Timeouts and limits of claims, which tests shorten.
         """
         self._claim_options = claim_options
         self._settings = settings
@@ -73,22 +73,22 @@
 
     @property
     def callers_port(self) -> int:
-        """The port on which callers are served."""
+        """Port that accepts callers' requests."""
         return self._callers_port
 
     @property
     def operators_port(self) -> int:
-        """The port on which operators are served."""
+        """Port that serves readiness, metrics and status to operators."""
         return self._operators_port
 
     @property
     def links_port(self) -> int:
-        """The port on which other hosts are served."""
+        """Port that accepts links from other hosts."""
         return self._control_plane.links_port
 
     @property
     def readiness(self) -> Readiness:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send callers' requests here."""
         if self._is_stopping:
             return _STOPPING
         if not self._control_plane.is_ready:
@@ -96,10 +96,10 @@
         return _READY
 
     async def __aenter__(self) -> "Host":
-        """Starts to listen and to learn.
+        """Starts to listen and to obtain documents and claims from peers.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: An address can't be bound, or a TLS file can't be read.
         """
         async with contextlib.AsyncExitStack() as stack:
             await self._start(stack)
@@ -107,14 +107,16 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Closes everything at once."""
+        """Closes all parts without waiting for requests in flight."""
         await self._stack.aclose()
 
     async def stop(self) -> None:
-        """Stops gracefully: interrupts no request in flight.
+        """Stops gracefully, without interrupting requests in flight.
 
-        New work is refused at once and the balancer is told by `/readyz`. It
-        returns when the last answer is out, or after `stop_grace_s`.
+        New requests are refused at once, and `/readyz` reports to the load
+        balancer that this host is not ready. The method returns when the last
+        answer has been sent, or after `stop_grace_s`, and when other hosts
+        have learnt this host's claims, or after `handover_s`.
         """
         if self._is_stopping:
             return
@@ -130,11 +132,11 @@
         self._stopped.set()
 
     async def stopped(self) -> None:
-        """Waits for the end of a graceful stop."""
+        """Waits until a graceful stop is complete."""
         await self._stopped.wait()
 
     def status(self) -> dict[str, object]:
-        """Returns what `GET /status` shows."""
+        """Returns the document for `GET /status`."""
         clock = asyncio.get_running_loop().time
         return status_document(
             self._settings,
@@ -219,8 +221,8 @@
         stack.push_async_callback(end)
 
     def _on_change(self, view: DocumentsView) -> None:
-        # Declarations change far more often than the host list, and the
-        # upstreams don't follow from them.
+        # Declarations change far more often than the host list and don't
+        # affect the upstreams, so the dispatcher is not updated for them.
         if view.hosts.revision != self._listed_revision:
             self._listed_revision = view.hosts.revision
             self._dispatcher.on_host_list(view.hosts)
@@ -238,8 +240,8 @@
         forget_at = clock()
         while True:
             await asyncio.sleep(_TICK_S)
-            # One bad tick must not end all later ones: queued requests would
-            # then never expire, and nobody would see why.
+            # An exception in one tick must not end the loop: queued requests
+            # would then never expire, and the log would not show why.
             try:
                 self._dispatcher.tick()
                 self._control_plane.tick()
--- a/packages/daemon/src/hollyknot_daemon/_main.py
+++ b/packages/daemon/src/hollyknot_daemon/_main.py
@@ -1,4 +1,4 @@
-"""The command line of `hollyknotd`."""
+"""Implements the command line of `hollyknotd`."""
 
 import asyncio
 import pathlib
--- a/packages/daemon/src/hollyknot_daemon/_peers_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_peers_task.py
@@ -1,4 +1,4 @@
-"""What this host learns from peers and the platform, and tells them."""
+"""Runs this host's gossip with peers and its polling of the platform."""
 
 import asyncio
 import contextlib
@@ -36,11 +36,11 @@
 _LOG = get_logger("daemon")
 
 SendMessage = Callable[[str, PeerMessage], None]
-"""Sends a message to a host by name, best effort."""
+"""Sends a message to the named host, without a guarantee of delivery."""
 
 
 class PeersTask:
-    """Owns this host's peer state and its reads of the platform."""
+    """Executes the commands of this host's peer state."""
 
     def __init__(
         self,
@@ -50,14 +50,15 @@
         send: SendMessage,
         on_signals: Callable[[ReportSignals], None],
     ) -> None:
-        """Knows nothing yet.
+        """Creates a peer state that knows no peers and no documents yet.
 
         Args:
-            settings: Of this host.
-            rng: For all random choices.
-            documents: Told of what comes in force.
-            send: Sends to other hosts.
-            on_signals: Told of what peers saw.
+            settings: This host's settings.
+            rng: Source of all random choices.
+            documents: Receives each newly adopted document.
+            send: Sends a message to another host.
+            on_signals: Receives the pressures, health signs and suspect
+                records that peers gossip.
         """
         self._settings = settings
         self._rng = rng
@@ -72,17 +73,17 @@
 
     @property
     def state(self) -> PeerState:
-        """What is known, to read."""
+        """Peer state, which callers only read."""
         return self._state
 
     async def close(self) -> None:
-        """Ends the reads of the platform."""
+        """Stops polling the platform."""
         for task in self._polls.values():
             task.cancel()
         await asyncio.gather(*self._polls.values(), return_exceptions=True)
 
     def on_message(self, peer: str, message: PeerMessage) -> None:
-        """Takes a message of an authenticated peer."""
+        """Handles a message of an authenticated peer."""
         self._execute(self._state.on_message(peer, message, self._clock()))
 
     def tick(
@@ -91,12 +92,12 @@
         signs: tuple[UpstreamSign, ...],
         suspects: tuple[SuspectRecord, ...],
     ) -> None:
-        """Does what is due; called every `TICK_S`.
+        """Sends the gossip that is due; called about every 0.1 s.
 
         Args:
-            pressures: Seen by this host.
-            signs: Seen by this host.
-            suspects: Seen by this host.
+            pressures: Shortages of capacity that this host observed.
+            signs: Health signs of upstreams that this host observed.
+            suspects: Suspect records of this host.
         """
         now = self._clock()
         self._state.note_signals(
