--- a/packages/daemon/src/hollyknot_daemon/_probes.py
+++ b/packages/daemon/src/hollyknot_daemon/_probes.py
@@ -1,4 +1,4 @@
-"""Asks upstreams for their load, and probes those under suspicion."""
+"""Queries upstreams for load reports and probes those that may have failed."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,18 +14,18 @@
 from hollyknot_state import LoadReport
 
 REPORTS_PER_S = 2
-"""Load reports asked for by one host, whatever the number of upstreams: the
-rate is fixed, so that the cost for control does not grow with the fleet."""
+"""Load reports that one host requests per second. The rate does not depend on
+the number of upstreams, so the cost of control does not grow with the fleet."""
 
 _LOAD_PATH = "/v1/load"
 _MAX_REPORT_BYTES = 4096
 
 
 class Probes:
-    """Owns the connections for probes; each probe makes a new one.
+    """Sends probes and load queries, each on a new connection.
 
-    A connection in use can be silent for good while new ones work. Only a new
-    connection tells a lost connection from a lost upstream.
+    An established connection can stay silent for ever while new ones work.
+    Only a new connection distinguishes a lost connection from a lost upstream.
     """
 
     def __init__(
@@ -42,19 +42,19 @@
         )
 
     async def close(self) -> None:
-        """Ends all probes."""
+        """Cancels all probes and closes the HTTP session."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._session.close()
 
     def start_due_probes(self) -> None:
-        """Probes the upstreams that are due."""
+        """Starts a probe of each upstream that is due for one."""
         for probe in self._table.probes_due(self._clock()):
             self._spawn(probe, is_probe=True)
 
     def request_reports(self) -> None:
-        """Asks the next few upstreams for their load; called each second."""
+        """Queries the next upstreams for their load; called every second."""
         targets = self._table.report_targets()
         for _ in range(min(REPORTS_PER_S, len(targets))):
             self._last_asked = (self._last_asked + 1) % len(targets)
@@ -75,7 +75,8 @@
             self._apply_report(probe, body)
         except (aiohttp.ClientError, TimeoutError, OSError):
             pass
-        # A lost report alone is no sign: it may be this host that is slow.
+        # A failed load query is no evidence against the upstream, since this
+        # host itself may be slow. Only probes are counted.
         if is_probe:
             self._table.on_probe(probe.upstream, is_alive, self._clock())
 
@@ -87,7 +88,10 @@
 
 
 def _parse_report(body: bytes) -> LoadReport | None:
-    """Returns the report, or None of a service that has none."""
+    """Returns the load report, or None if the answer contains none.
+
+    Services that don't report their load may answer anything.
+    """
     try:
         document = orjson.loads(body)
         return LoadReport(
--- a/packages/daemon/src/hollyknot_daemon/_record.py
+++ b/packages/daemon/src/hollyknot_daemon/_record.py
@@ -1,4 +1,4 @@
-"""Records the end of each request: metrics, tallies and a line in the log."""
+"""Records the end of each request in metrics, tallies and the log."""
 
 import attrs
 import orjson
@@ -19,17 +19,18 @@
 
 @attrs.frozen
 class Ended:
-    """The end of one request.
+    """Result of one request.
 
     Attributes:
-        request_id: As given to the caller.
-        classification: What the request was.
-        verdict: How it ended.
-        timing: When the parts of its answer came.
-        size: Bytes of its answer.
-        tries: Tries at upstreams.
-        wasted_tries: Tries that ran at least in part and were thrown away.
-        met_target: Whether the answer met the class's target.
+        request_id: Request ID, as given to the caller.
+        classification: Customer, class, pool and target of the request.
+        verdict: Outcome of the request and its reason.
+        timing: Times at which the request and its answer arrived.
+        size: Size of the answer, in bytes.
+        tries: Number of tries at upstreams.
+        wasted_tries: Number of tries that may have run, at least in part,
+            and whose answers were discarded for a retry.
+        met_target: Whether the answer met the target of its class.
     """
 
     request_id: str
@@ -43,7 +44,7 @@
 
 
 class Recorder:
-    """Where ends of requests are counted."""
+    """Counts ended requests and tries, and logs each ended request."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -52,11 +53,11 @@
 
     @property
     def tallies(self) -> Tallies:
-        """Counts by class, for status pages."""
+        """Counts by request class, for the status page."""
         return self._tallies
 
     def record(self, ended: Ended) -> None:
-        """Counts one request and logs it."""
+        """Counts and logs one ended request."""
         name = ended.classification.request_class
         self._count(ended, name)
         self._tallies.record(
@@ -114,7 +115,14 @@
 def timing_of(
     result: Result, arrived_s: float, now_s: float, is_streamed: bool
 ) -> Timing:
-    """Returns when the parts of a try's answer came."""
+    """Returns the timing of a try's answer.
+
+    Args:
+        result: Result of the try.
+        arrived_s: Time at which the request arrived, in loop time.
+        now_s: Time at which the try ended, in loop time.
+        is_streamed: Whether the caller asked for a stream.
+    """
     tokens = result.parts if is_streamed else _tokens_in(result)
     return Timing(
         arrived_s=arrived_s,
@@ -128,12 +136,13 @@
 def is_target_met(
     classification: Classification, verdict: Verdict, timing: Timing
 ) -> bool:
-    """Tells whether an end counts as a met target."""
+    """Tells whether the answer is complete and met the target."""
     return verdict.is_complete and met_target(classification.target, timing)
 
 
 def _tokens_in(result: Result) -> int:
-    # Most calls of services tell no usage, and needn't be parsed to find out.
+    # Most answers of services report no usage. The check for the key avoids
+    # parsing them.
     if result.answer is None or b'"usage"' not in result.answer.body:
         return 0
     try:
--- a/packages/daemon/src/hollyknot_daemon/_status.py
+++ b/packages/daemon/src/hollyknot_daemon/_status.py
@@ -1,4 +1,7 @@
-"""The document behind `GET /status`, which `hollyknotctl status` shows."""
+"""Builds the document that `GET /status` returns.
+
+`hollyknotctl status` displays it.
+"""
 
 import attrs
 
@@ -17,15 +20,15 @@
     tallies: Tallies,
     control: dict[str, object],
 ) -> dict[str, object]:
-    """Returns what operators see of a running host.
+    """Returns the status of a running host.
 
     Args:
-        settings: Of this host.
-        readiness: Of this moment.
-        view: The documents in force.
-        upstreams: The upstreams in use.
-        tallies: Counts by class.
-        control: What this host shares with others.
+        settings: This host's settings.
+        readiness: Whether the host accepts requests now, and why not.
+        view: Declarations and host list in force.
+        upstreams: States of the upstreams in use.
+        tallies: Counts of ended requests by class.
+        control: State of peers, claims and links.
     """
     return {
         "host": settings.host,
--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -1,4 +1,4 @@
-"""Runs one request at upstreams: places, claims, tries, retries, the record."""
+"""Runs a request at upstreams: places, claims, tries, retries, records it."""
 
 import asyncio
 import random
@@ -36,8 +36,8 @@
     Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE, "The caller went away"
 )
 _MIN_WHOLE_ANSWER_TIMEOUT_S = 120.0
-"""The least wait for an answer of a model that is not streamed: its output's
-length is not known."""
+"""Minimum timeout for the first byte of an answer that is not streamed. The
+length of its output is not known beforehand."""
 
 _NO_TRY = Result(Verdict(Outcome.NOT_RUN))
 _NO_TIMING = Timing(0.0, 0.0, 0.0, 0, False)
@@ -50,10 +50,10 @@
     """An authenticated, classified request.
 
     Attributes:
-        call: As the caller sent it.
-        classification: Its class, tier, target and nature.
-        info: What the decisions see of it.
-        traceparent: Of the request's span.
+        call: Request as the caller sent it.
+        classification: Class, tier, target and nature of the request.
+        info: Properties of the request that admission and routing use.
+        traceparent: Trace context of the request's span.
     """
 
     call: CallerCall
@@ -64,7 +64,16 @@
 
 @attrs.define
 class _History:
-    """What a request's tries so far left behind."""
+    """Accumulates the results of a request's tries.
+
+    Attributes:
+        tries: Number of tries so far.
+        wasted: Number of retried tries that may have run, at least in part.
+        may_have_run: Whether a retried try is not proved not to have run.
+        excluded: Upstreams at which the request was tried.
+        last: Result of the last try.
+        timing: Timing of the last try.
+    """
 
     tries: int = 0
     wasted: int = 0
@@ -75,7 +84,7 @@
 
 
 class Tries:
-    """Takes a job to its end."""
+    """Runs each job until it has an answer or a final verdict."""
 
     def __init__(
         self,
@@ -86,15 +95,16 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Creates a runner with the default retry budgets.
 
         Args:
-            dispatcher: Gives places at upstreams.
-            exchanges: Talks to upstreams.
-            recorder: Counts the ends.
+            dispatcher: Admits requests and gives them places at upstreams.
+            exchanges: Sends requests to upstreams and relays their answers.
+            recorder: Counts tries and ended requests.
             tracing: Records a span for each hop.
-            rng: Spreads pauses and times to come back.
-            clock: The loop's monotonic clock, in seconds.
+            rng: Source of the jitter in the delays of retries and in the times
+                after which callers retry.
+            clock: Returns the event loop's monotonic time, in seconds.
         """
         self._dispatcher = dispatcher
         self._exchanges = exchanges
@@ -109,11 +119,11 @@
 
         Args:
             job: The request.
-            sink: Takes an answer that is relayed as it comes.
-            claim: Asks for the claim of a non-idempotent request.
+            sink: Receives an answer that is relayed while it arrives.
+            claim: Requests the claim for a non-idempotent request.
 
         Returns:
-            The last try's result with the verdict of the whole request.
+            The result of the last try, with the verdict of the whole request.
         """
         history = _History()
         try:
@@ -134,17 +144,18 @@
     ) -> Result:
         if job.info.nature is Nature.IDEMPOTENT:
             return await self._try_until_answered(job, sink, history)
-        # The request waits for a slot first: a claim that is granted and then
-        # shed would have to be given back, and may not be if this host dies.
+        # The request waits for a slot before it is claimed. If it were shed
+        # after the claim was granted, the claim would have to be released,
+        # which fails if this host dies first.
         place = await self._place(job, history)
         if isinstance(place, Verdict):
             return Result(place)
         granted = await self._claim(job, claim, place)
         if isinstance(granted, Verdict):
             return Result(granted)
-        # A caller that goes away does not undo what may run by now: the
-        # outcome must be settled all the same, so that the caller's next
-        # attempt is told the truth.
+        # The request may run on after its caller has disconnected. The work
+        # is shielded, so that its outcome is recorded in the claim and the
+        # caller's next attempt is answered by it.
         work = asyncio.ensure_future(
             self._run_claimed(job, sink, history, place, granted)
         )
@@ -247,7 +258,7 @@
             history.timing = self._release_place(job, place, result, took_s)
 
     def _first_byte_sink(self, job: Job, place: Choice, sink: Sink) -> Sink:
-        """Returns a sink that tells the decisions of the first byte."""
+        """Returns a sink that reports the first byte to the dispatcher."""
 
         async def start(answer: UpstreamAnswer) -> None:
             self._dispatcher.on_first_byte(place, job.info)
@@ -258,7 +269,7 @@
     def _release_place(
         self, job: Job, place: Choice, result: Result, took_s: float
     ) -> Timing:
-        """Gives a place back and returns the timing of what it was used for."""
+        """Releases a place and returns the timing of the try that used it."""
         timing = timing_of(
             result, job.info.arrived_s, self._clock(), job.call.is_streamed
         )
@@ -305,8 +316,8 @@
                 job.classification, result.verdict, timing
             ),
         )
-        # Once the answer is on its way: the caller doesn't wait for metrics
-        # and a line in the log.
+        # Deferred until the answer is being sent, so that the caller doesn't
+        # wait for metrics and the log.
         asyncio.get_running_loop().call_soon(self._recorder.record, ended)
 
 
@@ -328,7 +339,10 @@
 
 
 def _deadline_s(job: Job) -> float:
-    """Returns when a retry is of no more use: well past the target."""
+    """Returns the time after which a retry is useless.
+
+    It is the timeout for the first byte, which is well past the target.
+    """
     bounds = timeouts(job.classification.target, job.info.nature)
     return job.info.arrived_s + bounds.first_byte_s
 
@@ -345,7 +359,7 @@
         headers["traceparent"] = traceparent
     first_byte_s = bounds.first_byte_s
     if not call.is_streamed:
-        # The first byte of a whole answer comes with its last token.
+        # An answer that is not streamed is sent after its last token.
         first_byte_s = max(first_byte_s, _MIN_WHOLE_ANSWER_TIMEOUT_S)
     return UpstreamRequest(
         url=f"http://{place.ip}:{place.port}{call.upstream_path}",
