--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -359,7 +359,8 @@
         headers["traceparent"] = traceparent
     first_byte_s = bounds.first_byte_s
     if not call.is_streamed:
-        # An answer that is not streamed is sent after its last token.
+        # The first byte of an answer that is not streamed arrives when its last
+        # token has been generated.
         first_byte_s = max(first_byte_s, _MIN_WHOLE_ANSWER_TIMEOUT_S)
     return UpstreamRequest(
         url=f"http://{place.ip}:{place.port}{call.upstream_path}",
