--- a/packages/daemon/src/hollyknot_daemon/_flow.py
+++ b/packages/daemon/src/hollyknot_daemon/_flow.py
@@ -1,4 +1,4 @@
-"""One request, from the caller to its verdict."""
+"""Handles each caller's request: checks, classifies, runs and answers it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 )
 from hollyknot_coordination.retries import http_status
 from hollyknot_daemon._claiming import Claim
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_daemon._tries import Job, Tries
 from hollyknot_state import (
     Outcome,
@@ -42,18 +42,18 @@
 
 @attrs.frozen
 class FlowParts:
-    """What the flow is made of.
+    """Dependencies of the request handler.
 
     Attributes:
-        in_force: Returns the view of this moment.
-        readiness: Returns whether new work is taken.
-        tries: Runs an admitted request at upstreams.
-        claim: Asks for the claim of a non-idempotent request.
+        in_force: Returns the view of the documents in force now.
+        readiness: Returns whether the host accepts new requests.
+        tries: Places a request at upstreams and retries it.
+        claim: Requests the claim for a non-idempotent request.
         tracing: Records a span for each hop.
-        max_body_bytes: The largest body that is read.
+        max_body_bytes: Largest request body that is read, in bytes.
     """
 
-    in_force: Callable[[], InForce]
+    in_force: Callable[[], DocumentsView]
     readiness: Callable[[], Readiness]
     tries: Tries
     claim: Claim
@@ -64,7 +64,7 @@
 def caller_handler(
     parts: FlowParts,
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    """Returns the handler of every caller's request."""
+    """Returns the handler for all requests of callers."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         request_id = new_request_id()
@@ -78,7 +78,7 @@
             return response.refuse(_not_ready(ready))
         view = parts.in_force()
         if path == _MODELS_PATH:
-            return _models(view, request, response)
+            return _models_response(view, request, response)
         arrived_s = asyncio.get_running_loop().time()
         call = await read_call(request, request_id, parts.max_body_bytes)
         if isinstance(call, Refusal):
@@ -90,12 +90,12 @@
 
 async def _serve(
     parts: FlowParts,
-    view: InForce,
+    view: DocumentsView,
     call: CallerCall,
     response: CallerResponse,
     arrived_s: float,
 ) -> web.StreamResponse:
-    found = _classified(view, call)
+    found = _authenticate_and_classify(view, call)
     if isinstance(found, Verdict):
         return response.refuse(Refusal(http_status(found), found))
     with parts.tracing.span(
@@ -108,7 +108,7 @@
         job = Job(
             call=call,
             classification=found,
-            info=_info(call, found, arrived_s),
+            info=_request_info(call, found, arrived_s),
             traceparent=traceparent,
         )
         result = await parts.tries.run(job, response.sink(), parts.claim)
@@ -121,7 +121,9 @@
     return response.refuse(refusal)
 
 
-def _classified(view: InForce, call: CallerCall) -> Classification | Verdict:
+def _authenticate_and_classify(
+    view: DocumentsView, call: CallerCall
+) -> Classification | Verdict:
     customer = authenticate(view.customers_by_key, call.authorization)
     if isinstance(customer, Verdict):
         return customer
@@ -129,7 +131,7 @@
     return classify(view.declarations, customer, name, call.target)
 
 
-def _info(
+def _request_info(
     call: CallerCall, found: Classification, arrived_s: float
 ) -> RequestInfo:
     return RequestInfo(
@@ -152,8 +154,8 @@
     )
 
 
-def _models(
-    view: InForce, request: web.BaseRequest, response: CallerResponse
+def _models_response(
+    view: DocumentsView, request: web.BaseRequest, response: CallerResponse
 ) -> web.Response:
     header = request.headers.get("Authorization", "")
     customer = authenticate(view.customers_by_key, header)
--- a/packages/daemon/src/hollyknot_daemon/_peers_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_peers_task.py
@@ -1,4 +1,4 @@
-"""What this host learns from peers and the platform, and tells them."""
+"""Runs this host's gossip with peers and its polling of the platform."""
 
 import asyncio
 import contextlib
@@ -36,11 +36,11 @@
 _LOG = get_logger("daemon")
 
 SendMessage = Callable[[str, PeerMessage], None]
-"""Sends a message to a host by name, best effort."""
+"""Sends a message to the named host, without a guarantee of delivery."""
 
 
 class PeersTask:
-    """Owns this host's peer state and its reads of the platform."""
+    """Executes the commands of this host's peer state."""
 
     def __init__(
         self,
@@ -50,14 +50,15 @@
         send: SendMessage,
         on_signals: Callable[[ReportSignals], None],
     ) -> None:
-        """Knows nothing yet.
+        """Creates a peer state that knows no peers and no documents yet.
 
         Args:
-            settings: Of this host.
-            rng: For all random choices.
-            documents: Told of what comes in force.
-            send: Sends to other hosts.
-            on_signals: Told of what peers saw.
+            settings: This host's settings.
+            rng: Source of all random choices.
+            documents: Receives each newly adopted document.
+            send: Sends a message to another host.
+            on_signals: Receives the pressures, health signs and suspect
+                records that peers gossip.
         """
         self._settings = settings
         self._rng = rng
@@ -68,21 +69,21 @@
         self._state = PeerState(
             settings.host, settings.data_centre, CHECKS, rng, self._clock()
         )
-        self._watches: dict[DocumentKind, asyncio.Task[None]] = {}
+        self._polls: dict[DocumentKind, asyncio.Task[None]] = {}
 
     @property
     def state(self) -> PeerState:
-        """What is known, to read."""
+        """Peer state, which callers only read."""
         return self._state
 
     async def close(self) -> None:
-        """Ends the reads of the platform."""
-        for task in self._watches.values():
+        """Stops polling the platform."""
+        for task in self._polls.values():
             task.cancel()
-        await asyncio.gather(*self._watches.values(), return_exceptions=True)
+        await asyncio.gather(*self._polls.values(), return_exceptions=True)
 
     def on_message(self, peer: str, message: PeerMessage) -> None:
-        """Takes a message of an authenticated peer."""
+        """Handles a message of an authenticated peer."""
         self._execute(self._state.on_message(peer, message, self._clock()))
 
     def tick(
@@ -91,12 +92,12 @@
         signs: tuple[UpstreamSign, ...],
         suspects: tuple[SuspectRecord, ...],
     ) -> None:
-        """Does what is due; called every `TICK_S`.
+        """Sends the gossip that is due; called about every 0.1 s.
 
         Args:
-            pressures: Seen by this host.
-            signs: Seen by this host.
-            suspects: Seen by this host.
+            pressures: Shortages of capacity that this host observed.
+            signs: Health signs of upstreams that this host observed.
+            suspects: Suspect records of this host.
         """
         now = self._clock()
         self._state.note_signals(
@@ -106,9 +107,9 @@
 
     def _execute(self, commands: list[PeerCommand]) -> None:
         for command in commands:
-            self._do(command)
+            self._execute_one(command)
 
-    def _do(self, command: PeerCommand) -> None:
+    def _execute_one(self, command: PeerCommand) -> None:
         match command:
             case Send(peer=peer, message=message):
                 self._send(peer, message)
@@ -134,9 +135,9 @@
                     peer=command.peer,
                 )
             case StartWatching(document=document, pause_s=pause_s):
-                self._start_watching(document, pause_s)
+                self._start_polling(document, pause_s)
             case StopWatching(document=document):
-                task = self._watches.pop(document, None)
+                task = self._polls.pop(document, None)
                 if task is not None:
                     task.cancel()
             case ReportMember(host=host, state=state):
@@ -144,24 +145,26 @@
             case ReportSignals():
                 self._on_signals(command)
 
-    def _start_watching(self, document: DocumentKind, pause_s: float) -> None:
+    def _start_polling(self, document: DocumentKind, pause_s: float) -> None:
         platform = self._settings.platform
         addresses = {
             DocumentKind.DECLARATIONS: platform.configuration,
             DocumentKind.HOSTS: platform.host_list,
         }
-        self._watches[document] = asyncio.ensure_future(
+        self._polls[document] = asyncio.ensure_future(
             watch(
                 document,
                 addresses[document],
                 lambda: self._state.read_after(document),
                 pause_s,
-                self._on_platform,
+                self._on_platform_result,
                 self._rng,
             )
         )
 
-    def _on_platform(self, found: PlatformDocument | PlatformFailure) -> None:
+    def _on_platform_result(
+        self, found: PlatformDocument | PlatformFailure
+    ) -> None:
         if isinstance(found, PlatformFailure):
             _LOG.warning(
                 "platform-read-failed",
--- a/packages/daemon/src/hollyknot_daemon/_status.py
+++ b/packages/daemon/src/hollyknot_daemon/_status.py
@@ -1,10 +1,13 @@
-"""The document behind `GET /status`, which `hollyknotctl status` shows."""
+"""Builds the document that `GET /status` returns.
+
+`hollyknotctl status` displays it.
+"""
 
 import attrs
 
 from hollyknot_coordination.outcomes import Tallies
 from hollyknot_coordination.routing import UpstreamView
-from hollyknot_daemon._in_force import InForce
+from hollyknot_daemon._documents_view import DocumentsView
 from hollyknot_state import Settings
 from hollyknot_transport import Readiness
 
@@ -12,20 +15,20 @@
 def status_document(
     settings: Settings,
     readiness: Readiness,
-    view: InForce,
+    view: DocumentsView,
     upstreams: tuple[UpstreamView, ...],
     tallies: Tallies,
     control: dict[str, object],
 ) -> dict[str, object]:
-    """Returns what operators see of a running host.
+    """Returns the status of a running host.
 
     Args:
-        settings: Of this host.
-        readiness: Of this moment.
-        view: The documents in force.
-        upstreams: The upstreams in use.
-        tallies: Counts by class.
-        control: What this host shares with others.
+        settings: This host's settings.
+        readiness: Whether the host accepts requests now, and why not.
+        view: Declarations and host list in force.
+        upstreams: States of the upstreams in use.
+        tallies: Counts of ended requests by class.
+        control: State of peers, claims and links.
     """
     return {
         "host": settings.host,
--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -1,4 +1,4 @@
-"""Runs one request at upstreams: places, claims, tries, retries, the record."""
+"""Runs a request at upstreams: places, claims, tries, retries, records it."""
 
 import asyncio
 import random
@@ -18,9 +18,9 @@
     retry_after_s,
 )
 from hollyknot_coordination.routing import Choice, timeouts
-from hollyknot_daemon._claiming import Claim, Granted
+from hollyknot_daemon._claiming import Claim, Grant
 from hollyknot_daemon._dispatch import Dispatcher
-from hollyknot_daemon._record import Ended, Recorder, met, timing_of
+from hollyknot_daemon._record import Ended, Recorder, is_target_met, timing_of
 from hollyknot_state import Nature, Outcome, Reason, RequestInfo, Verdict
 from hollyknot_transport import (
     CallerCall,
@@ -35,9 +35,9 @@
 _CALLER_GONE = Verdict(
     Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE, "The caller went away"
 )
-_WHOLE_ANSWER_S = 120.0
-"""The least wait for an answer of a model that is not streamed: its output's
-length is not known."""
+_MIN_WHOLE_ANSWER_TIMEOUT_S = 120.0
+"""Minimum timeout for the first byte of an answer that is not streamed. The
+length of its output is not known beforehand."""
 
 _NO_TRY = Result(Verdict(Outcome.NOT_RUN))
 _NO_TIMING = Timing(0.0, 0.0, 0.0, 0, False)
@@ -50,10 +50,10 @@
     """An authenticated, classified request.
 
     Attributes:
-        call: As the caller sent it.
-        classification: Its class, tier, target and nature.
-        info: What the decisions see of it.
-        traceparent: Of the request's span.
+        call: Request as the caller sent it.
+        classification: Class, tier, target and nature of the request.
+        info: Properties of the request that admission and routing use.
+        traceparent: Trace context of the request's span.
     """
 
     call: CallerCall
@@ -64,7 +64,16 @@
 
 @attrs.define
 class _History:
-    """What a request's tries so far left behind."""
+    """Accumulates the results of a request's tries.
+
+    Attributes:
+        tries: Number of tries so far.
+        wasted: Number of retried tries that may have run, at least in part.
+        may_have_run: Whether a retried try is not proved not to have run.
+        excluded: Upstreams at which the request was tried.
+        last: Result of the last try.
+        timing: Timing of the last try.
+    """
 
     tries: int = 0
     wasted: int = 0
@@ -75,7 +84,7 @@
 
 
 class Tries:
-    """Takes a job to its end."""
+    """Runs each job until it has an answer or a final verdict."""
 
     def __init__(
         self,
@@ -86,15 +95,16 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Wires the parts.
+        """Creates a runner with the default retry budgets.
 
         Args:
-            dispatcher: Gives places at upstreams.
-            exchanges: Talks to upstreams.
-            recorder: Counts the ends.
+            dispatcher: Admits requests and gives them places at upstreams.
+            exchanges: Sends requests to upstreams and relays their answers.
+            recorder: Counts tries and ended requests.
             tracing: Records a span for each hop.
-            rng: Spreads pauses and times to come back.
-            clock: The loop's monotonic clock, in seconds.
+            rng: Source of the jitter in the delays of retries and in the times
+                after which callers retry.
+            clock: Returns the event loop's monotonic time, in seconds.
         """
         self._dispatcher = dispatcher
         self._exchanges = exchanges
@@ -109,11 +119,11 @@
 
         Args:
             job: The request.
-            sink: Takes an answer that is relayed as it comes.
-            claim: Asks for the claim of a non-idempotent request.
+            sink: Receives an answer that is relayed while it arrives.
+            claim: Requests the claim for a non-idempotent request.
 
         Returns:
-            The last try's result with the verdict of the whole request.
+            The result of the last try, with the verdict of the whole request.
         """
         history = _History()
         try:
@@ -133,20 +143,21 @@
         self, job: Job, sink: Sink, claim: Claim, history: _History
     ) -> Result:
         if job.info.nature is Nature.IDEMPOTENT:
-            return await self._until_answered(job, sink, history)
-        # The request waits for a slot first: a claim that is granted and then
-        # shed would have to be given back, and may not be if this host dies.
+            return await self._try_until_answered(job, sink, history)
+        # The request waits for a slot before it is claimed. If it were shed
+        # after the claim was granted, the claim would have to be released,
+        # which fails if this host dies first.
         place = await self._place(job, history)
         if isinstance(place, Verdict):
             return Result(place)
         granted = await self._claim(job, claim, place)
         if isinstance(granted, Verdict):
             return Result(granted)
-        # A caller that goes away does not undo what may run by now: the
-        # outcome must be settled all the same, so that the caller's next
-        # attempt is told the truth.
+        # The request may run on after its caller has disconnected. The work
+        # is shielded, so that its outcome is recorded in the claim and the
+        # caller's next attempt is answered by it.
         work = asyncio.ensure_future(
-            self._claimed(job, sink, history, place, granted)
+            self._run_claimed(job, sink, history, place, granted)
         )
         try:
             return await asyncio.shield(work)
@@ -154,17 +165,17 @@
             await work
             raise
 
-    async def _claimed(
+    async def _run_claimed(
         self,
         job: Job,
         sink: Sink,
         history: _History,
         place: Choice,
-        granted: Granted,
+        granted: Grant,
     ) -> Result:
         verdict = Verdict(Outcome.MAY_HAVE_RUN, Reason.INTERNAL)
         try:
-            result = await self._until_answered(job, sink, history, place)
+            result = await self._try_until_answered(job, sink, history, place)
             verdict = result.verdict
             return result
         finally:
@@ -172,7 +183,7 @@
 
     async def _claim(
         self, job: Job, claim: Claim, place: Choice
-    ) -> Granted | Verdict:
+    ) -> Grant | Verdict:
         found = job.classification
         not_run = Verdict(Outcome.NOT_RUN, Reason.CLAIM_UNDECIDED)
         is_granted = False
@@ -181,13 +192,13 @@
                 answer = await claim(
                     found.customer, found.pool, job.call.idempotency_key
                 )
-            is_granted = isinstance(answer, Granted)
+            is_granted = isinstance(answer, Grant)
             return answer
         finally:
             if not is_granted:
-                self._free(job, place, Result(not_run), 0.0)
+                self._release_place(job, place, Result(not_run), 0.0)
 
-    async def _until_answered(
+    async def _try_until_answered(
         self,
         job: Job,
         sink: Sink,
@@ -199,10 +210,12 @@
             if place is None:
                 found = await self._place(job, history)
                 if isinstance(found, Verdict):
-                    return self._whole(job, history, Result(found))
+                    return self._with_combined_verdict(
+                        job, history, Result(found)
+                    )
                 place = found
             result = await self._try(job, sink, place, history)
-            self._note(history, place, result)
+            self._add_try(history, place, result)
             if result.verdict.is_complete:
                 return result
             attempt = _attempt(job, history)
@@ -235,17 +248,17 @@
                 "upstream", job.traceparent, upstream=place.upstream
             ) as traceparent:
                 request = _upstream_request(job, place, traceparent)
-                noted = self._noting(job, place, sink)
-                result = await self._exchanges.run(request, noted)
+                noting_sink = self._first_byte_sink(job, place, sink)
+                result = await self._exchanges.run(request, noting_sink)
                 return result
         finally:
             parts = result.parts if job.call.is_streamed else 0
-            self._recorder.tried(job.info.pool, parts)
+            self._recorder.record_try(job.info.pool, parts)
             took_s = self._clock() - started_s
-            history.timing = self._free(job, place, result, took_s)
+            history.timing = self._release_place(job, place, result, took_s)
 
-    def _noting(self, job: Job, place: Choice, sink: Sink) -> Sink:
-        """Returns a sink that tells the decisions of the first byte."""
+    def _first_byte_sink(self, job: Job, place: Choice, sink: Sink) -> Sink:
+        """Returns a sink that reports the first byte to the dispatcher."""
 
         async def start(answer: UpstreamAnswer) -> None:
             self._dispatcher.on_first_byte(place, job.info)
@@ -253,10 +266,10 @@
 
         return Sink(start, sink.write, sink.write_now)
 
-    def _free(
+    def _release_place(
         self, job: Job, place: Choice, result: Result, took_s: float
     ) -> Timing:
-        """Gives a place back and returns the timing of what it was used for."""
+        """Releases a place and returns the timing of the try that used it."""
         timing = timing_of(
             result, job.info.arrived_s, self._clock(), job.call.is_streamed
         )
@@ -264,18 +277,22 @@
             place,
             job.info,
             result.verdict,
-            met(job.classification, result.verdict, timing),
+            is_target_met(job.classification, result.verdict, timing),
             timing.tokens,
             took_s,
         )
         return timing
 
-    def _note(self, history: _History, place: Choice, result: Result) -> None:
+    def _add_try(
+        self, history: _History, place: Choice, result: Result
+    ) -> None:
         history.tries += 1
         history.excluded |= {place.upstream}
         history.last = result
 
-    def _whole(self, job: Job, history: _History, result: Result) -> Result:
+    def _with_combined_verdict(
+        self, job: Job, history: _History, result: Result
+    ) -> Result:
         if not history.tries:
             return result
         verdict = combined_verdict(result.verdict, _attempt(job, history))
@@ -295,10 +312,12 @@
             size=result.size,
             tries=history.tries,
             wasted_tries=history.wasted,
-            met_target=met(job.classification, result.verdict, timing),
+            met_target=is_target_met(
+                job.classification, result.verdict, timing
+            ),
         )
-        # Once the answer is on its way: the caller doesn't wait for metrics
-        # and a line in the log.
+        # Deferred until the answer is being sent, so that the caller doesn't
+        # wait for metrics and the log.
         asyncio.get_running_loop().call_soon(self._recorder.record, ended)
 
 
@@ -320,7 +339,10 @@
 
 
 def _deadline_s(job: Job) -> float:
-    """Returns when a retry is of no more use: well past the target."""
+    """Returns the time after which a retry is useless.
+
+    It is the timeout for the first byte, which is well past the target.
+    """
     bounds = timeouts(job.classification.target, job.info.nature)
     return job.info.arrived_s + bounds.first_byte_s
 
@@ -337,8 +359,9 @@
         headers["traceparent"] = traceparent
     first_byte_s = bounds.first_byte_s
     if not call.is_streamed:
-        # The first byte of a whole answer comes with its last token.
-        first_byte_s = max(first_byte_s, _WHOLE_ANSWER_S)
+        # The first byte of an answer that is not streamed arrives when its last
+        # token has been generated.
+        first_byte_s = max(first_byte_s, _MIN_WHOLE_ANSWER_TIMEOUT_S)
     return UpstreamRequest(
         url=f"http://{place.ip}:{place.port}{call.upstream_path}",
         method=call.method,
