--- a/packages/bench/src/hollyknot_bench/experiment/_load.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_load.py
@@ -12,7 +12,7 @@
 import orjson
 
 from hollyknot_bench.experiment._engine import EngineFigures
-from hollyknot_state import TIERS, Problem, structure_first
+from hollyknot_state import TIERS, Problem, structure_or_first_problem
 
 HINT_SPREAD = 0.5
 """How far callers' estimates of their answers are off, as a sigma."""
@@ -183,7 +183,7 @@
         document = orjson.loads(path.read_bytes())
     except (OSError, ValueError) as error:
         return Problem(str(path), str(error), "name a file of JSON")
-    return structure_first(document, Load)
+    return structure_or_first_problem(document, Load)
 
 
 def requests_of(load: Load, seed: int) -> list[Request]:
--- a/packages/state/src/hollyknot_state/__init__.py
+++ b/packages/state/src/hollyknot_state/__init__.py
@@ -92,7 +92,10 @@
     TierPressure,
     UpstreamSign,
 )
-from hollyknot_state._structure import structure_all, structure_first
+from hollyknot_state._structure import (
+    structure_or_first_problem,
+    structure_or_problems,
+)
 from hollyknot_state._update import update_declarations
 from hollyknot_state._verdict import Outcome, Reason, Verdict
 
@@ -184,7 +187,7 @@
     "parse_host_list",
     "parse_settings",
     "short_name",
-    "structure_all",
-    "structure_first",
+    "structure_or_problems",
+    "structure_or_first_problem",
     "update_declarations",
 ]
--- a/packages/state/src/hollyknot_state/_declarations.py
+++ b/packages/state/src/hollyknot_state/_declarations.py
@@ -8,9 +8,9 @@
 
 from hollyknot_state._problem import CheckError, Finding
 from hollyknot_state._validators import (
+    all_of,
     each,
     each_key,
-    every,
     has_distinct_items,
     has_items,
     is_between,
@@ -82,7 +82,7 @@
 
     key_sha256: str = attrs.field(validator=is_sha256)
     classes: tuple[str, ...] = attrs.field(
-        validator=every(has_items, has_distinct_items)
+        validator=all_of(has_items, has_distinct_items)
     )
     default_class: str
 
@@ -166,7 +166,7 @@
 
     version: int = attrs.field(validator=is_between(0, MAX_VERSION))
     data_centres: tuple[str, ...] = attrs.field(
-        default=(), validator=every(each(is_name), has_distinct_items)
+        default=(), validator=all_of(each(is_name), has_distinct_items)
     )
     classes: dict[str, ClassDeclaration] = attrs.field(
         factory=dict, validator=each_key(is_name)
--- a/packages/state/src/hollyknot_state/_json.py
+++ b/packages/state/src/hollyknot_state/_json.py
@@ -14,7 +14,7 @@
     PathPart,
     ProblemCollector,
     Problems,
-    shown,
+    format_value,
 )
 
 MAX_DEPTH = 12
@@ -23,7 +23,7 @@
 _MAX_DIGITS = 40
 
 
-class _Duplicates(dict[str, Any]):
+class _ObjectWithDuplicates(dict[str, Any]):
     """An object in which keys stood more than once."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
@@ -56,19 +56,21 @@
     try:
         value = json.loads(
             text,
-            object_pairs_hook=_object,
+            object_pairs_hook=_make_object,
             parse_constant=_refuse_constant,
-            parse_float=_finite,
-            parse_int=_bounded_int,
+            parse_float=_parse_finite,
+            parse_int=_parse_bounded_int,
         )
     except json.JSONDecodeError as e:
         where = f"line {e.lineno}, column {e.colno}"
-        return _one(f"not JSON at {where}: {e.msg}", "mend the syntax there")
+        return _single_problem(
+            f"not JSON at {where}: {e.msg}", "mend the syntax there"
+        )
     except _NumberError as e:
-        return _one(str(e), "write a finite number")
+        return _single_problem(str(e), "write a finite number")
     except RecursionError:
         return _too_deep()
-    return _walk(value)
+    return _check_tree(value)
 
 
 def _decode(data: bytes | str, max_bytes: int) -> str | Problems:
@@ -76,9 +78,11 @@
         try:
             data = data.encode()
         except UnicodeEncodeError:
-            return _one("not valid Unicode text", "save the file as UTF-8")
+            return _single_problem(
+                "not valid Unicode text", "save the file as UTF-8"
+            )
     if len(data) > max_bytes:
-        return _one(
+        return _single_problem(
             f"{len(data)} bytes is too large",
             f"keep it to {max_bytes} bytes",
         )
@@ -86,29 +90,29 @@
         return data.decode()
     except UnicodeDecodeError as e:
         line = data.count(b"\n", 0, e.start) + 1
-        return _one(
+        return _single_problem(
             f"not UTF-8 at byte {e.start} (line {line})",
             "save the file as UTF-8",
         )
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _make_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     plain = dict(pairs)
-    return plain if len(plain) == len(pairs) else _Duplicates(pairs)
+    return plain if len(plain) == len(pairs) else _ObjectWithDuplicates(pairs)
 
 
 def _refuse_constant(name: str) -> Any:
     raise _NumberError(f"{name} is not a JSON number")
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     number = float(text)
     if math.isinf(number):
         raise _NumberError(f"the number {text[:_MAX_DIGITS]} is too large")
     return number
 
 
-def _bounded_int(text: str) -> int:
+def _parse_bounded_int(text: str) -> int:
     # Python refuses integers of thousands of digits with a bare ValueError,
     # and turning them into text later would raise again.
     if len(text) > _MAX_DIGITS:
@@ -116,7 +120,7 @@
     return int(text)
 
 
-def _walk(value: Any) -> Any | Problems:
+def _check_tree(value: Any) -> Any | Problems:
     """Looks for repeated keys, deep nesting and strings that UTF-8 lacks."""
     collector = ProblemCollector()
     waiting: list[tuple[tuple[PathPart, ...], Any]] = [((), value)]
@@ -124,21 +128,21 @@
         path, item = waiting.pop()
         if len(path) > MAX_DEPTH:
             return _too_deep()
-        if isinstance(item, _Duplicates):
+        if isinstance(item, _ObjectWithDuplicates):
             _add_repeated(collector, path, item)
         if isinstance(item, dict):
             for key, member in item.items():
                 _check_text(collector, path, key)
-                _visit(collector, waiting, (*path, key), member)
+                _check_member(collector, waiting, (*path, key), member)
         elif isinstance(item, list):
             for index, member in enumerate(item):
-                _visit(collector, waiting, (*path, index), member)
+                _check_member(collector, waiting, (*path, index), member)
         elif isinstance(item, str):
             _check_text(collector, path, item)
     return collector.result or value
 
 
-def _visit(
+def _check_member(
     collector: ProblemCollector,
     waiting: list[tuple[tuple[PathPart, ...], Any]],
     path: tuple[PathPart, ...],
@@ -151,7 +155,9 @@
 
 
 def _add_repeated(
-    collector: ProblemCollector, path: tuple[PathPart, ...], item: _Duplicates
+    collector: ProblemCollector,
+    path: tuple[PathPart, ...],
+    item: _ObjectWithDuplicates,
 ) -> None:
     for key in item.repeated:
         collector.add(
@@ -169,18 +175,18 @@
     except UnicodeEncodeError:
         collector.add(
             path,
-            f"{shown(text)} holds half of a surrogate pair",
+            f"{format_value(text)} holds half of a surrogate pair",
             "write the whole character",
         )
 
 
 def _too_deep() -> Problems:
-    return _one(
+    return _single_problem(
         f"nested deeper than {MAX_DEPTH} levels", "flatten the document"
     )
 
 
-def _one(problem: str, remedy: str) -> Problems:
+def _single_problem(problem: str, remedy: str) -> Problems:
     collector = ProblemCollector()
     collector.add((), problem, remedy)
     assert collector.result is not None
--- a/packages/state/src/hollyknot_state/_problem.py
+++ b/packages/state/src/hollyknot_state/_problem.py
@@ -21,9 +21,9 @@
 """A key of an object, or an index of an array."""
 
 _PLAIN_KEY = re.compile(r"[A-Za-z0-9_-]+")
-_SHOWN_CHARACTERS = 60
-_SHOWN_BITS = 200
-_LISTED_NAMES = 8
+_MAX_SHOWN_CHARACTERS = 60
+_MAX_SHOWN_BITS = 200
+_MAX_LISTED_NAMES = 8
 
 
 @attrs.frozen
@@ -97,7 +97,7 @@
         )
 
 
-def refuse(problem: str, remedy: str) -> CheckError:
+def check_error(problem: str, remedy: str) -> CheckError:
     """Returns the error of a check that a whole value broke."""
     return CheckError([Finding((), problem, remedy)])
 
@@ -150,51 +150,53 @@
         elif _PLAIN_KEY.fullmatch(part):
             text += f".{part}" if text else part
         else:
-            text += f"[{shown(part)}]"
+            text += f"[{format_value(part)}]"
     return text
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Quotes a value for a message: one line, bounded, always encodable."""
     if isinstance(value, str):
-        return _quoted(value)
+        return _quote(value)
     if value is None:
         return "null"
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, int):
-        return _shown_integer(value)
+        return _format_integer(value)
     if isinstance(value, float):
         return repr(value)
     return "an object" if isinstance(value, dict) else "an array"
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def suggest_name(name: str, known: Iterable[str]) -> str:
     """Suggests a known name, or lists some of the known ones."""
     names = sorted(known)
-    close = difflib.get_close_matches(name[:_SHOWN_CHARACTERS], names, n=1)
+    close = difflib.get_close_matches(name[:_MAX_SHOWN_CHARACTERS], names, n=1)
     if close:
-        return f"did you mean {shown(close[0])}?"
+        return f"did you mean {format_value(close[0])}?"
     if not names:
         return "none is declared"
-    listed = ", ".join(shown(n) for n in names[:_LISTED_NAMES])
-    return f"known are {listed}{', ...' if len(names) > _LISTED_NAMES else ''}"
+    listed = ", ".join(format_value(n) for n in names[:_MAX_LISTED_NAMES])
+    return (
+        f"known are {listed}{', ...' if len(names) > _MAX_LISTED_NAMES else ''}"
+    )
 
 
-def _quoted(value: str) -> str:
-    head = value[:_SHOWN_CHARACTERS]
+def _quote(value: str) -> str:
+    head = value[:_MAX_SHOWN_CHARACTERS]
     quoted = "".join(
         c
         if c.isprintable() and c != '"'
         else c.encode("unicode_escape").decode()
         for c in head
     )
-    return f'"{quoted}"' + ("..." if len(value) > _SHOWN_CHARACTERS else "")
+    return f'"{quoted}"' + ("..." if len(value) > _MAX_SHOWN_CHARACTERS else "")
 
 
-def _shown_integer(value: int) -> str:
+def _format_integer(value: int) -> str:
     # Python refuses to write integers of thousands of digits as decimals with
     # a ValueError, which would turn a report of a mistake into a crash.
-    if value.bit_length() > _SHOWN_BITS:
+    if value.bit_length() > _MAX_SHOWN_BITS:
         return f"an integer of {value.bit_length()} bits"
     return str(value)
--- a/packages/state/src/hollyknot_state/_references.py
+++ b/packages/state/src/hollyknot_state/_references.py
@@ -11,10 +11,15 @@
 import attrs
 
 from hollyknot_state._declarations import Declarations
-from hollyknot_state._problem import ProblemCollector, Problems, nearest, shown
+from hollyknot_state._problem import (
+    ProblemCollector,
+    Problems,
+    format_value,
+    suggest_name,
+)
 
 
-class _Bound(Protocol):
+class _CustomerReferences(Protocol):
     """What a customer refers to."""
 
     @property
@@ -26,7 +31,7 @@
 
 
 @attrs.frozen
-class _LooseCustomer:
+class _PartialCustomer:
     """The well-typed parts of a customer; an empty part isn't looked at."""
 
     key_sha256: str
@@ -56,8 +61,10 @@
         _mapping(document.get(name))
         for name in ("classes", "customers", "models", "services")
     )
-    loose = ((name, _loosen(value)) for name, value in customers.items())
-    _check_customers(classes, loose, collector)
+    references = (
+        (name, _read_references(value)) for name, value in customers.items()
+    )
+    _check_customers(classes, references, collector)
     _check_pools(models, services, collector)
 
 
@@ -65,12 +72,12 @@
     return value if isinstance(value, dict) else {}
 
 
-def _loosen(value: Any) -> _LooseCustomer:
+def _read_references(value: Any) -> _PartialCustomer:
     fields = _mapping(value)
     key = fields.get("key_sha256")
     classes = fields.get("classes")
     default = fields.get("default_class")
-    return _LooseCustomer(
+    return _PartialCustomer(
         key if isinstance(key, str) else "",
         tuple(c if isinstance(c, str) else "" for c in classes)
         if isinstance(classes, list)
@@ -81,7 +88,7 @@
 
 def _check_customers(
     classes: Collection[str],
-    customers: Iterable[tuple[str, _Bound]],
+    customers: Iterable[tuple[str, _CustomerReferences]],
     collector: ProblemCollector,
 ) -> None:
     owners: dict[str, str] = {}
@@ -91,14 +98,14 @@
         if owner != name and customer.key_sha256:
             collector.add(
                 ("customers", name, "key_sha256"),
-                f"is the key of customer {shown(owner)} too",
+                f"is the key of customer {format_value(owner)} too",
                 "give each customer a key of its own",
             )
 
 
 def _check_classes(
     name: str,
-    customer: _Bound,
+    customer: _CustomerReferences,
     classes: Collection[str],
     collector: ProblemCollector,
 ) -> None:
@@ -107,15 +114,15 @@
         if used and used not in classes:
             collector.add(
                 (*path, "classes", index),
-                f"no class {shown(used)} is declared",
-                functools.partial(nearest, used, classes),
+                f"no class {format_value(used)} is declared",
+                functools.partial(suggest_name, used, classes),
             )
     default = customer.default_class
     if default and customer.classes and default not in customer.classes:
         collector.add(
             (*path, "default_class"),
-            f"{shown(default)} is not among the customer's classes",
-            functools.partial(nearest, default, customer.classes),
+            f"{format_value(default)} is not among the customer's classes",
+            functools.partial(suggest_name, default, customer.classes),
         )
 
 
--- a/packages/state/src/hollyknot_state/_settings.py
+++ b/packages/state/src/hollyknot_state/_settings.py
@@ -3,9 +3,9 @@
 import attrs
 
 from hollyknot_state._validators import (
+    all_of,
     are_link_keys,
     each,
-    every,
     has_items,
     is_between,
     is_connectable,
@@ -57,10 +57,10 @@
     """
 
     configuration: tuple[Address, ...] = attrs.field(
-        validator=every(has_items, each(is_connectable))
+        validator=all_of(has_items, each(is_connectable))
     )
     host_list: tuple[Address, ...] = attrs.field(
-        validator=every(has_items, each(is_connectable))
+        validator=all_of(has_items, each(is_connectable))
     )
 
 
--- a/packages/state/src/hollyknot_state/_structure.py
+++ b/packages/state/src/hollyknot_state/_structure.py
@@ -27,10 +27,10 @@
     Problem,
     ProblemCollector,
     Problems,
+    check_error,
+    format_value,
     join_path,
-    nearest,
-    refuse,
-    shown,
+    suggest_name,
 )
 
 T = TypeVar("T")
@@ -71,7 +71,7 @@
         return None
 
 
-def structure_all(value: Any, cls: type[T]) -> T | Problems:
+def structure_or_problems(value: Any, cls: type[T]) -> T | Problems:
     """Builds a typed value, or tells all mistakes in it.
 
     For documents that somebody corrects by the answer; unknown fields are
@@ -85,7 +85,7 @@
     return built
 
 
-def structure_first(value: Any, cls: type[T]) -> T | Problem:
+def structure_or_first_problem(value: Any, cls: type[T]) -> T | Problem:
     """Builds a typed value, or tells the first mistake in it.
 
     For documents that arrive all the time and that nobody corrects by the
@@ -97,7 +97,7 @@
         cls: An attrs class.
     """
     try:
-        return _FIRST.structure(value, cls)
+        return _FAIL_FAST.structure(value, cls)
     except CheckError as e:
         finding = e.findings[0]
         path = join_path(finding.path)
@@ -114,8 +114,8 @@
         detailed_validation=True, forbid_extra_keys=strict
     )
     for kind in (str, int, bool):
-        converter.register_structure_hook(kind, _exactly(kind))
-    converter.register_structure_hook(float, _number)
+        converter.register_structure_hook(kind, _exact_type_hook(kind))
+    converter.register_structure_hook(float, _structure_number)
     converter.register_structure_hook_factory(_is_enum, _enum_hook)
     converter.register_structure_hook_factory(_is_container, _container_hook)
     converter.register_structure_hook_factory(
@@ -129,10 +129,12 @@
         kind is dict and isinstance(value, dict)
     ):
         name = _JSON_NAMES[kind]
-        raise refuse(f"{shown(value)} is not {name}", f"write {name}")
+        raise check_error(
+            f"{format_value(value)} is not {name}", f"write {name}"
+        )
 
 
-def _exactly(kind: type) -> Any:
+def _exact_type_hook(kind: type) -> Any:
     def hook(value: Any, _: Any) -> Any:
         if type(value) is not kind:
             _expect(value, kind)
@@ -141,7 +143,7 @@
     return hook
 
 
-def _number(value: Any, _: Any) -> float:
+def _structure_number(value: Any, _: Any) -> float:
     if type(value) is int:
         return float(value)
     _expect(value, float)
@@ -158,7 +160,10 @@
     def hook(value: Any, _: Any) -> Any:
         _expect(value, str)
         if value not in members:
-            raise refuse(f"{shown(value)} is unknown", nearest(value, members))
+            raise check_error(
+                f"{format_value(value)} is unknown",
+                suggest_name(value, members),
+            )
         return members[value]
 
     return hook
@@ -236,7 +241,7 @@
             built = build(value, kind)
         except BaseValidationError as e:
             if check is not None and isinstance(value, dict):
-                _check_keys_too(e, check, attribute, value)
+                _check_mapping(e, check, attribute, value)
             raise
         if check is not None:
             check(None, attribute, built)
@@ -245,7 +250,7 @@
     return hook
 
 
-def _check_keys_too(
+def _check_mapping(
     error: BaseValidationError, check: Any, attribute: Any, value: Any
 ) -> None:
     """Runs a mapping's validator, which looks at its keys, beside an error.
@@ -284,7 +289,7 @@
         _collect_unknown(error, path, collector)
     elif isinstance(error, BaseValidationError):
         for inner in error.exceptions:
-            _collect(inner, (*path, *_step(inner)), collector)
+            _collect(inner, (*path, *_path_step(inner)), collector)
     else:
         _collect_missing(error, path, collector)
 
@@ -309,11 +314,11 @@
         collector.add(
             (*path, name),
             "is an unknown field",
-            functools.partial(nearest, name, known),
+            functools.partial(suggest_name, name, known),
         )
 
 
-def _step(error: BaseException) -> Iterator[PathPart]:
+def _path_step(error: BaseException) -> Iterator[PathPart]:
     for note in getattr(error, "__notes__", ()):
         if isinstance(note, AttributeValidationNote):
             yield note.name
@@ -323,21 +328,21 @@
             return
 
 
-def _make_first_converter() -> cattrs.Converter:
+def _make_fail_fast_converter() -> cattrs.Converter:
     """Returns a converter that stops at the first mistake."""
     converter = cattrs.Converter(detailed_validation=False)
     for kind in (str, int, bool):
-        converter.register_structure_hook(kind, _exactly(kind))
-    converter.register_structure_hook(float, _number)
+        converter.register_structure_hook(kind, _exact_type_hook(kind))
+    converter.register_structure_hook(float, _structure_number)
     converter.register_structure_hook_factory(_is_enum, _enum_hook)
     converter.register_structure_hook_factory(
-        _is_container, _first_container_hook
+        _is_container, _fail_fast_container_hook
     )
-    converter.register_structure_hook_factory(attrs.has, _first_class_hook)
+    converter.register_structure_hook_factory(attrs.has, _fail_fast_class_hook)
     return converter
 
 
-def _first_container_hook(cls: Any, converter: cattrs.Converter) -> Any:
+def _fail_fast_container_hook(cls: Any, converter: cattrs.Converter) -> Any:
     is_dict = get_origin(cls) is dict
     item_type = get_args(cls)[1] if is_dict else get_args(cls)[0]
     item_hook = converter.get_structure_hook(item_type)
@@ -346,7 +351,7 @@
         try:
             return item_hook(value, item_type)
         except CheckError as e:
-            raise _below(place, e) from None
+            raise _prefix_paths(place, e) from None
 
     def hook(value: Any, _: Any) -> Any:
         _expect(value, dict if is_dict else list)
@@ -357,7 +362,7 @@
     return hook
 
 
-def _first_class_hook(cls: Any, converter: cattrs.Converter) -> Any:
+def _fail_fast_class_hook(cls: Any, converter: cattrs.Converter) -> Any:
     attributes = [
         (
             a.name,
@@ -377,9 +382,9 @@
                 if name in value:
                     built[name] = build(value[name], kind)
                 elif is_required:
-                    raise refuse("is missing", "add it")
+                    raise check_error("is missing", "add it")
         except CheckError as e:
-            raise _below(name, e) from None
+            raise _prefix_paths(name, e) from None
         try:
             return cls(**built)
         except CheckError:
@@ -400,10 +405,10 @@
         try:
             attribute.validator(None, attribute, built[attribute.name])
         except CheckError as e:
-            raise _below(attribute.name, e) from None
+            raise _prefix_paths(attribute.name, e) from None
 
 
-def _below(place: PathPart, error: CheckError) -> CheckError:
+def _prefix_paths(place: PathPart, error: CheckError) -> CheckError:
     """Returns an error whose paths begin at the value around its own."""
     return CheckError(
         attrs.evolve(f, path=(place, *f.path)) for f in error.findings
@@ -412,4 +417,4 @@
 
 _STRICT = _make_converter(strict=True)
 _LENIENT = _make_converter(strict=False)
-_FIRST = _make_first_converter()
+_FAIL_FAST = _make_fail_fast_converter()
--- a/packages/state/src/hollyknot_state/_update.py
+++ b/packages/state/src/hollyknot_state/_update.py
@@ -38,7 +38,7 @@
         removed: Paths of the parts that are gone.
     """
     collector = ProblemCollector()
-    part = _read(changed, version, collector)
+    part = _build_partial_document(changed, version, collector)
     built = structure(part, Declarations, collector)
     if collector.result is not None:
         return collector.result
@@ -47,7 +47,7 @@
     return check_references(whole) or whole
 
 
-def _read(
+def _build_partial_document(
     changed: Iterable[DocumentRecord],
     version: int,
     collector: ProblemCollector,
@@ -79,21 +79,21 @@
     removed: Iterable[str],
 ) -> Declarations:
     values = {
-        name: _joined(getattr(previous, name), getattr(part, name))
+        name: _merge_values(getattr(previous, name), getattr(part, name))
         for name in sections
     }
-    nothing = Declarations(version=0)
+    defaults = Declarations(version=0)
     for path in removed:
         section, slash, name = path.partition("/")
         # A part that had no entries goes as a whole when its first entry comes.
-        is_given = section in sections
-        if not slash and hasattr(nothing, section) and not is_given:
-            values[section] = getattr(nothing, section)
+        has_changes = section in sections
+        if not slash and hasattr(defaults, section) and not has_changes:
+            values[section] = getattr(defaults, section)
         old = getattr(previous, section, None)
         if slash and isinstance(old, dict):
             values.setdefault(section, dict(old)).pop(name, None)
     return attrs.evolve(previous, **values)
 
 
-def _joined(old: Any, new: Any) -> Any:
+def _merge_values(old: Any, new: Any) -> Any:
     return {**old, **new} if isinstance(new, dict) else new
--- a/packages/state/src/hollyknot_state/_validators.py
+++ b/packages/state/src/hollyknot_state/_validators.py
@@ -11,31 +11,36 @@
 from typing import Any
 
 from hollyknot_state._paths import PathFault, normalise_path
-from hollyknot_state._problem import CheckError, Finding, refuse, shown
+from hollyknot_state._problem import (
+    CheckError,
+    Finding,
+    check_error,
+    format_value,
+)
 
 Validator = Callable[[Any, Any, Any], None]
 
-MAX_NAME = 63
-MAX_MODEL_NAME = 127
-MAX_CALL_PATH = 500
-MIN_LINK_KEY = 32
+MAX_NAME_LENGTH = 63
+MAX_MODEL_NAME_LENGTH = 127
+MAX_CALL_PATH_LENGTH = 500
+MIN_LINK_KEY_LENGTH = 32
 MAX_LINK_KEYS = 2
 
 # Names go into HTTP headers, metric labels, log lines and paths. A space, a
 # quote or a line break in one would split a log line or a header in two.
-_NAME = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._-]{{0,{MAX_NAME - 1}}}")
+_NAME = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._-]{{0,{MAX_NAME_LENGTH - 1}}}")
 _MODEL_NAME = re.compile(
-    rf"[A-Za-z0-9][A-Za-z0-9._:/-]{{0,{MAX_MODEL_NAME - 1}}}"
+    rf"[A-Za-z0-9][A-Za-z0-9._:/-]{{0,{MAX_MODEL_NAME_LENGTH - 1}}}"
 )
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 _METHOD = re.compile(r"[A-Z]{1,20}|\*")
 _NAME_REMEDY = (
     "begin with a letter or digit and go on with letters, digits, '.', '_' or"
-    f" '-', {MAX_NAME} characters at most"
+    f" '-', {MAX_NAME_LENGTH} characters at most"
 )
 _MODEL_NAME_REMEDY = (
     "begin with a letter or digit and go on with letters, digits, '.', '_',"
-    f" '-', ':' or '/', {MAX_MODEL_NAME} characters at most"
+    f" '-', ':' or '/', {MAX_MODEL_NAME_LENGTH} characters at most"
 )
 
 
@@ -43,14 +48,18 @@
     """Holds that it is letters, digits, `.`, `_` and `-`, 63 at most."""
     del attribute
     if not _NAME.fullmatch(value):
-        raise refuse(f"{shown(value)} is not a usable name", _NAME_REMEDY)
+        raise check_error(
+            f"{format_value(value)} is not a usable name", _NAME_REMEDY
+        )
 
 
 def is_long_name(_: Any, attribute: Any, value: str) -> None:
     """Holds that it is letters, digits, `._-:/`, 127 at most."""
     del attribute
     if not _MODEL_NAME.fullmatch(value):
-        raise refuse(f"{shown(value)} is not a usable name", _MODEL_NAME_REMEDY)
+        raise check_error(
+            f"{format_value(value)} is not a usable name", _MODEL_NAME_REMEDY
+        )
 
 
 def is_sha256(_: Any, attribute: Any, value: str) -> None:
@@ -58,7 +67,7 @@
     del attribute
     if not _SHA256.fullmatch(value):
         # The value isn't shown: a key pasted here by mistake would be logged.
-        raise refuse(
+        raise check_error(
             "not 64 lower-case hexadecimal digits",
             "write what 'hollyknotctl hash-key' prints for the key",
         )
@@ -68,8 +77,8 @@
     """Holds that it is the literal of an IP address."""
     del attribute
     if not _is_ipv4(value) and not _is_ip(value):
-        raise refuse(
-            f"{shown(value)} is not an IP address",
+        raise check_error(
+            f"{format_value(value)} is not an IP address",
             "write an IP address; names are not resolved",
         )
 
@@ -107,7 +116,7 @@
     """Holds that they are one or two distinct keys of 32 characters or more."""
     del attribute
     if not 1 <= len(value) <= MAX_LINK_KEYS:
-        raise refuse(
+        raise check_error(
             f"{len(value)} keys", f"give 1, or {MAX_LINK_KEYS} during a change"
         )
     # A key is never shown, not even a wrong one.
@@ -115,10 +124,10 @@
         Finding(
             (index,),
             f"{len(key)} characters are too few",
-            f"use {MIN_LINK_KEY} random characters or more",
+            f"use {MIN_LINK_KEY_LENGTH} random characters or more",
         )
         for index, key in enumerate(value)
-        if len(key) < MIN_LINK_KEY
+        if len(key) < MIN_LINK_KEY_LENGTH
     ]
     if len(set(value)) < len(value):
         findings.append(Finding((1,), "equals the first", "use a new key"))
@@ -133,12 +142,12 @@
     # A mean between tokens alone gives no time by which to begin: every
     # request of the class would look too late on arrival and be refused.
     if not first and not whole:
-        raise refuse(
+        raise check_error(
             "says nothing of when the answer has to begin or end",
             "give first_token_ms or whole_answer_ms",
         )
     if first and whole and first > whole:
-        raise refuse(
+        raise check_error(
             f"first_token_ms {first} is later than whole_answer_ms {whole}",
             "give a whole_answer_ms above first_token_ms",
         )
@@ -148,8 +157,8 @@
     """Holds that it is an HTTP method in capitals, or `*`."""
     del attribute
     if not _METHOD.fullmatch(value):
-        raise refuse(
-            f"{shown(value)} is not an HTTP method",
+        raise check_error(
+            f"{format_value(value)} is not an HTTP method",
             "write a method in capitals, such as POST, or *",
         )
 
@@ -160,20 +169,24 @@
     body = value.removesuffix("*")
     normal = normalise_path(body)
     if (
-        len(value) > MAX_CALL_PATH
+        len(value) > MAX_CALL_PATH_LENGTH
         or "*" in body
         or normal is PathFault.CHARACTERS
     ):
-        raise refuse(
-            f"{shown(value)} is not a path pattern",
+        raise check_error(
+            f"{format_value(value)} is not a path pattern",
             "begin with '/', put '*' at the end only, keep to"
-            f" {MAX_CALL_PATH} characters",
+            f" {MAX_CALL_PATH_LENGTH} characters",
         )
     # Calls are matched in their one spelling: another would match nothing.
     if isinstance(normal, PathFault):
-        raise refuse(f"{shown(value)} has {normal.value}", "leave it out")
+        raise check_error(
+            f"{format_value(value)} has {normal.value}", "leave it out"
+        )
     if normal != body:
-        raise refuse(f"{shown(value)} would match nothing", f"write {normal}")
+        raise check_error(
+            f"{format_value(value)} would match nothing", f"write {normal}"
+        )
 
 
 def is_between(low: float, high: float, unit: str = "") -> Validator:
@@ -183,12 +196,12 @@
     def check(_: Any, attribute: Any, value: float) -> None:
         del attribute
         if not low <= value <= high:
-            raise refuse(
-                f"{shown(value)} is out of range",
-                f"choose {_limits(low, high)}{suffix}",
+            raise check_error(
+                f"{format_value(value)} is out of range",
+                f"choose {_format_range(low, high)}{suffix}",
             )
 
-    check.__doc__ = f"Holds that it is {_limits(low, high)}{suffix}."
+    check.__doc__ = f"Holds that it is {_format_range(low, high)}{suffix}."
     return check
 
 
@@ -198,7 +211,7 @@
     def check(_: Any, attribute: Any, value: Any) -> None:
         del attribute
         if len(value) > limit:
-            raise refuse(f"{len(value)} is too long", f"keep to {limit}")
+            raise check_error(f"{len(value)} is too long", f"keep to {limit}")
 
     check.__doc__ = f"Holds that its length is {limit} at most."
     return check
@@ -208,7 +221,7 @@
     """Holds that it is not empty."""
     del attribute
     if not value:
-        raise refuse("is empty", "give at least one")
+        raise check_error("is empty", "give at least one")
 
 
 def has_distinct_items(_: Any, attribute: Any, value: Iterable[Any]) -> None:
@@ -237,7 +250,11 @@
         if item.name in seen:
             path = (index, "name")
             findings.append(
-                Finding(path, f"{shown(item.name)} stands twice", "rename one")
+                Finding(
+                    path,
+                    f"{format_value(item.name)} stands twice",
+                    "rename one",
+                )
             )
         seen.add(item.name)
     if findings:
@@ -248,7 +265,7 @@
     """Returns a validator that holds a check for each item of a sequence."""
 
     def check_items(instance: Any, attribute: Any, value: Any) -> None:
-        _check_all(check, instance, attribute, enumerate(value))
+        _check_items(check, instance, attribute, enumerate(value))
 
     check_items.__doc__ = f"For each item: {check.__doc__}"
     return check_items
@@ -258,16 +275,16 @@
     """Returns a validator that holds a check for each key of a mapping."""
 
     def check_keys(instance: Any, attribute: Any, value: Any) -> None:
-        _check_all(check, instance, attribute, ((k, k) for k in value))
+        _check_items(check, instance, attribute, ((k, k) for k in value))
 
     check_keys.__doc__ = f"For each name: {check.__doc__}"
     return check_keys
 
 
-def every(*checks: Validator) -> Validator:
+def all_of(*checks: Validator) -> Validator:
     """Returns a validator that holds all checks and tells all they find."""
 
-    def check_in_turn(instance: Any, attribute: Any, value: Any) -> None:
+    def check_all(instance: Any, attribute: Any, value: Any) -> None:
         findings: list[Finding] = []
         for check in checks:
             try:
@@ -277,15 +294,15 @@
         if findings:
             raise CheckError(findings)
 
-    check_in_turn.__doc__ = " ".join(c.__doc__ or "" for c in checks)
-    return check_in_turn
+    check_all.__doc__ = " ".join(c.__doc__ or "" for c in checks)
+    return check_all
 
 
-def _limits(low: float, high: float) -> str:
+def _format_range(low: float, high: float) -> str:
     return f"{low:,} to {high:,}".replace(",", "_")
 
 
-def _check_all(
+def _check_items(
     check: Validator,
     instance: Any,
     attribute: Any,
--- a/packages/state/src/hollyknot_state/tests/test_parse.py
+++ b/packages/state/src/hollyknot_state/tests/test_parse.py
@@ -24,7 +24,7 @@
 )
 from hollyknot_state._problem import MAX_PROBLEMS, join_path
 
-_DECLARED: dict[str, Any] = {
+_DECLARATIONS: dict[str, Any] = {
     "data_centres": ["hall-a", "hall-b"],
     "classes": {
         "counter": {"tier": 1, "target": {"first_token_ms": 800}},
@@ -81,8 +81,12 @@
     "settings": parse_settings,
     "hosts": parse_host_list,
 }
-_DOCUMENTS = {"declarations": _DECLARED, "settings": _SETTINGS, "hosts": _HOSTS}
-_GONE = object()
+_DOCUMENTS = {
+    "declarations": _DECLARATIONS,
+    "settings": _SETTINGS,
+    "hosts": _HOSTS,
+}
+_REMOVED = object()
 
 # Document, way to the changed value, new value, path told, part of the line.
 _MISTAKES = [
@@ -90,7 +94,7 @@
     ("declarations", "classes/counter/tier", True, None, "not an integer"),
     ("declarations", "classes/counter/tier", 1.0, None, "not an integer"),
     ("declarations", "classes/counter/tier", 4, None, "choose 1 to 3"),
-    ("declarations", "classes/counter/tier", _GONE, None, "is missing"),
+    ("declarations", "classes/counter/tier", _REMOVED, None, "is missing"),
     ("declarations", "classes/counter/tire", 1, None, 'mean "tier"'),
     ("declarations", "classes/counter/target", {}, None, "has to begin or end"),
     (
@@ -150,8 +154,14 @@
         "in capitals",
     ),
     *(
-        ("declarations", "services/permits/idempotent/0/path", p, None, told)
-        for p, told in (
+        (
+            "declarations",
+            "services/permits/idempotent/0/path",
+            p,
+            None,
+            expected_text,
+        )
+        for p, expected_text in (
             ("search", "begin with '/'"),
             ("/a*b", "at the end only"),
             ("/%6frders", "write /orders"),
@@ -170,7 +180,7 @@
     ("settings", "link_keys/0", "k" * 31, None, "31 characters"),
     ("settings", "link_keys/1", "k" * 32, None, "equals the first"),
     ("settings", "tls/certificate", "", None, "is empty"),
-    ("settings", "tls/key", _GONE, None, "is missing"),
+    ("settings", "tls/key", _REMOVED, None, "is missing"),
     ("settings", "max_body_bytes", 0, None, "out of range"),
     ("settings", "stop_grace_s", -1, None, "out of range"),
     ("settings", "stop_grace_s", "1", None, "not a number"),
@@ -182,10 +192,10 @@
 ]
 
 
-def _changed(document: dict[str, Any], way: str, value: Any) -> bytes:
+def _with_value(document: dict[str, Any], slash_path: str, value: Any) -> bytes:
     """Returns the document with one value set; arrays may grow by one."""
     changed = copy.deepcopy(document)
-    *steps, last = way.split("/")
+    *steps, last = slash_path.split("/")
     item: Any = changed
     for step in steps:
         if isinstance(item, list):
@@ -194,22 +204,24 @@
             item = item.setdefault(step, {})
     if isinstance(item, list):
         item[int(last) : int(last) + 1] = [value]
-    elif value is _GONE:
+    elif value is _REMOVED:
         item.pop(last, None)
     else:
         item[last] = value
     return json.dumps(changed).encode()
 
 
-def _dotted(way: str) -> str:
-    return join_path(int(s) if s.isdigit() else s for s in way.split("/"))
+def _dotted(slash_path: str) -> str:
+    return join_path(
+        int(s) if s.isdigit() else s for s in slash_path.split("/")
+    )
 
 
 class TestGoodDocuments:
     """Documents that are taken."""
 
     def test_declarations_come_back_from_their_dump(self) -> None:
-        first = parse_declarations(json.dumps(_DECLARED), 7)
+        first = parse_declarations(json.dumps(_DECLARATIONS), 7)
         assert isinstance(first, Declarations)
         assert first.version == 7
         assert parse_declarations(dump_declarations(first), 7) == first
@@ -232,7 +244,7 @@
             host refuses the list and keeps the last good one for good.
         Cause: a reader of somebody else's document that knows all its fields.
         """
-        parsed = parse_host_list(_changed(_HOSTS, "entries/0/zone", 1))
+        parsed = parse_host_list(_with_value(_HOSTS, "entries/0/zone", 1))
         assert isinstance(parsed, HostList)
         assert parsed.entries[0].name == "e1"
 
@@ -241,23 +253,29 @@
     """What is told of documents that are refused."""
 
     @pytest.mark.parametrize(
-        ("kind", "way", "value", "path", "told"), _MISTAKES
+        ("kind", "slash_path", "value", "path", "expected_text"), _MISTAKES
     )
     def test_is_told_with_its_path(
-        self, kind: str, way: str, value: Any, path: str | None, told: str
+        self,
+        kind: str,
+        slash_path: str,
+        value: Any,
+        path: str | None,
+        expected_text: str,
     ) -> None:
         document = _DOCUMENTS[kind]
         assert not isinstance(_READERS[kind](json.dumps(document)), Problems)
-        result = _READERS[kind](_changed(document, way, value))
+        result = _READERS[kind](_with_value(document, slash_path, value))
         assert isinstance(result, Problems)
         lines = [str(p) for p in result.problems]
-        expected = path or _dotted(way)
+        expected = path or _dotted(slash_path)
         assert any(
-            line.startswith(f"{expected}: ") and told in line for line in lines
+            line.startswith(f"{expected}: ") and expected_text in line
+            for line in lines
         ), lines
 
     def test_all_are_told_at_once(self) -> None:
-        document = copy.deepcopy(_DECLARED)
+        document = copy.deepcopy(_DECLARATIONS)
         document["customers"]["desk"]["classes"] = ["nigth", 7]
         document["customers"]["desk"]["key_sha256"] = "x"
         document["classes"]["counter"] = {"tier": 9, "target": {}, "x": 1}
@@ -274,7 +292,7 @@
         }
 
     def test_thousands_are_counted(self) -> None:
-        document = copy.deepcopy(_DECLARED)
+        document = copy.deepcopy(_DECLARATIONS)
         document["customers"] = {f"c{n}": {} for n in range(5_000)}
         result = parse_declarations(json.dumps(document), 1)
         assert isinstance(result, Problems)
@@ -290,10 +308,12 @@
         Cause: a message that quotes the wrong value.
         """
         secret = "s3cret-but-short"
-        way = "customers/desk/key_sha256"
-        told = parse_declarations(_changed(_DECLARED, way, secret), 1)
-        links = parse_settings(_changed(_SETTINGS, "link_keys/0", secret))
-        for result in (told, links):
+        slash_path = "customers/desk/key_sha256"
+        expected_text = parse_declarations(
+            _with_value(_DECLARATIONS, slash_path, secret), 1
+        )
+        links = parse_settings(_with_value(_SETTINGS, "link_keys/0", secret))
+        for result in (expected_text, links):
             assert isinstance(result, Problems)
             assert secret not in str(result)
 
@@ -302,7 +322,7 @@
     """Text that is no acceptable JSON."""
 
     @pytest.mark.parametrize(
-        ("text", "told"),
+        ("text", "expected_text"),
         [
             (b"\xff{}", "not UTF-8 at byte 0 (line 1)"),
             ("\ud800", "not valid Unicode"),
@@ -320,10 +340,10 @@
             ('{"platform": {"x": 1, "x": 2}}', "platform.x: the key stands"),
         ],
     )
-    def test_is_refused(self, text: bytes | str, told: str) -> None:
+    def test_is_refused(self, text: bytes | str, expected_text: str) -> None:
         result = parse_settings(text)
         assert isinstance(result, Problems)
-        assert told in str(result)
+        assert expected_text in str(result)
 
 
 _JSON = st.recursive(
@@ -336,8 +356,8 @@
     | st.text(st.characters(exclude_categories=()))
     | _JSON.map(json.dumps)
     | st.builds(
-        lambda case, value: _changed(_DOCUMENTS[case[0]], case[1], value),
-        st.sampled_from([m for m in _MISTAKES if m[2] is not _GONE]),
+        lambda case, value: _with_value(_DOCUMENTS[case[0]], case[1], value),
+        st.sampled_from([m for m in _MISTAKES if m[2] is not _REMOVED]),
         _JSON,
     )
 )
--- a/packages/state/src/hollyknot_state/tests/test_structure_first.py
+++ b/packages/state/src/hollyknot_state/tests/test_structure_or_first_problem.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollyknot_state import Problem, structure_first
+from hollyknot_state import Problem, structure_or_first_problem
 from hollyknot_state._validators import is_between
 
 
@@ -40,12 +40,12 @@
 )
 
 
-class TestStructureFirst:
+class TestStructureOrFirstProblem:
     """Values of a stranger, built or refused."""
 
     def test_a_good_value_is_built(self) -> None:
         parts = [{"weight": 2}, {"weight": 3, "other": 1}]
-        found = structure_first(
+        found = structure_or_first_problem(
             {**_GOOD, "parts": parts, "more": {"x": 1}, "new": []}, _Value
         )
         assert found == _Value(
@@ -73,22 +73,22 @@
     def test_the_first_mistake_is_told_with_its_place(
         self, change: dict[str, Any], path: str, problem: str
     ) -> None:
-        found = structure_first({**_GOOD, **change}, _Value)
+        found = structure_or_first_problem({**_GOOD, **change}, _Value)
         assert isinstance(found, Problem)
         assert (found.path, found.problem) == (path, problem)
         assert found.remedy
 
     def test_a_missing_field_is_told(self) -> None:
-        found = structure_first({"name": "a", "share": 1}, _Value)
+        found = structure_or_first_problem({"name": "a", "share": 1}, _Value)
         assert isinstance(found, Problem)
         assert (found.path, found.problem) == ("kind", "is missing")
 
     @given(_JSON)
     def test_nothing_raises(self, value: Any) -> None:
-        assert isinstance(structure_first(value, _Value), Problem)
+        assert isinstance(structure_or_first_problem(value, _Value), Problem)
 
     @given(st.sampled_from(sorted(_GOOD)), _JSON)
     def test_one_field_of_any_value_never_raises(
         self, name: str, value: Any
     ) -> None:
-        structure_first({**_GOOD, name: value}, _Value)
+        structure_or_first_problem({**_GOOD, name: value}, _Value)
