--- a/packages/state/src/hollyknot_state/__init__.py
+++ b/packages/state/src/hollyknot_state/__init__.py
@@ -1,6 +1,6 @@
-"""Typed, checked data shared by every layer of hollyknot.
+"""Typed, validated data that all layers of hollyknot share.
 
-This front re-exports the public names; the work is in the underscore modules.
+This package re-exports the public names of its private modules.
 """
 
 from hollyknot_state._claim_messages import (
--- a/packages/state/src/hollyknot_state/_claim_messages.py
+++ b/packages/state/src/hollyknot_state/_claim_messages.py
@@ -1,10 +1,14 @@
-"""Messages by which a non-idempotent request is claimed before it runs.
+"""Messages with which hosts claim a non-idempotent request before it runs.
 
-A coordinator (the host that has the request) asks the holders of its key for
-grants. Each message may be lost, doubled, late or out of order. The sender's
-name comes from the link, never from a message.
+A coordinator (the host that received the request) asks the holders of the
+request's key (the hosts that store its claims) for grants. A slot is a part of
+the key space whose keys have the same holders; an epoch is the holders of a
+slot from a revision of the host list on. To seal a slot is to promise never
+again to grant its keys for an older epoch.
 
-Each class has a struct of the same name and fields in `claims.thrift`.
+Messages may be lost, duplicated, delayed or reordered. The sender's name comes
+from the link, never from a message. Each class has a struct of the same name
+and fields in `claims.thrift`.
 """
 
 import enum
@@ -14,7 +18,7 @@
 from attrs import validators
 
 KEY_BYTES = 16
-"""Length of a claim key: 6 bytes of time in ms, 10 of a hash."""
+"""Length of a claim key: 6 bytes of time in milliseconds, 10 of a hash."""
 
 _not_negative = validators.ge(0)
 
@@ -28,11 +32,11 @@
 
 @attrs.frozen
 class Attempt:
-    """One try of one host to run a key; unique for ever.
+    """One try of one host to run the request of a key, never reused.
 
     Attributes:
         coordinator: The host's name, a slash and its incarnation.
-        number: Rises with each attempt of that incarnation.
+        number: Number that rises with each attempt of that incarnation.
     """
 
     coordinator: str
@@ -40,10 +44,10 @@
 
 
 class ClaimOutcome(enum.Enum):
-    """What a holder knows of how a granted attempt ended."""
+    """How a granted attempt ended, as far as a holder knows."""
 
     UNKNOWN = "unknown"
-    """It may not have begun, may be running, or may have ended."""
+    """The attempt may not have begun, may be running or may have ended."""
 
     COMPLETE = "complete"
     FAILED = "failed"
@@ -52,11 +56,11 @@
 
 @attrs.frozen
 class HeldAttempt:
-    """An attempt to which a holder knows that a key was granted.
+    """An attempt to which a key was granted, as a holder knows it.
 
     Attributes:
         attempt: The attempt.
-        outcome: How it ended, as far as the holder was told.
+        outcome: How the attempt ended, as far as it was reported to the holder.
     """
 
     attempt: Attempt
@@ -70,8 +74,9 @@
     Attributes:
         key: The claim key.
         attempt: The sender's attempt.
-        revision: The revision of the host list that the sender went by.
-        group: The digest of the holders that the sender went by.
+        revision: Revision of the host list from which the sender derived the
+            holders.
+        group: Digest of these holders.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -86,10 +91,11 @@
 
     Attributes:
         key: The claim key.
-        attempt: The attempt that is to be cancelled.
-        asker: The attempt on whose behalf.
-        revision: The revision of the host list that the sender went by.
-        group: The digest of the holders that the sender went by.
+        attempt: The attempt to cancel.
+        asker: The attempt on whose behalf the sender asks.
+        revision: Revision of the host list from which the sender derived the
+            holders.
+        group: Digest of these holders.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -101,11 +107,12 @@
 
 @attrs.frozen
 class ReleaseClaim:
-    """Tells a holder that an attempt is proved not to run, now or later.
+    """Tells a holder that an attempt provably has not run and never will.
 
-    Only the attempt's own coordinator sends it, before any dispatch or with
-    the upstream's proof of refusal; or who holds a majority's promises never
-    to grant the attempt. It is answered by `RELEASED`.
+    It is sent by the attempt's own coordinator, if the attempt was never sent
+    to an upstream or the upstream proved that it refused; or by a host to which
+    a majority of the holders has promised never to grant the attempt. The
+    holder answers `RELEASED`.
 
     Attributes:
         key: The claim key.
@@ -118,12 +125,12 @@
 
 @attrs.frozen
 class RecordClaim:
-    """Tells a holder how an attempt ended. It isn't answered.
+    """Tells a holder how an attempt ended, without an answer.
 
     Attributes:
         key: The claim key.
         attempt: The attempt.
-        outcome: Its end.
+        outcome: How the attempt ended.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -132,19 +139,19 @@
 
 
 class ClaimAnswerKind(enum.Enum):
-    """What a holder answers to `GrantClaim` and `CancelClaim`."""
+    """Kinds of answers to `GrantClaim`, `CancelClaim` and `ReleaseClaim`."""
 
     GRANTED = "granted"
     """The key is granted to the attempt at this holder."""
 
     HELD = "held"
-    """The key is known to be granted to others (or to the cancelled one)."""
+    """Others (or the attempt to cancel) are known to hold the key."""
 
     CANCELLED = "cancelled"
-    """The holder has promised never to grant the attempt that asks."""
+    """The holder has promised never to grant the asking attempt."""
 
     PROMISED = "promised"
-    """The holder doesn't hold, and never will grant, the cancelled attempt."""
+    """The holder has not granted and never will grant the cancelled attempt."""
 
     EXPIRED = "expired"
     """The key's time is at or below the holder's horizon."""
@@ -153,16 +160,16 @@
     """The key's time is too far beyond the holder's clock; see `wait_ms`."""
 
     LEARNING = "learning"
-    """The holder doesn't yet know what earlier holders granted."""
+    """The holder does not know yet what earlier holders granted."""
 
     BEHIND = "behind"
-    """The holder's list is older than the asker's."""
+    """The holder's host list is older than the asker's."""
 
     NEWER = "newer"
-    """The holder's list is newer; see `revision` and `holders`."""
+    """The holder's host list is newer; see `revision` and `holders`."""
 
     RELEASED = "released"
-    """The holder has taken a `ReleaseClaim`; nothing is to be repeated."""
+    """The holder has applied a `ReleaseClaim`; the sender stops repeating."""
 
 
 @attrs.frozen
@@ -173,13 +180,13 @@
         key: The claim key.
         asker: The attempt that asked.
         attempt: The attempt that the answer is about.
-        kind: The answer.
-        group: The digest of the holders for which it was given.
-        held: The attempts to which the key is known to be granted.
-        revision: With `NEWER`, the revision of the holder's list.
-        holders: With `NEWER`, the key's holders in that list.
+        kind: What the holder answers.
+        group: Digest of the holders for which the answer was given.
+        held: Attempts to which the key is known to be granted.
+        revision: With `NEWER`, the revision of the holder's host list.
+        holders: With `NEWER`, the key's holders according to that list.
         wait_ms: With `AHEAD`, milliseconds until the key can be granted; 0 if
-            it is refused for good.
+            the key never will be granted.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -195,11 +202,11 @@
 
 @attrs.frozen
 class HolderEpoch:
-    """The holders of a slot from a revision on.
+    """The holders of a slot from a revision of the host list on.
 
     Attributes:
-        revision: The revision of the host list, of which it is a function.
-        holders: Names, sorted.
+        revision: Revision of the host list, from which the holders follow.
+        holders: Sorted names of the holders.
     """
 
     revision: int = attrs.field(validator=_not_negative)
@@ -208,15 +215,15 @@
 
 @attrs.frozen
 class SlotQuestion:
-    """What a learner wants of one slot.
+    """What a learner (a host about to become a holder) asks about one slot.
 
     Attributes:
         slot: The slot.
-        epoch: The epoch that the learner wants to become active for; the
-            receiver never again grants for an older one.
-        oldest: The oldest revision with the same holders that the learner
-            would take in place of the epoch's.
-        after: Records up to this key were received before; empty for none.
+        epoch: The epoch for which the learner wants to become active; the
+            receiver never again grants for an older epoch.
+        oldest: Oldest revision with the same holders that the learner accepts
+            in place of the epoch's.
+        after: Last key whose record the learner has received; empty for none.
     """
 
     slot: int = attrs.field(validator=_not_negative)
@@ -227,12 +234,13 @@
 
 @attrs.frozen
 class LearnSlots:
-    """Asks a host to seal slots and to tell what it knows of them.
+    """Asks a host to seal slots and to report what it knows about them.
 
     Attributes:
-        incarnation: The sender's; another one under the same name has lost
-            its memory and must not take the place of the first.
-        questions: One for each slot.
+        incarnation: The sender's incarnation. A later incarnation under the
+            same name has lost its memory and must not take the first one's
+            place.
+        questions: One question per slot.
     """
 
     incarnation: int
@@ -240,30 +248,30 @@
 
 
 class SlotAnswerKind(enum.Enum):
-    """How a host takes a `SlotQuestion`."""
+    """How a host answers a `SlotQuestion`."""
 
     SEALED = "sealed"
-    """It never again grants for an epoch older than the learner's."""
+    """The host never again grants for an epoch older than the learner's."""
 
     NEWER = "newer"
-    """It has sealed itself for a newer epoch, which is in `epochs`."""
+    """The host is at a newer epoch of the slot, which is in `epochs`."""
 
     SAME = "same"
-    """It has the learner's holders under the older epoch in `epochs`."""
+    """The older epoch in `epochs` has the same holders as the learner's."""
 
     NAME_REUSED = "name-reused"
-    """It has met another incarnation under the learner's name."""
+    """The host has seen another incarnation under the learner's name."""
 
 
 @attrs.frozen
 class ClaimRecord:
-    """All that a holder knows of one key.
+    """All that a holder knows about one key.
 
     Attributes:
         key: The claim key.
-        held: Attempts to which it may have been granted.
-        refused: For each coordinator the highest attempt that is never to be
-            granted; all earlier ones of that coordinator aren't either.
+        held: Attempts to which the key may have been granted.
+        refused: For each coordinator the highest attempt that must never be
+            granted; the coordinator's earlier attempts must not be either.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -273,20 +281,21 @@
 
 @attrs.frozen
 class SlotAnswer:
-    """What a host knows of one slot.
+    """What a host knows about one slot.
 
     Attributes:
         slot: The slot.
-        kind: How it took the question.
+        kind: How the host answers the question.
         question: The epoch of the question.
-        active: The newest revision for which it was active; 0 for none.
-        epochs: Epochs that it knows, the one that it was active for and later.
-        seen_from: With `seen_to`, a range of revisions of the host list all
-            of which it has seen, so that `epochs` has every change in it.
-        seen_to: The end of the range; 0 for none.
-        horizon_ms: Keys of this time and before are never granted.
-        records: A page of its records, by rising key.
-        after: The last key of the page; ask with it for the next.
+        active: Newest revision for which the host was active; 0 for none.
+        epochs: Epochs that the host knows, from the one for which it was
+            active on.
+        seen_from: Start of a range of revisions of the host list, all of which
+            the host has seen, so that `epochs` has every change in the range.
+        seen_to: End of that range; 0 for none.
+        horizon_ms: Time, in milliseconds, up to which keys are never granted.
+        records: One page of the host's records, in order of their keys.
+        after: Last key of the page, with which to ask for the next page.
         more: Whether there are further pages.
     """
 
@@ -308,8 +317,8 @@
     """Answers `LearnSlots`.
 
     Attributes:
-        answers: One for each slot that fitted; the learner asks again for the
-            others.
+        answers: One answer for each slot that fitted into the message; the
+            learner asks again for the others.
     """
 
     answers: tuple[SlotAnswer, ...]
@@ -324,4 +333,4 @@
     | LearnSlots
     | SlotAnswers
 )
-"""Every message of this module that travels by itself."""
+"""All messages of this module that are sent on their own."""
--- a/packages/state/src/hollyknot_state/_gossip_messages.py
+++ b/packages/state/src/hollyknot_state/_gossip_messages.py
@@ -1,8 +1,9 @@
-"""Messages by which hosts tell each other documents, liveness and signals.
+"""Messages with which hosts exchange documents, liveness and signals.
 
-None is needed for safety: each may be lost, doubled, late or out of order.
-Versions are told only by hosts that hold them, never by hearsay, so that a
-version which nobody can give any more is forgotten with its last witness.
+Safety does not depend on them: they may be lost, duplicated, delayed or
+reordered. A host announces only versions that it holds and never forwards the
+announcements of others, so that a version is forgotten once no host can send
+it.
 """
 
 import enum
@@ -24,12 +25,13 @@
 
 @attrs.frozen
 class DocumentVersion:
-    """A version of a document that the sender holds and can give.
+    """A version of a document that the sender holds and can send.
 
     Attributes:
-        document: Which document.
-        version: Its version or revision; 0 if the sender holds none.
-        digest: Of the records, 63 bits; tells bodies of one version apart.
+        document: The document.
+        version: The document's version or revision; 0 if the sender holds none.
+        digest: Digest of the records, 63 bits, which distinguishes different
+            bodies of the same version.
     """
 
     document: DocumentKind
@@ -55,10 +57,10 @@
     """What changed between two versions of a document.
 
     Attributes:
-        base: The version that it applies to.
-        target: The version that it leads to; its digest checks the result.
+        base: The version to which the delta applies.
+        target: The resulting version, whose digest verifies the result.
         changed: Records that are new or have a new body.
-        removed: Paths of records that are gone.
+        removed: Paths of removed records.
     """
 
     base: DocumentVersion
@@ -72,11 +74,13 @@
     """Asks a host for a newer version, as a delta or in pages.
 
     Attributes:
-        document: Which document.
-        bases: Versions that the sender can apply a delta to, newest first;
-            empty to ask for the whole.
-        version: For a page above 0, the version whose pages were begun.
-        page: 0 for whatever is best: a delta or the first page.
+        document: The document.
+        bases: Versions to which the sender can apply a delta, newest first;
+            empty to ask for the whole document.
+        version: For a page above 0, the version of which the sender already has
+            the pages before.
+        page: Page that is asked for; with 0 the receiver answers a delta or the
+            first page, whichever suits.
     """
 
     document: DocumentKind
@@ -90,10 +94,10 @@
     """One page of a whole document.
 
     Attributes:
-        version: The version that the pages make up.
-        page: This page, from 0.
-        pages: How many there are; at least 1.
-        body: The page, compressed by zlib.
+        version: The version to which the pages belong.
+        page: Number of this page, from 0.
+        pages: Number of pages, at least 1.
+        body: Content of the page, compressed by zlib.
     """
 
     version: DocumentVersion
@@ -116,8 +120,9 @@
 
     Attributes:
         host: The host's name in the host list.
-        state: What is believed of it.
-        incarnation: Raised by that host alone, to refute a suspicion.
+        state: What the sender believes about the host.
+        incarnation: Number that only the host itself raises, to refute a
+            suspicion.
     """
 
     host: str
@@ -130,7 +135,7 @@
     """Asks a peer whether it is alive.
 
     Attributes:
-        sequence: Given back in the acknowledgement.
+        sequence: Number that the acknowledgement returns.
     """
 
     sequence: int
@@ -141,7 +146,7 @@
     """Answers a `Probe` or, on behalf of its target, an `IndirectProbe`.
 
     Attributes:
-        sequence: Of the message that it answers.
+        sequence: Sequence number of the message that it answers.
     """
 
     sequence: int
@@ -149,11 +154,11 @@
 
 @attrs.frozen
 class IndirectProbe:
-    """Asks a peer to probe another, which the sender cannot reach.
+    """Asks a peer to probe another host, which the sender cannot reach.
 
     Attributes:
-        sequence: Given back in the acknowledgement.
-        target: The name of the host to probe.
+        sequence: Number that the acknowledgement returns.
+        target: Name of the host to probe.
     """
 
     sequence: int
@@ -162,15 +167,15 @@
 
 @attrs.frozen
 class Gossip:
-    """What one host tells another at a round, on news or as an answer.
+    """What a host sends to a peer in a round, on a change or as an answer.
 
     Attributes:
-        reply: Whether the sender wants a `Gossip` back in any case.
-        versions: The versions that the sender holds.
+        reply: Whether the receiver has to answer with a `Gossip` in any case.
+        versions: Versions of documents that the sender holds.
         members: Liveness of hosts of the sender's data centre.
-        pressures: Soft signals of tiers that were short of capacity.
-        signs: Soft signals of upstreams.
-        suspects: Evidence about requests that crash upstreams.
+        pressures: Tiers that were short of capacity.
+        signs: Health signs of upstreams.
+        suspects: Evidence against requests that may crash upstreams.
     """
 
     reply: bool = False
@@ -190,4 +195,4 @@
     | ProbeAck
     | IndirectProbe
 )
-"""Every message of this module that travels by itself."""
+"""All messages of this module that are sent on their own."""
--- a/packages/state/src/hollyknot_state/_host_report.py
+++ b/packages/state/src/hollyknot_state/_host_report.py
@@ -1,7 +1,7 @@
-"""What a host that forwards by routes tells its peers, several times a second.
+"""Reports that a host of the gateway sends to its peers several times a second.
 
-A report is soft: late, lost or doubled ones do no harm. It replaces the last
-one of the same host, so that nothing has to be undone when one is missed.
+Late, lost or duplicate reports do no harm: a report replaces the previous one
+of the same host, so that nothing has to be undone when one is missed.
 """
 
 import zlib
@@ -16,10 +16,11 @@
 
 
 def short_name(incarnation: str) -> int:
-    """Returns what stands for an upstream in reports, in 5 bytes for 12.
+    """Returns a 31-bit checksum that stands for a name in reports.
 
-    Of 10,000 upstreams two have the same one at a chance of 1 in 40; their
-    loads then count for both.
+    It takes 5 bytes, where an upstream's incarnation takes 12. Among 10,000
+    upstreams two share a checksum with a probability of 1 in 40; each of them
+    is then credited with the load of both.
     """
     return zlib.crc32(incarnation.encode()) & _CHECKSUM_BITS
 
@@ -29,13 +30,13 @@
     """A host's own work in flight at one upstream.
 
     Attributes:
-        upstream: Its short name.
-        waiting_tokens: Of prompts that were sent and not yet answered, at each
-            urgency from 0 on; zeros at the end are left out.
-        waiting: Requests that were sent and not yet answered.
+        upstream: Short name of the upstream.
+        waiting_tokens: Prompt tokens of requests that were sent and have no
+            answer yet, at each urgency from 0 on; trailing zeros are left out.
+        waiting: Requests that were sent and have no answer yet.
         running: Streams that have begun.
-        urgencies: How many requests there are at each urgency, likewise; 255 at
-            the most.
+        urgencies: Requests at each urgency from 0 on, one byte each, at most
+            255; trailing zeros are left out.
     """
 
     upstream: int
@@ -47,15 +48,16 @@
 
 @attrs.frozen
 class LaneDemand:
-    """What a host's streams ask of a service's upstreams.
+    """The load that a host's streams put on a service's upstreams.
 
     Attributes:
-        pool: The service; thrift does not allow that word.
-        loose_tokens_s: Prompt tokens that are sent in a second, smoothed, of
-            streams that bear long pauses.
-        tight_tokens_s: The same of the others.
-        loose_streams: Those that bear long pauses and have not ended.
-        tight_streams: The same of the others.
+        pool: The service, whose name is a reserved word of thrift.
+        loose_tokens_s: Prompt tokens sent per second, smoothed, of streams that
+            tolerate long inter-token gaps.
+        tight_tokens_s: Prompt tokens sent per second, smoothed, of the other
+            streams.
+        loose_streams: Streams in flight that tolerate long inter-token gaps.
+        tight_streams: Other streams in flight.
     """
 
     pool: str
@@ -67,11 +69,11 @@
 
 @attrs.frozen
 class HeldRun:
-    """A prompt's first parts, and an upstream that has them cached.
+    """A prompt prefix and an upstream that has it cached.
 
     Attributes:
-        upstream: Its short name.
-        run: The short name of the parts.
+        upstream: Short name of the upstream.
+        run: Short name of the prefix, which is the first parts of a prompt.
     """
 
     upstream: int
@@ -82,13 +84,15 @@
 class ReadRevisions:
     """The newest changes that a host has read from the platform's directory.
 
-    A host whose own watch fell silent learns by its peers' that it is behind.
+    A host whose own watch has stalled learns from its peers' revisions that it
+    is behind.
 
     Attributes:
-        tables: The directory's revision of the newest table; 0 for none.
-        upstreams: Of the newest change among the upstreams.
-        tables_era: In which era the first was given out.
-        upstreams_era: In which the second.
+        tables: Directory revision of the newest route table; 0 for none.
+        upstreams: Directory revision of the newest change of an upstream; 0 for
+            none.
+        tables_era: Era of the directory to which `tables` belongs.
+        upstreams_era: Era of the directory to which `upstreams` belongs.
     """
 
     tables: int = 0
@@ -99,21 +103,21 @@
 
 @attrs.frozen
 class HostReport:
-    """One report.
+    """A full report, which also identifies its host to unknown peers.
 
     Attributes:
-        host: Who tells.
-        incarnation: Of its process; a restart has another one.
-        sequence: Rises within an incarnation.
-        address: Where it takes reports.
-        data_centre: Where it runs.
-        table_version: Of the routes that it has in force; 0 for none.
-        uses: Its work in flight; upstreams without any are left out.
-        demands: Prompt tokens that it sends.
+        host: Name of the reporting host.
+        incarnation: Incarnation of the host's process, new after a restart.
+        sequence: Number that rises within an incarnation.
+        address: Address at which the host receives reports.
+        data_centre: The host's data centre.
+        table_version: Version of the route table in force; 0 for none.
+        uses: The host's work in flight; upstreams without any are left out.
+        demands: Load that the host's streams put on services.
         suspects: Evidence against requests that may crash upstreams.
-        held: Parts of prompts that were newly sent to upstreams.
-        contacts: Some addresses of peers that it has heard of lately.
-        revisions: What it has read from the platform's directory.
+        held: Prompt prefixes that the host has newly sent to upstreams.
+        contacts: Addresses of some peers from which the host has heard lately.
+        revisions: What the host has read from the platform's directory.
         limits: Rate limits that upstreams have named.
     """
 
@@ -134,19 +138,19 @@
 
 @attrs.frozen
 class UseReport:
-    """What changes all the time, for a peer that knows the rest.
+    """The frequently changing part of a report, for peers that know the rest.
 
     Attributes:
-        incarnation: Of the sender's process.
-        sequence: Shared with its other reports.
-        uses: As in them.
-        demands: As in them; none where they are not told.
-        suspects: As in them.
-        held: As in them.
-        is_whole: Whether it tells of all upstreams with work in flight; else
-            only of those where prompts wait to be read.
-        revisions: As in them; None where it is no news.
-        limits: As in them, those that are news.
+        incarnation: Incarnation of the sender's process.
+        sequence: Number from the sequence of the sender's full reports.
+        uses: Same as in a full report.
+        demands: Same as in a full report; empty where they are left out.
+        suspects: Same as in a full report.
+        held: Same as in a full report.
+        is_whole: Whether the report covers all upstreams with work in flight;
+            otherwise it covers only those with prompts that wait for prefill.
+        revisions: Same as in a full report; None where they have not changed.
+        limits: Rate limits that have changed.
     """
 
     incarnation: int
--- a/packages/state/src/hollyknot_state/_limit_messages.py
+++ b/packages/state/src/hollyknot_state/_limit_messages.py
@@ -1,7 +1,7 @@
-"""What hosts tell and ask each other about the rate limits of upstreams.
+"""Messages between hosts about the rate limits of upstreams.
 
-These are soft: a lost answer is a permit that nobody uses, and the request goes
-to another upstream.
+They may be lost: if an answer is lost, its permit goes unused and the request
+goes to another upstream.
 """
 
 import attrs
@@ -11,13 +11,13 @@
 
 @attrs.frozen
 class IssuerClaim:
-    """A host that issues the permits of an upstream.
+    """A host's claim that it issues the permits of an upstream.
 
     Attributes:
-        incarnation: Of its process.
-        address: Where it takes messages.
-        is_near: Whether it is in the upstream's data centre.
-        age_ms: How long ago it said so.
+        incarnation: Incarnation of the host's process.
+        address: Address at which the host receives messages.
+        is_near: Whether the host is in the upstream's data centre.
+        age_ms: Milliseconds since the host made the claim.
     """
 
     incarnation: int
@@ -28,15 +28,15 @@
 
 @attrs.frozen
 class NamedLimit:
-    """The newest word of an upstream on its rate limit, as a host knows it.
+    """The rate limit that an upstream named last, as far as a host knows.
 
     Attributes:
-        upstream: Its short name.
-        age_ms: How long ago an answer of the upstream said so.
-        rate: Requests a second that it takes from all hosts together; None
-            where it has withdrawn its limit.
-        issuer: Who issues permits for it, where hosts may not agree on that;
-            None for what all find alike.
+        upstream: Short name of the upstream.
+        age_ms: Milliseconds since the upstream's answer that named the limit.
+        rate: Requests per second that the upstream accepts from all hosts
+            together; None if it has withdrawn its limit.
+        issuer: The host that issues the upstream's permits, where hosts may
+            disagree about it; None where all hosts compute the same one.
     """
 
     upstream: int
@@ -50,13 +50,13 @@
     """Asks for a permit to send one request to an upstream with a limit.
 
     Attributes:
-        number: Returned in the answer.
-        upstream: Its incarnation.
-        limit: What the sender knows of its limit.
+        number: Number that the answer returns.
+        upstream: Incarnation of the upstream.
+        limit: The limit that the sender knows.
         is_least_urgent: Whether the request is among the least urgent of its
             service.
-        is_passed_over: Whether the host that should issue permits was asked in
-            vain, so that the receiver issues them in its place.
+        is_passed_over: Whether the host that should issue permits did not
+            answer, so that the receiver issues them in its place.
     """
 
     number: int
@@ -68,15 +68,15 @@
 
 @attrs.frozen
 class PermitAnswer:
-    """What became of a query.
+    """Answers a `PermitQuery`.
 
     Attributes:
-        number: Of the query.
+        number: Number of the query.
         is_issued: Whether the request may be sent.
-        wait_ms: If not, when to ask again.
-        limit: What the sender of the answer knows.
-        issuer: Who issues the permits of this upstream, if it is another host;
-            None for none.
+        wait_ms: Milliseconds after which to ask again if it may not.
+        limit: The limit that the sender of the answer knows.
+        issuer: Address of the host that issues the permits of this upstream, if
+            it is not the sender; None otherwise.
     """
 
     number: int
--- a/packages/state/src/hollyknot_state/_load_messages.py
+++ b/packages/state/src/hollyknot_state/_load_messages.py
@@ -1,6 +1,7 @@
-"""What hosts tell and ask the trackers of upstreams' loads.
+"""Messages between hosts and the trackers of the loads of upstreams.
 
-Like reports these are soft: a lost one costs a choice by older knowledge.
+A tracker is a host that sums up the load of an upstream over all hosts. The
+messages may be lost: a host then places requests by older loads.
 """
 
 import attrs
@@ -13,8 +14,8 @@
     """How fast an upstream's streams run.
 
     Attributes:
-        upstream: Its short name.
-        interval_ms: Between two events of a stream.
+        upstream: Short name of the upstream.
+        interval_ms: Milliseconds between two events of a stream.
     """
 
     upstream: int
@@ -25,14 +26,15 @@
 class LoadNote:
     """A host's own work at upstreams that the receiver tracks.
 
-    It replaces what the host has told of the same upstreams before.
+    It replaces the host's earlier notes about the same upstreams.
 
     Attributes:
-        incarnation: Of the sender's process.
-        sequence: Rises within an incarnation.
-        uses: Its work; one without any tells that all has ended.
-        held: Parts of prompts that were newly sent to them.
-        paces: Of streams there that the sender relays.
+        incarnation: Incarnation of the sender's process.
+        sequence: Number that rises within an incarnation.
+        uses: The sender's work in flight; an empty entry says that all work at
+            the upstream has ended.
+        held: Prompt prefixes that were newly sent to the upstreams.
+        paces: Paces of the streams that the sender relays.
     """
 
     incarnation: int
@@ -47,10 +49,12 @@
     """Asks for the work of all other hosts at some upstreams.
 
     Attributes:
-        incarnation: Of the sender's process, whose own work is left out.
-        number: Returned in the answer.
-        upstreams: Short names.
-        runs: Parts of a prompt, as of `HeldRun`: who has them is told too.
+        incarnation: Incarnation of the sender's process, whose own work is left
+            out of the answer.
+        number: Number that the answer returns.
+        upstreams: Short names of the upstreams.
+        runs: Short names of prompt prefixes, as in `HeldRun`; the answer says
+            which upstreams have them cached.
     """
 
     incarnation: int
@@ -61,13 +65,13 @@
 
 @attrs.frozen
 class LoadAnswer:
-    """What a tracker knows.
+    """Answers a `LoadQuery` with what the tracker knows.
 
     Attributes:
-        number: Of the query.
-        uses: Sums over hosts, of each upstream that was asked for.
-        held: Which of them have which of the parts.
-        paces: Of the streams there, where a host sees any.
+        number: Number of the query.
+        uses: Sums over hosts, for each upstream that was asked about.
+        held: Which of these upstreams have which of the prefixes cached.
+        paces: Paces of the upstreams' streams, where a host relays any.
     """
 
     number: int
--- a/packages/state/src/hollyknot_state/_signals.py
+++ b/packages/state/src/hollyknot_state/_signals.py
@@ -1,8 +1,8 @@
-"""Soft signals between hosts: cheap, late, and never needed for safety.
+"""Signals that hosts gossip: they may be late or lost, and safety needs none.
 
-Times are ages in milliseconds at the moment of sending, never clock readings:
-hosts' clocks differ, ages do not. The receiver turns an age into its own
-monotonic time, and forgets a signal that is too old.
+Times are ages in milliseconds at the moment of sending, never clock readings,
+since the clocks of hosts differ. The receiver converts an age to its own
+monotonic time and drops a signal that is too old.
 """
 
 import enum
@@ -12,14 +12,15 @@
 
 @attrs.frozen
 class TierPressure:
-    """That some host of the data centre had too little capacity for a tier.
+    """Says that a host of the data centre had too little capacity for a tier.
 
-    Merged by the least age, so that its cost does not grow with the hosts.
+    Of several hosts' signals only the newest is kept, so that the cost does not
+    grow with the number of hosts.
 
     Attributes:
-        pool: The model or service that was short.
-        tier: The tier that had to wait or was shed.
-        age_ms: How long ago.
+        pool: The model or service that was short of capacity.
+        tier: The tier whose requests had to wait or were shed.
+        age_ms: Milliseconds since the shortage.
     """
 
     pool: str
@@ -28,7 +29,7 @@
 
 
 class SignKind(enum.Enum):
-    """What a host saw of an upstream by itself."""
+    """What a host itself observed about an upstream."""
 
     DRAINING = "draining"
     REFUSED_CONNECTION = "refused-connection"
@@ -39,12 +40,12 @@
 
 @attrs.frozen
 class UpstreamSign:
-    """A sign of an upstream, seen by one host and told to its peers.
+    """A health sign of an upstream, observed by one host and gossiped.
 
     Attributes:
         upstream: The upstream's name in the host list.
-        kind: What was seen.
-        age_ms: How long ago.
+        kind: What the host observed.
+        age_ms: Milliseconds since the observation.
     """
 
     upstream: str
@@ -57,10 +58,10 @@
     """Evidence that a request crashes upstreams.
 
     Attributes:
-        fingerprint: Of the request (unsigned 64 bits).
-        upstream: The upstream that was lost while it ran there.
-        companions: How many other requests were lost with it.
-        age_ms: How long ago.
+        fingerprint: Fingerprint of the request, unsigned 64 bits.
+        upstream: The upstream that was lost while it ran the request.
+        companions: Number of other requests that were lost with it.
+        age_ms: Milliseconds since the loss.
     """
 
     fingerprint: int
@@ -71,7 +72,7 @@
 
 @attrs.frozen
 class SuspectNews:
-    """Evidence that its sender has just learnt, passed on from host to host.
+    """New evidence, which each host forwards to others when it learns it.
 
     Attributes:
         suspects: The evidence.
@@ -82,14 +83,14 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an engine says of its load, with a lag.
+    """The load that an engine reports about itself, with a delay.
 
     Attributes:
-        running: Requests in its batch.
-        queued: Requests that wait inside it.
-        slots: Requests that it can batch; 0 if it does not say.
-        draining: Whether it refuses new work.
-        measured_ms_ago: Age of the figures when they were sent.
+        running: Requests in the engine's batch.
+        queued: Requests in the engine's own queue.
+        slots: Requests that fit into the batch; 0 if the engine does not say.
+        draining: Whether the engine refuses new work.
+        measured_ms_ago: Milliseconds from the measurement to the sending.
     """
 
     running: int
