--- a/packages/state/src/hollyknot_state/_declarations.py
+++ b/packages/state/src/hollyknot_state/_declarations.py
@@ -1,7 +1,9 @@
-"""What operators declare: classes, customers, models and services.
+"""Declarations of operators: classes, customers, models and services.
 
-Operators state targets and tiers. There is no place here for a weight, an
-address or an upstream, so that no declaration can contradict the host list.
+Operators declare targets and tiers. Declarations contain no weights, addresses
+or upstreams, so that they cannot contradict the host list.
+
+The reference pages are generated from the docstrings of these classes.
 """
 
 import attrs
@@ -53,7 +55,10 @@
 
     @property
     def budget_s(self) -> float:
-        """Seconds from arrival in which a start of the answer is of use."""
+        """Seconds from arrival within which the answer has to begin.
+
+        For a class without a first-token target it has to end within them.
+        """
         return (self.first_token_ms or self.whole_answer_ms) / 1000
 
 
@@ -111,7 +116,7 @@
     path: str = attrs.field(validator=is_call_path)
 
     def matches(self, method: str, path: str) -> bool:
-        """Tells whether a call falls under this pattern."""
+        """Returns whether a call matches this pattern."""
         if self.method not in ("*", method):
             return False
         if self.path.endswith("*"):
@@ -137,7 +142,7 @@
     )
 
     def __attrs_post_init__(self) -> None:
-        """Holds that no pattern is declared both ways."""
+        """Checks that no pattern is both idempotent and non-idempotent."""
         findings = [
             Finding(
                 ("idempotent", index),
--- a/packages/state/src/hollyknot_state/_hosts.py
+++ b/packages/state/src/hollyknot_state/_hosts.py
@@ -1,7 +1,7 @@
 """The platform's host list: hosts of hollyknot and upstreams, live or leaving.
 
-The platform publishes one document; its revision only rises. It lags: an entry
-may be gone for seconds before the list says so.
+The platform publishes the list as one document with a rising revision. The list
+lags: a process may have ended seconds before its entry changes.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class EntryState(enum.Enum):
-    """What the host list says of an entry."""
+    """The state of a process according to the host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -41,13 +41,14 @@
     """One process in the platform's list.
 
     Attributes:
-        name: Unique within the list; a replaced process has a new name.
-        role: A host of hollyknot, a model engine or a plain service.
-        data_centre: Where it runs.
-        ip: Its IP address.
-        port: For a host its port for links; else its HTTP port.
-        pools: The models or the service that it serves; empty for a host.
-        state: Live or leaving.
+        name: Name, unique within the list; a replacement process has a new one.
+        role: Whether it is a host of hollyknot, a model engine or a plain
+            service.
+        data_centre: Data centre in which the process runs.
+        ip: IP address of the process.
+        port: Port for links of a host; HTTP port of any other process.
+        pools: Models or services that the process serves; empty for a host.
+        state: Whether the process is live or leaving.
     """
 
     name: str = attrs.field(validator=is_long_name)
@@ -66,8 +67,9 @@
     """One revision of the platform's list.
 
     Attributes:
-        revision: Rises with every change; a lower one is never applied.
-        entries: All entries, of every data centre.
+        revision: Number that rises with every change; a lower one is never
+            applied.
+        entries: The entries of all data centres.
     """
 
     revision: int = attrs.field(validator=is_between(0, MAX_REVISION))
--- a/packages/state/src/hollyknot_state/_json.py
+++ b/packages/state/src/hollyknot_state/_json.py
@@ -1,9 +1,9 @@
-"""Reads JSON strictly: what a lenient reader lets through is a problem here.
+"""Reads JSON strictly and reports what a lenient reader would accept.
 
-Plain `json` keeps the last of two equal keys, accepts `NaN` and raises errors
-of its own for deep nesting and long numbers. An operator whose second
-`"classes"` silently replaced the first would lose customers' access without a
-word, so all of these are told.
+Plain `json` keeps the last of two equal keys, accepts `NaN` and raises other
+errors for deep nesting and long numbers. If a second `"classes"` silently
+replaced the first, customers would lose access without any message, so all of
+these are problems.
 """
 
 import json
@@ -18,13 +18,13 @@
 )
 
 MAX_DEPTH = 12
-"""The deepest nesting; the deepest document of ours has five levels."""
+"""Deepest accepted nesting; valid documents have at most five levels."""
 
 _MAX_DIGITS = 40
 
 
 class _ObjectWithDuplicates(dict[str, Any]):
-    """An object in which keys stood more than once."""
+    """A JSON object with repeated keys."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
         super().__init__(pairs)
@@ -45,10 +45,10 @@
 
     Args:
         data: The document, in UTF-8 if it is bytes.
-        max_bytes: The largest document that is looked at.
+        max_bytes: Size in bytes above which the document is refused unread.
 
     Returns:
-        The value, or what is wrong with the text. Never raises.
+        The value, or the problems of the text. It never raises.
     """
     text = _decode(data, max_bytes)
     if isinstance(text, Problems):
@@ -113,15 +113,15 @@
 
 
 def _parse_bounded_int(text: str) -> int:
-    # Python refuses integers of thousands of digits with a bare ValueError,
-    # and turning them into text later would raise again.
+    # For integers of thousands of digits, `int` raises a plain ValueError, and
+    # so would their conversion to text in an error message.
     if len(text) > _MAX_DIGITS:
         raise _NumberError(f"the number {text[:_MAX_DIGITS]}... is too large")
     return int(text)
 
 
 def _check_tree(value: Any) -> Any | Problems:
-    """Looks for repeated keys, deep nesting and strings that UTF-8 lacks."""
+    """Finds repeated keys, deep nesting and strings that can't be encoded."""
     collector = ProblemCollector()
     waiting: list[tuple[tuple[PathPart, ...], Any]] = [((), value)]
     while waiting:
@@ -168,8 +168,8 @@
 def _check_text(
     collector: ProblemCollector, path: tuple[PathPart, ...], text: str
 ) -> None:
-    # An escape such as \ud800 gives half a character. It would pass here and
-    # raise much later, wherever the text is first written out.
+    # An escape such as \ud800 is half of a surrogate pair, which would raise
+    # much later, wherever the text is first encoded.
     try:
         text.encode()
     except UnicodeEncodeError:
--- a/packages/state/src/hollyknot_state/_parse.py
+++ b/packages/state/src/hollyknot_state/_parse.py
@@ -1,7 +1,7 @@
-"""Reads and writes the documents: declarations, settings, the host list.
+"""Reads and writes documents: declarations, settings and the host list.
 
-Each reader takes any bytes at all and returns either a checked value or all
-that is wrong with it; it raises nothing.
+Each reader accepts arbitrary bytes and returns a validated value or all
+problems of the document; it never raises.
 """
 
 from typing import Any, TypeVar
@@ -29,8 +29,8 @@
     """Reads declarations as operators publish them.
 
     Args:
-        data: JSON without a version; the configuration service gives that.
-        version: The version under which they were published.
+        data: JSON without a version, which the configuration service assigns.
+        version: Version under which the declarations were published.
     """
     document = read_json(data, MAX_DECLARATIONS_BYTES)
     if isinstance(document, Problems):
@@ -41,15 +41,15 @@
         if "version" in document:
             collector.add(
                 ("version",),
-                "is not the operators' to state",
-                "leave it out; publishing gives the version",
+                "must not be given",
+                "leave it out; publishing assigns the version",
             )
         document["version"] = version
     return _build(document, Declarations, collector)
 
 
 def parse_settings(data: bytes | str) -> Settings | Problems:
-    """Reads a host's settings; doesn't look for the files they name."""
+    """Reads a host's settings, without checking that the named files exist."""
     document = read_json(data, MAX_SETTINGS_BYTES)
     if isinstance(document, Problems):
         return document
@@ -59,8 +59,8 @@
 def parse_host_list(data: bytes | str) -> HostList | Problems:
     """Reads the platform's host list.
 
-    Unknown fields pass: the platform may add one at any time, and a fleet that
-    then refused the list would go on sending work to what is leaving.
+    Unknown fields are ignored: the platform may add one at any time, and hosts
+    that then refused the list would go on sending work to leaving upstreams.
     """
     document = read_json(data, MAX_HOST_LIST_BYTES)
     if isinstance(document, Problems):
@@ -71,8 +71,8 @@
 def dump_declarations(declarations: Declarations) -> bytes:
     """Writes declarations as JSON that `parse_declarations` reads.
 
-    The version is left out, the keys are sorted: equal declarations give equal
-    bytes.
+    The version is left out and the keys are sorted, so that equal declarations
+    give equal bytes.
     """
     document = unstructure(declarations)
     del document["version"]
--- a/packages/state/src/hollyknot_state/_paths.py
+++ b/packages/state/src/hollyknot_state/_paths.py
@@ -1,10 +1,10 @@
-"""The one spelling of a path that patterns are matched against.
+"""Normalises request paths, so that patterns can be matched against them.
 
-A pattern names calls that must not run twice. If a caller could write the same
-path otherwise (`/%6frders`, `//orders`, `/x/../orders`), the pattern would
-miss it while the service behind still ran it: the call would be repeated. So a
-path is brought to one spelling, and one that services read differently is
-refused.
+A pattern names calls that must not run twice. If a caller wrote the same path
+in another spelling (`/%6frders`, `//orders`, `/x/../orders`), the pattern would
+not match although the service would run the call, and the call could be
+repeated. Paths are therefore normalised, and paths that services may interpret
+differently are refused.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class PathFault(enum.Enum):
-    """Why a path has no single spelling; the value is a phrase."""
+    """Why a path cannot be normalised; the values are phrases for messages."""
 
     CHARACTERS = "a character that a path can't hold"
     ENCODED_SLASH = "an encoded slash or backslash"
@@ -26,10 +26,10 @@
 
 
 def normalise_path(path: str) -> str | PathFault:
-    """Brings a path to one spelling, as RFC 3986 (6.2.2) has it.
+    """Normalises a path as RFC 3986 (6.2.2) describes.
 
     Args:
-        path: Beginning with a slash, still percent-encoded, without the query.
+        path: Percent-encoded path that begins with a slash, without a query.
     """
     if not _PATH.fullmatch(path):
         return PathFault.CHARACTERS
@@ -37,7 +37,7 @@
     if any(code in normal for code in _ENCODED_SLASHES):
         return PathFault.ENCODED_SLASH
     segments = normal.split("/")[1:]
-    # The last may be empty: `/orders/` is a path of its own.
+    # The last segment may be empty: `/orders/` differs from `/orders`.
     if any(s in (".", "..") for s in segments) or "" in segments[:-1]:
         return PathFault.SEGMENTS
     return normal
--- a/packages/state/src/hollyknot_state/_position.py
+++ b/packages/state/src/hollyknot_state/_position.py
@@ -1,4 +1,4 @@
-"""Where a reader of the platform's directory has got to."""
+"""Position up to which a host has read the platform's directory."""
 
 import attrs
 
@@ -7,13 +7,14 @@
 class Position:
     """A point in the history of a directory.
 
-    A directory that comes back from an older copy begins a new era, in which
-    revisions that were given out before are given out again for other changes.
-    So positions compare by era first.
+    A directory that is restored from an older copy begins a new era, in which
+    it reuses earlier revisions for other changes. Positions therefore compare
+    by era first.
 
     Attributes:
-        era: Rises each time the directory comes back from an older copy.
-        revision: Rises with each change within an era.
+        era: Number that rises each time the directory is restored from an older
+            copy.
+        revision: Number that rises with each change within an era.
     """
 
     era: int = 0
--- a/packages/state/src/hollyknot_state/_problem.py
+++ b/packages/state/src/hollyknot_state/_problem.py
@@ -1,7 +1,7 @@
-"""Mistakes in a document: where they are, what is wrong, what to do.
+"""Problems of a document: where they are, what is wrong, what to do.
 
-Checks raise `CheckError` with paths relative to the value they look at; the
-reader of a document joins them to whole paths and reports all of them at once.
+Checks raise `CheckError` with paths relative to the checked value. The reader
+of a document extends these to full paths and reports all problems together.
 """
 
 import difflib
@@ -11,14 +11,14 @@
 import attrs
 
 MAX_PROBLEMS = 100
-"""The most problems that are told one by one; the rest are counted.
+"""Most problems that are reported one by one; further ones are only counted.
 
-Without it a document with one mistake in each of thousands of entries would
-cost seconds to report, and a person reads the first few only.
+Without a bound, a document with a mistake in each of thousands of entries would
+take seconds to report, and a person reads the first few only.
 """
 
 PathPart = str | int
-"""A key of an object, or an index of an array."""
+"""A key of an object or an index of an array."""
 
 _PLAIN_KEY = re.compile(r"[A-Za-z0-9_-]+")
 _MAX_SHOWN_CHARACTERS = 60
@@ -28,11 +28,11 @@
 
 @attrs.frozen
 class Problem:
-    """One mistake.
+    """One mistake in a document.
 
     Attributes:
-        path: Where it is, such as `customers.hall-a.classes[1]`; empty for
-            the whole document.
+        path: Path of the mistake, such as `customers.hall-a.classes[1]`; empty
+            for the whole document.
         problem: What is wrong.
         remedy: What to do about it.
     """
@@ -42,18 +42,18 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Returns the line that an operator reads."""
+        """Returns one line for operators."""
         where = f"{self.path}: " if self.path else ""
         return f"{where}{self.problem}; {self.remedy}"
 
 
 @attrs.frozen
 class Problems:
-    """Why a document was refused; there is at least one problem.
+    """The problems for which a document was refused, at least one.
 
     Attributes:
-        problems: The first of them, in the document's order of fields.
-        more: How many further ones were found and left out.
+        problems: The first problems, in the order of the document's fields.
+        more: Number of further problems that were found and left out.
     """
 
     problems: tuple[Problem, ...]
@@ -69,10 +69,10 @@
 
 @attrs.frozen
 class Finding:
-    """A problem whose path is relative to the value that was looked at.
+    """A problem whose path is relative to the checked value.
 
     Attributes:
-        path: The way from that value to the mistake.
+        path: Path from the checked value to the mistake.
         problem: What is wrong.
         remedy: What to do about it.
     """
@@ -83,14 +83,14 @@
 
 
 class CheckError(ValueError):
-    """A value that breaks a check was about to be built."""
+    """Raised when a value that fails a check would be built."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = tuple(findings)
         super().__init__()
 
     def __str__(self) -> str:
-        """Returns what is wrong; made when it is asked for, as most are not."""
+        """Returns the text, built on demand since most texts are never read."""
         return "; ".join(
             f"{join_path(f.path)} {f.problem}; {f.remedy}".strip()
             for f in self.findings[:MAX_PROBLEMS]
@@ -98,7 +98,7 @@
 
 
 def check_error(problem: str, remedy: str) -> CheckError:
-    """Returns the error of a check that a whole value broke."""
+    """Returns the error of a check that a value fails as a whole."""
     return CheckError([Finding((), problem, remedy)])
 
 
@@ -111,7 +111,7 @@
 
     @property
     def result(self) -> Problems | None:
-        """The problems so far; none if nothing is wrong."""
+        """The problems so far; None if there are none."""
         if not self._problems:
             return None
         return Problems(tuple(self._problems), self._more)
@@ -130,9 +130,10 @@
         """Adds a problem.
 
         Args:
-            path: The whole way from the document to the mistake.
+            path: Path from the document to the mistake.
             problem: What is wrong.
-            remedy: What to do; a function where finding it out is costly.
+            remedy: What to do about it, or a function that returns it where it
+                is expensive to compute.
         """
         if self.is_full:
             self._more += 1
@@ -155,7 +156,7 @@
 
 
 def format_value(value: object) -> str:
-    """Quotes a value for a message: one line, bounded, always encodable."""
+    """Formats a value for a message as one short line that can be encoded."""
     if isinstance(value, str):
         return _quote(value)
     if value is None:
@@ -170,7 +171,7 @@
 
 
 def suggest_name(name: str, known: Iterable[str]) -> str:
-    """Suggests a known name, or lists some of the known ones."""
+    """Returns the most similar known name, or some of the known names."""
     names = sorted(known)
     close = difflib.get_close_matches(name[:_MAX_SHOWN_CHARACTERS], names, n=1)
     if close:
@@ -195,8 +196,8 @@
 
 
 def _format_integer(value: int) -> str:
-    # Python refuses to write integers of thousands of digits as decimals with
-    # a ValueError, which would turn a report of a mistake into a crash.
+    # For integers of thousands of digits, `str` raises a ValueError; the report
+    # of a mistake would then fail itself.
     if value.bit_length() > _MAX_SHOWN_BITS:
         return f"an integer of {value.bit_length()} bits"
     return str(value)
--- a/packages/state/src/hollyknot_state/_references.py
+++ b/packages/state/src/hollyknot_state/_references.py
@@ -1,7 +1,7 @@
-"""Checks that the parts of declarations name each other rightly.
+"""Checks the references between the parts of declarations.
 
-They look at a customer's names even where another of its fields is broken, so
-that one pass tells all mistakes.
+A customer's references are checked even if another of its fields is invalid, so
+that one pass finds all mistakes.
 """
 
 import functools
@@ -20,7 +20,7 @@
 
 
 class _CustomerReferences(Protocol):
-    """What a customer refers to."""
+    """The fields of a customer that refer to other parts or must be unique."""
 
     @property
     def key_sha256(self) -> str: ...
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class _PartialCustomer:
-    """The well-typed parts of a customer; an empty part isn't looked at."""
+    """The well-typed references of a customer; empty ones are not checked."""
 
     key_sha256: str
     classes: tuple[str, ...]
@@ -40,10 +40,10 @@
 
 
 def check_references(declarations: Declarations) -> Problems | None:
-    """Returns what the parts of declarations name wrongly, if anything.
+    """Returns the problems of references between the parts, if there are any.
 
-    `Declarations` doesn't hold these checks when it is built, since they cost
-    the size of the whole and a change touches little of it.
+    They are not checked whenever a `Declarations` is built, since the cost
+    grows with all declarations while a change touches few of them.
     """
     collector = ProblemCollector()
     _check_customers(
@@ -54,7 +54,7 @@
 
 
 def check_raw_references(document: Any, collector: ProblemCollector) -> None:
-    """Does the same for a document whose types may be wrong."""
+    """Checks the references in a document whose types may be wrong."""
     if not isinstance(document, dict):
         return
     classes, customers, models, services = (
@@ -131,8 +131,8 @@
     services: Iterable[str],
     collector: ProblemCollector,
 ) -> None:
-    # Both are pools of upstreams: under one name a model's engines would be
-    # sent a service's calls.
+    # Models and services both name pools of upstreams: with the same name, a
+    # service's calls would be sent to a model's engines.
     for name in services:
         if name in models:
             collector.add(
--- a/packages/state/src/hollyknot_state/_request.py
+++ b/packages/state/src/hollyknot_state/_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, as the decisions see it."""
+"""What admission and routing know about a caller's request."""
 
 import enum
 
@@ -22,24 +22,24 @@
 
 @attrs.frozen
 class RequestInfo:
-    """What admission and routing need to know of a request.
+    """A request, as far as admission and routing need to know it.
 
     Attributes:
-        request_id: Unique, and given back to the caller.
-        customer: The customer's name.
-        request_class: The name of the class of work.
-        tier: 1 is the highest.
-        nature: Whether it may run twice.
-        pool: The model's or service's name; its upstreams serve this pool.
-        arrived_s: When it arrived, in seconds on the host's monotonic clock.
-        budget_s: Seconds from arrival in which an answer is of use: the first
-            token for a class with a first-token target, else the whole.
-        fingerprint: A hash of customer-independent content (path and body),
-            by which a request that crashes upstreams is recognised.
-        prefix: A hash of the prompt's head, for prefix locality; 0 if none.
-        input_size: Bytes of the request's body.
-        target_kind: What the budget is spent on: for a whole answer the time
-            that the answer takes counts too.
+        request_id: Unique name of the request, which the caller receives too.
+        customer: Name of the customer.
+        request_class: Name of the class of work.
+        tier: Service tier from 1, the highest, to 3.
+        nature: Whether the request may run twice.
+        pool: Name of the model or service, whose upstreams form the pool.
+        arrived_s: Time of arrival, in seconds on the host's monotonic clock.
+        budget_s: Seconds from arrival within which the answer is of use: its
+            first token for a class with a first-token target, else its end.
+        fingerprint: Hash of the path and the body, which do not depend on the
+            customer, to recognise a request that crashes upstreams.
+        prefix: Hash of the start of the prompt, for prefix locality; 0 if none.
+        input_size: Size of the request's body in bytes.
+        target_kind: What the budget covers; for a whole answer it includes the
+            time that the answer takes.
     """
 
     request_id: str
--- a/packages/state/src/hollyknot_state/_settings.py
+++ b/packages/state/src/hollyknot_state/_settings.py
@@ -1,4 +1,7 @@
-"""Settings of one host's process, read from a JSON file at its start."""
+"""Settings of a host, read from a JSON file at its start.
+
+The reference pages are generated from the docstrings of these classes.
+"""
 
 import attrs
 
--- a/packages/state/src/hollyknot_state/_structure.py
+++ b/packages/state/src/hollyknot_state/_structure.py
@@ -1,9 +1,9 @@
 """Builds typed values from JSON values, without coercion.
 
-cattrs walks the types and goes on after a mistake; this module adds what it
-leaves out: a JSON type has to be the declared one ("1" and true are not 1),
-each attribute's validators run beside the others', and errors become problems
-with a path and a remedy.
+cattrs walks the types and continues after a mistake. This module adds that a
+JSON value must have the declared type ("1" and true are not 1), that the
+validators of all attributes run even if one fails, and that errors become
+problems with a path and a remedy.
 """
 
 import enum
@@ -52,16 +52,16 @@
     *,
     strict: bool = True,
 ) -> T | None:
-    """Builds a typed value and collects what is wrong with it.
+    """Builds a typed value and collects its problems.
 
     Args:
         value: A JSON value.
-        cls: An attrs class of this package.
-        collector: Takes each mistake.
-        strict: Whether an unknown field is a mistake.
+        cls: An attrs class.
+        collector: Collector to which the problems are added.
+        strict: Whether an unknown field is a problem.
 
     Returns:
-        The value, or None if the collector took a problem.
+        The value, or None if a problem was found.
     """
     converter = _STRICT if strict else _LENIENT
     try:
@@ -72,10 +72,10 @@
 
 
 def structure_or_problems(value: Any, cls: type[T]) -> T | Problems:
-    """Builds a typed value, or tells all mistakes in it.
+    """Builds a typed value, or returns all of its problems.
 
-    For documents that somebody corrects by the answer; unknown fields are
-    passed over.
+    It suits documents that a person corrects by the reported problems. Unknown
+    fields are ignored.
     """
     collector = ProblemCollector()
     built = structure(value, cls, collector, strict=False)
@@ -86,14 +86,14 @@
 
 
 def structure_or_first_problem(value: Any, cls: type[T]) -> T | Problem:
-    """Builds a typed value, or tells the first mistake in it.
+    """Builds a typed value, or returns its first problem.
 
-    For documents that arrive all the time and that nobody corrects by the
-    answer: it stops at the first mistake, and a good value costs a third of
-    what `structure` takes, which collects all of them.
+    It suits documents that arrive frequently and that nobody corrects by the
+    reported problems. It stops at the first problem, and a valid value costs a
+    third of what `structure` needs, which collects all problems.
 
     Args:
-        value: Any value, such as JSON holds; unknown fields are passed over.
+        value: A JSON value; unknown fields are ignored.
         cls: An attrs class.
     """
     try:
@@ -105,7 +105,7 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Turns a value of this package into JSON values."""
+    """Converts a value of an attrs class into JSON values."""
     return _STRICT.unstructure(value)
 
 
@@ -174,7 +174,7 @@
 
 
 def _container_hook(cls: Any, converter: cattrs.Converter) -> Any:
-    """Returns a hook of a tuple or a dict that first checks the JSON type."""
+    """Returns a hook for a tuple or dict that first checks the JSON type."""
     is_dict = get_origin(cls) is dict
     item_type = get_args(cls)[1] if is_dict else get_args(cls)[0]
     kind = dict if is_dict else list
@@ -228,10 +228,10 @@
 def _attribute_hook(
     attribute: "attrs.Attribute[Any]", converter: cattrs.Converter
 ) -> Any:
-    """Returns a hook that checks an attribute by itself.
+    """Returns a hook that builds and validates one attribute.
 
-    Left to the class, the first attribute that is refused would hide the
-    mistakes in the others.
+    If the class ran the validators, the first attribute that fails would hide
+    the mistakes in the others.
     """
     build = _value_hook(attribute.type, converter)
     check = attribute.validator
@@ -253,10 +253,10 @@
 def _check_mapping(
     error: BaseValidationError, check: Any, attribute: Any, value: Any
 ) -> None:
-    """Runs a mapping's validator, which looks at its keys, beside an error.
+    """Runs a mapping's validator, which checks its keys, after a bad value.
 
     Raises:
-        ClassValidationError: Both errors, if the validator finds one too.
+        ClassValidationError: The validator fails too; holds both errors.
     """
     if get_origin(attribute.type) is not dict:
         return
@@ -329,7 +329,7 @@
 
 
 def _make_fail_fast_converter() -> cattrs.Converter:
-    """Returns a converter that stops at the first mistake."""
+    """Returns a converter that stops at the first problem."""
     converter = cattrs.Converter(detailed_validation=False)
     for kind in (str, int, bool):
         converter.register_structure_hook(kind, _exact_type_hook(kind))
@@ -395,9 +395,10 @@
 
 
 def _check_each(cls: Any, built: dict[str, Any]) -> None:
-    """Raises the error of the first attribute that its validator refuses.
+    """Raises the error of the first attribute whose validator fails.
 
-    A class runs the validators too, but does not say which attribute failed.
+    The class runs the validators too, but its error does not name the
+    attribute.
     """
     for attribute in attrs.fields(cls):
         if attribute.validator is None or attribute.name not in built:
@@ -409,7 +410,7 @@
 
 
 def _prefix_paths(place: PathPart, error: CheckError) -> CheckError:
-    """Returns an error whose paths begin at the value around its own."""
+    """Returns an error whose paths begin at the enclosing value."""
     return CheckError(
         attrs.evolve(f, path=(place, *f.path)) for f in error.findings
     )
--- a/packages/state/src/hollyknot_state/_update.py
+++ b/packages/state/src/hollyknot_state/_update.py
@@ -1,7 +1,7 @@
-"""Checks a change of declarations at the cost of the change, not of the whole.
+"""Applies a change to declarations at a cost that grows with the change only.
 
-Reading 18,000 customers takes some tenths of a second; done on every host for
-each of the changes of a day it would exceed what a host may spend on control.
+Parsing 18,000 customers takes some tenths of a second. If every host did so for
+each change of a day, it would spend more on control than it may.
 """
 
 from collections.abc import Iterable
@@ -26,16 +26,16 @@
     changed: Iterable[DocumentRecord],
     removed: Iterable[str],
 ) -> Declarations | Problems:
-    """Returns the declarations that a change leads to.
+    """Returns the declarations after a change, or the problems of the change.
 
-    It gives what `parse_declarations` gives for the whole document.
+    The result equals that of `parse_declarations` for the whole document.
 
     Args:
-        previous: Checked declarations.
-        version: Of the result.
-        changed: New and differing parts: `section/name`, or `section` for one
-            that is no object, each with its JSON.
-        removed: Paths of the parts that are gone.
+        previous: Validated declarations.
+        version: Version of the result.
+        changed: New and changed parts with their JSON, under `section/name`, or
+            under `section` for a section that is not an object.
+        removed: Paths of the removed parts.
     """
     collector = ProblemCollector()
     part = _build_partial_document(changed, version, collector)
@@ -52,13 +52,15 @@
     version: int,
     collector: ProblemCollector,
 ) -> dict[str, Any]:
-    """Returns a document that holds the changed parts alone."""
+    """Returns a document of the changed parts only."""
     part: dict[str, Any] = {_VERSION: version}
     for record in changed:
         section, slash, name = record.path.partition("/")
         value = read_json(record.body, MAX_RECORD_BYTES)
         if section == _VERSION:
-            collector.add((_VERSION,), "is not a part", "leave it out")
+            collector.add(
+                (_VERSION,), "is not a part of a change", "leave it out"
+            )
         elif isinstance(value, Problems):
             path = (section, name) if slash else (section,)
             for problem in value.problems:
@@ -85,7 +87,8 @@
     defaults = Declarations(version=0)
     for path in removed:
         section, slash, name = path.partition("/")
-        # A part that had no entries goes as a whole when its first entry comes.
+        # An empty section is a record of its own, which is removed when the
+        # section gets its first entry.
         has_changes = section in sections
         if not slash and hasattr(defaults, section) and not has_changes:
             values[section] = getattr(defaults, section)
--- a/packages/state/src/hollyknot_state/_validators.py
+++ b/packages/state/src/hollyknot_state/_validators.py
@@ -1,7 +1,8 @@
-"""Validators of single attributes, run wherever a value is built.
+"""Validators of single attributes, which run whenever a value is built.
 
-Each is an attrs validator that looks at the value alone, so that the reader
-of documents can run it for one attribute and go on to the next.
+Each is an attrs validator that depends on the attribute's value only, so that
+the reader of documents can run it for one attribute and continue with the next.
+The reference pages show the docstrings of validators, without "Holds that".
 """
 
 import ipaddress
@@ -26,8 +27,8 @@
 MIN_LINK_KEY_LENGTH = 32
 MAX_LINK_KEYS = 2
 
-# Names go into HTTP headers, metric labels, log lines and paths. A space, a
-# quote or a line break in one would split a log line or a header in two.
+# Names are written into HTTP headers, metric labels, log lines and paths. A
+# space, a quote or a line break would split a log line or a header.
 _NAME = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._-]{{0,{MAX_NAME_LENGTH - 1}}}")
 _MODEL_NAME = re.compile(
     rf"[A-Za-z0-9][A-Za-z0-9._:/-]{{0,{MAX_MODEL_NAME_LENGTH - 1}}}"
@@ -66,7 +67,8 @@
     """Holds that it is a SHA-256 in lower-case hexadecimal."""
     del attribute
     if not _SHA256.fullmatch(value):
-        # The value isn't shown: a key pasted here by mistake would be logged.
+        # The value is not shown, since it may be a key pasted by mistake, which
+        # must not be logged.
         raise check_error(
             "not 64 lower-case hexadecimal digits",
             "write what 'hollyknotctl hash-key' prints for the key",
@@ -84,9 +86,10 @@
 
 
 def _is_ipv4(value: str) -> bool:
-    """Tells what `ipaddress` tells, in a twentieth of its time.
+    """Returns whether it is an IPv4 address, 20 times as fast as `ipaddress`.
 
-    Reading a list of 10,000 upstreams spent a fifth of its time there.
+    With `ipaddress` alone, a fifth of the time to parse a list of 10,000
+    upstreams is spent on checking addresses.
     """
     try:
         socket.inet_pton(socket.AF_INET, value)
@@ -119,7 +122,7 @@
         raise check_error(
             f"{len(value)} keys", f"give 1, or {MAX_LINK_KEYS} during a change"
         )
-    # A key is never shown, not even a wrong one.
+    # A key is never shown, not even an invalid one.
     findings = [
         Finding(
             (index,),
@@ -139,8 +142,8 @@
     """Holds that it has `first_token_ms`, `whole_answer_ms` or both."""
     del attribute
     first, whole = value.first_token_ms, value.whole_answer_ms
-    # A mean between tokens alone gives no time by which to begin: every
-    # request of the class would look too late on arrival and be refused.
+    # A target between tokens alone gives no time by which to begin: every
+    # request of the class would seem late on arrival and be refused.
     if not first and not whole:
         raise check_error(
             "says nothing of when the answer has to begin or end",
@@ -178,7 +181,8 @@
             "begin with '/', put '*' at the end only, keep to"
             f" {MAX_CALL_PATH_LENGTH} characters",
         )
-    # Calls are matched in their one spelling: another would match nothing.
+    # Calls are normalised before matching, so that a pattern in any other
+    # spelling would match none.
     if isinstance(normal, PathFault):
         raise check_error(
             f"{format_value(value)} has {normal.value}", "leave it out"
@@ -190,7 +194,7 @@
 
 
 def is_between(low: float, high: float, unit: str = "") -> Validator:
-    """Returns a validator that holds a number within limits, both included."""
+    """Returns a validator that a number is in a range, both ends included."""
     suffix = f" {unit}" if unit else ""
 
     def check(_: Any, attribute: Any, value: float) -> None:
@@ -206,7 +210,7 @@
 
 
 def is_short(limit: int) -> Validator:
-    """Returns a validator that bounds a string's or sequence's length."""
+    """Returns a validator of the greatest length of a string or sequence."""
 
     def check(_: Any, attribute: Any, value: Any) -> None:
         del attribute
@@ -240,10 +244,11 @@
 
 
 def has_distinct_names(_: Any, attribute: Any, value: Iterable[Any]) -> None:
-    """Holds that no two items have one name."""
+    """Holds that no two items have the same name."""
     del attribute
-    # What is counted for an upstream is kept by its name: two of one name
-    # would share their counts, and the sign of one's end would hide the other.
+    # Counts and health signs of upstreams are kept by name: two upstreams with
+    # the same name would share their counts, and a sign that one of them ended
+    # would hide the other.
     seen: set[str] = set()
     findings = []
     for index, item in enumerate(value):
@@ -262,7 +267,7 @@
 
 
 def each(check: Validator) -> Validator:
-    """Returns a validator that holds a check for each item of a sequence."""
+    """Returns a validator that runs a check on each item of a sequence."""
 
     def check_items(instance: Any, attribute: Any, value: Any) -> None:
         _check_items(check, instance, attribute, enumerate(value))
@@ -272,7 +277,7 @@
 
 
 def each_key(check: Validator) -> Validator:
-    """Returns a validator that holds a check for each key of a mapping."""
+    """Returns a validator that runs a check on each key of a mapping."""
 
     def check_keys(instance: Any, attribute: Any, value: Any) -> None:
         _check_items(check, instance, attribute, ((k, k) for k in value))
@@ -282,7 +287,7 @@
 
 
 def all_of(*checks: Validator) -> Validator:
-    """Returns a validator that holds all checks and tells all they find."""
+    """Returns a validator that runs all checks and reports all findings."""
 
     def check_all(instance: Any, attribute: Any, value: Any) -> None:
         findings: list[Finding] = []
--- a/packages/state/src/hollyknot_state/_verdict.py
+++ b/packages/state/src/hollyknot_state/_verdict.py
@@ -1,8 +1,8 @@
-"""What became of a request, and whether an upstream may have run it.
+"""How a request ended, and whether an upstream may have run it.
 
-Every end of a request is a `Verdict`. Retrying, the caller's status code and
-what a holder of a claim records follow from the verdict and the request's
-nature alone, so no other module may guess whether a request ran.
+Every request ends with a `Verdict`. Retries, the caller's status code and what
+holders of a claim record follow only from the verdict and from whether the
+request is idempotent, so no other module may guess whether a request ran.
 """
 
 import enum
@@ -11,25 +11,25 @@
 
 
 class Outcome(enum.Enum):
-    """The four ends of a request."""
+    """The four ways in which a request ends."""
 
     COMPLETE = "complete"
-    """The upstream ran it and the whole answer was read."""
+    """The upstream ran the request and the whole answer was read."""
 
     NOT_RUN = "not-run"
-    """Proved: no byte could have reached an upstream, or it refused."""
+    """Provably not run: no byte can have reached an upstream, or it refused."""
 
     MAY_HAVE_RUN = "may-have-run"
-    """A byte was handed to the kernel and nothing since proves the end."""
+    """A byte was handed to the kernel, and no proof of the end followed."""
 
     FAILED = "failed"
-    """The upstream ran it and answered with an error of its own."""
+    """The upstream ran the request and answered with an error."""
 
 
 class Reason(enum.Enum):
-    """Why a request ended as it did: a sentinel with its slug.
+    """Why a request ended as it did.
 
-    The slug is what callers and logs see, and is stable between releases.
+    Callers and logs see the values, which are stable between releases.
     """
 
     NONE = "none"
@@ -62,15 +62,15 @@
 
 @attrs.frozen
 class Verdict:
-    """One end of one request, or of one try of it at an upstream.
+    """The end of a request, or of one try of it at an upstream.
 
     Attributes:
-        outcome: Whether it ran.
-        reason: Why it ended so.
-        detail: A sentence for a person; names no upstream address.
-        retry_after_s: Seconds after which to come back; 0 where coming back
-            makes no sense.
-        upstream_status: The upstream's HTTP status, 0 if none was read.
+        outcome: Whether the request ran.
+        reason: Why it ended like that.
+        detail: Sentence for a person, which names no address of an upstream.
+        retry_after_s: Seconds after which the caller may retry; 0 if a retry is
+            of no use.
+        upstream_status: HTTP status of the upstream; 0 if none was read.
     """
 
     outcome: Outcome
@@ -81,10 +81,10 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the caller has, or can be given, the whole answer."""
+        """Whether the whole answer was read."""
         return self.outcome is Outcome.COMPLETE
 
     @property
     def is_proved_not_run(self) -> bool:
-        """Whether running it now cannot make it run twice."""
+        """Whether the request provably has not run, so that it may run now."""
         return self.outcome is Outcome.NOT_RUN
--- a/packages/state/src/hollyknot_state/routes/__init__.py
+++ b/packages/state/src/hollyknot_state/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Typed data of a host that forwards HTTP calls by routes."""
+"""Typed data of a gateway host, which forwards HTTP calls by routes."""
 
 from hollyknot_state.routes._calls import (
     AnswerTraits,
@@ -27,7 +27,7 @@
 from hollyknot_state.routes._upstreams import UpstreamEntry
 
 Published = RouteTable | Evacuation
-"""What operators publish, each under a name of its own."""
+"""Documents that operators publish, each under its own name."""
 
 __all__ = [
     "AnswerTraits",
--- a/packages/state/src/hollyknot_state/routes/_calls.py
+++ b/packages/state/src/hollyknot_state/routes/_calls.py
@@ -1,4 +1,4 @@
-"""What a request and an answer say of themselves, beside their bytes."""
+"""Metadata of requests and answers, read from or written to their headers."""
 
 import enum
 
@@ -12,8 +12,8 @@
     """A part of a prompt that other requests may share.
 
     Attributes:
-        name: Equal names mean equal tokens.
-        tokens: Its length.
+        name: Name of the part; equal names mean equal tokens.
+        tokens: Length of the part in tokens.
     """
 
     name: str
@@ -22,19 +22,19 @@
 
 @attrs.frozen
 class CallTraits:
-    """What the headers of a request tell a host.
+    """What the headers of a caller's request say.
 
     Attributes:
-        attempt_id: The caller's name of this sending of the request.
-        budget_s: How long the caller waits; 0 if it does not say.
-        key: Of a customer; empty if there is none.
-        prompt: The prompt's parts in order; the last belongs to this request
-            or its session alone.
-        prompt_tokens: In all; 0 if the request has no prompt.
-        answer_tokens: How long the caller expects the answer to be; 0 if it
+        attempt_id: The caller's name for this sending of the request.
+        budget_s: Seconds that the caller waits; 0 if it does not say.
+        key: Key of a customer; empty if there is none.
+        prompt: Parts of the prompt in order; only this request or its session
+            has the last one.
+        prompt_tokens: Tokens of the whole prompt; 0 if there is no prompt.
+        answer_tokens: Tokens of the answer that the caller expects; 0 if it
             does not say.
-        last_event_id: From where the caller resumes a stream; empty if it
-            does not.
+        last_event_id: Last event that the caller has, to resume a stream; empty
+            if it does not resume.
     """
 
     attempt_id: str = ""
@@ -48,17 +48,17 @@
 
 @attrs.frozen
 class Dispatch:
-    """What a host tells an upstream beside the caller's own request.
+    """What a host adds to a caller's request for the upstream.
 
     Attributes:
-        upstream: The name of the one that is meant; another one must refuse.
-        left_s: How long the answer is still of use.
-        customer: Whose request it is; empty if nobody's.
-        urgency: 0 is the most urgent.
-        last_event_id: From where to resume a stream; empty for its start.
+        upstream: Name of the intended upstream; any other one must refuse.
+        left_s: Seconds for which the answer is still of use.
+        customer: Customer whose request it is; empty if there is none.
+        urgency: Urgency of the request; 0 is the most urgent.
+        last_event_id: Event after which a stream resumes; empty for its start.
         is_engine: Whether the upstream is a model engine.
-        source: Another engine, which has parts of the prompt cached that the
-            upstream may fetch from there; None for none.
+        source: Another engine that has parts of the prompt cached, which the
+            upstream may fetch from there; None if there is none.
     """
 
     upstream: str
@@ -71,29 +71,30 @@
 
 
 class NoLimit(enum.Enum):
-    """Why an answer tells no rate limit."""
+    """Why an answer has no rate limit."""
 
     NOT_NAMED = "not-named"
-    """The upstream takes what it is sent."""
+    """The upstream named no limit: it accepts all requests."""
 
     UNREADABLE = "unreadable"
-    """It named something that is no rate, which tells nothing."""
+    """The value that the upstream named is not a rate and is ignored."""
 
 
 @attrs.frozen
 class AnswerTraits:
-    """What the head of an upstream's answer tells a host.
+    """What the head of an upstream's answer says.
 
     Attributes:
-        attempt_id: The request that it answers; empty if it does not say.
-        is_refusal: Whether it proves that the request did not run.
-        is_other_upstream: Whether it refuses since it is not the one meant.
-        is_sealed: Whether it carries the upstream's proof of origin.
-        is_event_stream: Whether the body is server-sent events.
-        keeps_s: How long the upstream keeps an idle connection; 0 if it does
-            not say.
-        rate_limit: Requests a second that the upstream takes from all hosts
-            together.
+        attempt_id: Request that is answered; empty if the answer does not say.
+        is_refusal: Whether the answer proves that the request did not run.
+        is_other_upstream: Whether the upstream refused because it is not the
+            intended one.
+        is_sealed: Whether the answer carries the upstream's proof of origin.
+        is_event_stream: Whether the body consists of server-sent events.
+        keeps_s: Seconds for which the upstream keeps an idle connection; 0 if
+            it does not say.
+        rate_limit: Requests per second that the upstream accepts from all hosts
+            together, or why the answer has no limit.
     """
 
     attempt_id: str
--- a/packages/state/src/hollyknot_state/routes/_evacuation.py
+++ b/packages/state/src/hollyknot_state/routes/_evacuation.py
@@ -1,16 +1,16 @@
-"""What operators publish beside routes: data centres that get nothing."""
+"""Orders of operators to send no new requests to a data centre."""
 
 import attrs
 
 
 @attrs.frozen
 class Evacuation:
-    """Nothing new is to be sent to a data centre until this is withdrawn.
+    """An order to send no new requests to a data centre until it is withdrawn.
 
-    What runs there goes on to its end.
+    Requests that already run there are completed.
 
     Attributes:
-        data_centre: Which.
+        data_centre: The data centre to evacuate.
     """
 
     data_centre: str
--- a/packages/state/src/hollyknot_state/routes/_gateway_settings.py
+++ b/packages/state/src/hollyknot_state/routes/_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host that forwards calls by routes, read from JSON."""
+"""Settings of a gateway host, read from JSON."""
 
 import attrs
 from attrs import validators
@@ -16,17 +16,19 @@
 
 @attrs.frozen
 class Bounds:
-    """Times and shares that the operators promise for the deployment.
+    """Times and limits that the operators guarantee for the deployment.
 
     Attributes:
-        drain_s: A leaving upstream gets no new work after this.
-        apply_s: A new version is in force after this.
-        grace_s: A host that is asked to stop is killed after this.
-        contact_s: A cut or an outage counts as over after this.
-        heartbeat_s: How often an upstream renews its entry.
-        retry_share: Retries of a service, as a share of its requests.
-        retry_window_s: The span over which that share is taken.
-        retry_slack: Retries in a span that all hosts may add to the share.
+        drain_s: Seconds after which a leaving upstream gets no new work.
+        apply_s: Seconds after which a new version is in force.
+        grace_s: Seconds after which a host that is asked to stop is killed.
+        contact_s: Seconds after which a network partition or an outage counts
+            as over.
+        heartbeat_s: Seconds between two renewals of an upstream's entry.
+        retry_share: Retries of a service, as a fraction of its requests.
+        retry_window_s: Seconds over which that fraction is computed.
+        retry_slack: Retries per window that all hosts together may add to that
+            fraction.
     """
 
     drain_s: float = attrs.field(default=2.0, validator=is_between(0, _DAY_S))
@@ -47,19 +49,20 @@
 
 @attrs.frozen
 class GatewaySettings:
-    """All that a host which forwards by routes has to be told.
+    """All settings of a gateway host.
 
     Attributes:
         host: This host's name.
         data_centre: This host's data centre.
-        callers: Where callers connect.
-        readiness: Where the balancer asks whether to send callers here.
-        peers: Where other hosts send datagrams.
-        seeds: Hosts to make contact with first; some may be gone.
-        directory: Where routes and upstreams are read.
-        bounds: What the deployment promises.
-        metrics: Where metrics are served; absent for nowhere.
-        data_centres: How many data centres have hosts.
+        callers: Address at which callers connect.
+        readiness: Address of the readiness probe, with which the load balancer
+            decides whether to send callers to this host.
+        peers: Address at which other hosts send datagrams.
+        seeds: Addresses of hosts to contact first; some may no longer exist.
+        directory: Address from which routes and upstreams are read.
+        bounds: Times and limits that the deployment guarantees.
+        metrics: Address at which metrics are served; None for no metrics.
+        data_centres: Number of data centres that have hosts.
     """
 
     host: str = attrs.field(validator=is_long_name)
@@ -78,7 +81,7 @@
     """Reads a host's settings.
 
     Returns:
-        The settings, or all that is wrong with them, by place and remedy.
+        The settings, or all of their problems.
     """
     document = read_json(data, MAX_SETTINGS_BYTES)
     if isinstance(document, Problems):
--- a/packages/state/src/hollyknot_state/routes/_table.py
+++ b/packages/state/src/hollyknot_state/routes/_table.py
@@ -1,8 +1,8 @@
-"""Routes by host and path, their services and customers: one version of them.
+"""Route tables: routes by host and path, with their services and customers.
 
-This is what operators publish for a host that forwards any HTTP call, beside
-the declarations of model classes. A table is immutable and swapped as a whole,
-so that one request sees one version from its start to its end.
+Operators publish route tables for gateway hosts, apart from the declarations of
+model classes. A table is immutable and replaced as a whole, so that a request
+sees the same version from its start to its end.
 """
 
 import enum
@@ -11,21 +11,21 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
     STREAM = "stream"
-    """Answered by server-sent events."""
+    """Requests are answered by server-sent events."""
 
 
 @attrs.frozen
 class Share:
-    """A part of a route's traffic.
+    """A share of a route's traffic.
 
     Attributes:
-        service: Where it goes.
-        weight: Relative to the weights of the route's other shares.
+        service: Name of the service that gets the share.
+        weight: Weight, relative to those of the route's other shares.
     """
 
     service: str
@@ -37,20 +37,22 @@
     """Where requests of one host and path prefix go, and what they expect.
 
     Attributes:
-        name: Unique in a table.
-        host: Compared with the `Host` header, without its port.
-        prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        shares: The services that share the traffic; never empty.
-        timeout_s: The longest that a caller is kept waiting.
-        target_s: Until the whole answer, of a stream until its first event.
-        gap_target_s: The longest pause between two events; 0 for none.
-        priority: 0 is the most urgent.
-        max_attempts: Upstreams that one request may be sent to.
-        needs_key: Whether a caller has to show a customer's key.
+        name: Name of the route, unique in a table.
+        host: Host that is compared with the `Host` header without its port.
+        prefix: Path prefix, which begins and ends with a slash.
+        kind: Which requests may be sent again.
+        shares: Services that share the traffic; never empty.
+        timeout_s: Seconds that a caller waits at most.
+        target_s: Target in seconds for the end of the answer, or for the first
+            event of a stream.
+        gap_target_s: Target in seconds for the longest gap between two events;
+            0 for none.
+        priority: Priority of the requests; 0 is the most urgent.
+        max_attempts: Number of upstreams to which one request may be sent.
+        needs_key: Whether a caller must present a customer's key.
         has_prompts: Whether requests name the parts of a prompt, so that an
             upstream that has them cached answers sooner.
-        may_resume: Whether a broken stream may go on at another upstream.
+        may_resume: Whether a broken stream may resume at another upstream.
     """
 
     name: str
@@ -77,10 +79,10 @@
 
 @attrs.frozen
 class Engine:
-    """What a service of model engines says of each of its upstreams.
+    """What a service of model engines declares for each of its upstreams.
 
     Attributes:
-        slots: Requests in one batch.
+        slots: Number of requests in one batch.
     """
 
     slots: int
@@ -88,11 +90,12 @@
 
 @attrs.frozen
 class ColdStart:
-    """What an upstream bears just after its start.
+    """The load that an upstream sustains just after its start.
 
     Attributes:
-        rate: Requests a second, of all hosts together; far beyond it crashes.
-        lasts_s: How long it is cold after a start.
+        rate: Requests per second that a cold upstream sustains from all hosts
+            together; it crashes at a far higher rate.
+        lasts_s: Seconds for which an upstream is cold after its start.
     """
 
     rate: float = attrs.field(validator=attrs.validators.gt(0))
@@ -104,9 +107,10 @@
     """A group of upstreams that serve the same calls.
 
     Attributes:
-        name: Unique in a table.
-        engine: Set if the upstreams are model engines.
-        cold_start: Set if its upstreams are cold just after their start.
+        name: Name of the service, unique in a table.
+        engine: Traits of the upstreams if they are model engines, else None.
+        cold_start: Limits of the upstreams just after their start; None if they
+            need none.
     """
 
     name: str
@@ -116,13 +120,14 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """How much a caller may send, and how long it may take.
 
     Attributes:
-        max_head_bytes: Of a request's line and headers.
-        max_body_bytes: Of a request's body.
-        head_timeout_s: From the first byte of a head to its last.
-        idle_timeout_s: A kept connection without a request is closed then.
+        max_head_bytes: Largest request line with headers, in bytes.
+        max_body_bytes: Largest request body, in bytes.
+        head_timeout_s: Longest time from the first byte of a request's head to
+            its last, in seconds.
+        idle_timeout_s: Seconds after which an idle connection is closed.
     """
 
     max_head_bytes: int = 16_384
@@ -133,11 +138,11 @@
 
 @attrs.frozen
 class KeyOwner:
-    """The customer who holds a key.
+    """The customer to whom a key belongs.
 
     Attributes:
-        name: Told to upstreams.
-        priority: Goes before the route's; None leaves the route's.
+        name: Name of the customer, which is sent to upstreams.
+        priority: Priority that overrides the route's; None keeps the route's.
     """
 
     name: str
@@ -149,11 +154,11 @@
     """All routes, services and customers of one version.
 
     Attributes:
-        version: Only rises.
-        routes: In any order.
-        services: By name.
-        limits: Of callers.
-        owners_by_key: Customers by key; empty if no key is asked for.
+        version: Version of the table, which only rises.
+        routes: Routes in any order.
+        services: Services by name.
+        limits: Limits for callers.
+        owners_by_key: Customers by key; empty if no key is required.
     """
 
     version: int
--- a/packages/state/src/hollyknot_state/routes/_upstreams.py
+++ b/packages/state/src/hollyknot_state/routes/_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams as their list names them: one entry for each incarnation."""
+"""Entries of the directory for upstreams, one for each incarnation."""
 
 import attrs
 
@@ -7,23 +7,24 @@
 
 @attrs.frozen
 class UpstreamEntry:
-    """One run of one upstream.
+    """One incarnation of an upstream.
 
     A restart is a new incarnation, under the same name or another one, and so
-    is another service that is given the address of one that ended: what is
-    believed of an incarnation must never be carried over to the next one.
+    is another service that gets the address of an ended one. What a host knows
+    about an incarnation must never be carried over to the next one.
 
     Attributes:
-        name: What the upstream calls itself; a restart may keep it.
-        service: The service that it belongs to.
-        address: Where it answers.
-        data_centre: Where it runs.
-        slots: Requests that it works on at once.
-        is_draining: Whether it has asked for no more work.
-        born_ms: When this run began, in Unix milliseconds; 0 if unknown. Of
-            two runs with one name the later one is the one that lives.
-        cold_s: How much longer it bore few requests when the entry was written.
-        incarnation: Name and start: unique for ever.
+        name: Name that the upstream gives itself; a restart may keep it.
+        service: Service to which the upstream belongs.
+        address: Address at which the upstream answers.
+        data_centre: Data centre in which the upstream runs.
+        slots: Requests that the upstream processes at the same time.
+        is_draining: Whether the upstream has asked for no more work.
+        born_ms: Start of the incarnation in Unix milliseconds; 0 if unknown. Of
+            two incarnations with one name, the later one is running.
+        cold_s: Seconds for which the upstream stayed cold when the entry was
+            written.
+        incarnation: Name and start, which together are never reused.
     """
 
     name: str
@@ -38,5 +39,5 @@
 
     @incarnation.default
     def _incarnation(self) -> str:
-        # Made once: placement asks for it thousands of times a second.
+        # Computed once, since placement reads it thousands of times a second.
         return f"{self.name}@{self.born_ms}" if self.born_ms else self.name
