--- a/packages/state/src/hollyknot_state/tests/test_parse.py
+++ b/packages/state/src/hollyknot_state/tests/test_parse.py
@@ -217,7 +217,7 @@
     )
 
 
-class TestGoodDocuments:
+class TestValidDocuments:
     """Documents that are taken."""
 
     def test_declarations_come_back_from_their_dump(self) -> None:
@@ -227,7 +227,7 @@
         assert parse_declarations(dump_declarations(first), 7) == first
         assert check_references(first) is None
 
-    def test_settings(self) -> None:
+    def test_settings_are_read(self) -> None:
         parsed = parse_settings(json.dumps(_SETTINGS))
         assert isinstance(parsed, Settings)
         assert parsed.links == Address("::1", 7000)
@@ -236,7 +236,7 @@
         assert isinstance(again, Settings)
         assert type(again.stop_grace_s) is float
 
-    def test_a_new_field_of_the_platform_passes(self) -> None:
+    def test_unknown_field_of_the_host_list_is_ignored(self) -> None:
         """The platform adds a field; the fleet must not refuse its list.
 
         Symptom: work is sent on to upstreams that left long ago.
@@ -255,7 +255,7 @@
     @pytest.mark.parametrize(
         ("kind", "slash_path", "value", "path", "expected_text"), _MISTAKES
     )
-    def test_is_told_with_its_path(
+    def test_mistake_is_reported_with_its_path(
         self,
         kind: str,
         slash_path: str,
@@ -274,7 +274,7 @@
             for line in lines
         ), lines
 
-    def test_all_are_told_at_once(self) -> None:
+    def test_all_mistakes_are_reported_at_once(self) -> None:
         document = copy.deepcopy(_DECLARATIONS)
         document["customers"]["desk"]["classes"] = ["nigth", 7]
         document["customers"]["desk"]["key_sha256"] = "x"
@@ -291,7 +291,7 @@
             "customers.desk.default_class",
         }
 
-    def test_thousands_are_counted(self) -> None:
+    def test_mistakes_beyond_the_bound_are_counted(self) -> None:
         document = copy.deepcopy(_DECLARATIONS)
         document["customers"] = {f"c{n}": {} for n in range(5_000)}
         result = parse_declarations(json.dumps(document), 1)
@@ -300,7 +300,7 @@
         assert result.more == 3 * 5_000 - MAX_PROBLEMS
         assert str(result).endswith("and 14900 more")
 
-    def test_keys_are_not_shown(self) -> None:
+    def test_secrets_are_not_shown_in_problems(self) -> None:
         """A secret in the wrong place must not reach a log.
 
         Symptom: a bearer key or link key stands in the log of the check.
@@ -318,7 +318,7 @@
             assert secret not in str(result)
 
 
-class TestText:
+class TestInvalidText:
     """Text that is no acceptable JSON."""
 
     @pytest.mark.parametrize(
@@ -340,7 +340,9 @@
             ('{"platform": {"x": 1, "x": 2}}', "platform.x: the key stands"),
         ],
     )
-    def test_is_refused(self, text: bytes | str, expected_text: str) -> None:
+    def test_invalid_text_is_refused(
+        self, text: bytes | str, expected_text: str
+    ) -> None:
         result = parse_settings(text)
         assert isinstance(result, Problems)
         assert expected_text in str(result)
@@ -363,7 +365,7 @@
 )
 
 
-class TestAnything:
+class TestArbitraryInput:
     """Any bytes and any JSON value."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=400)
@@ -382,12 +384,12 @@
 class TestValues:
     """Values that code builds."""
 
-    def test_an_endless_version_is_told(self) -> None:
+    def test_huge_version_is_reported(self) -> None:
         result = parse_declarations("{}", 10**5_000)
         assert isinstance(result, Problems)
         assert "bits is out of range" in str(result)
 
-    def test_are_checked_where_they_are_built(self) -> None:
+    def test_values_are_checked_when_they_are_built(self) -> None:
         with pytest.raises(CheckError, match="not an IP address"):
             Address("localhost", 80)
         with pytest.raises(CheckError, match="in capitals"):
--- a/packages/state/src/hollyknot_state/tests/test_paths.py
+++ b/packages/state/src/hollyknot_state/tests/test_paths.py
@@ -37,7 +37,9 @@
             ("/a/.", PathFault.SEGMENTS),
         ],
     )
-    def test_spellings(self, path: str, normal: str | PathFault) -> None:
+    def test_path_is_normalised_or_refused(
+        self, path: str, normal: str | PathFault
+    ) -> None:
         assert normalise_path(path) == normal
 
     @settings(derandomize=True, deadline=None, database=None)
--- a/packages/state/src/hollyknot_state/tests/test_structure_or_first_problem.py
+++ b/packages/state/src/hollyknot_state/tests/test_structure_or_first_problem.py
@@ -43,7 +43,7 @@
 class TestStructureOrFirstProblem:
     """Values of a stranger, built or refused."""
 
-    def test_a_good_value_is_built(self) -> None:
+    def test_valid_value_is_built(self) -> None:
         parts = [{"weight": 2}, {"weight": 3, "other": 1}]
         found = structure_or_first_problem(
             {**_GOOD, "parts": parts, "more": {"x": 1}, "new": []}, _Value
@@ -70,7 +70,7 @@
             ({"more": {"x": 1.5}}, "more.x", "1.5 is not an integer"),
         ],
     )
-    def test_the_first_mistake_is_told_with_its_place(
+    def test_first_problem_is_returned_with_its_path(
         self, change: dict[str, Any], path: str, problem: str
     ) -> None:
         found = structure_or_first_problem({**_GOOD, **change}, _Value)
@@ -78,17 +78,17 @@
         assert (found.path, found.problem) == (path, problem)
         assert found.remedy
 
-    def test_a_missing_field_is_told(self) -> None:
+    def test_missing_field_is_reported(self) -> None:
         found = structure_or_first_problem({"name": "a", "share": 1}, _Value)
         assert isinstance(found, Problem)
         assert (found.path, found.problem) == ("kind", "is missing")
 
     @given(_JSON)
-    def test_nothing_raises(self, value: Any) -> None:
+    def test_arbitrary_json_never_raises(self, value: Any) -> None:
         assert isinstance(structure_or_first_problem(value, _Value), Problem)
 
     @given(st.sampled_from(sorted(_GOOD)), _JSON)
-    def test_one_field_of_any_value_never_raises(
+    def test_arbitrary_field_value_never_raises(
         self, name: str, value: Any
     ) -> None:
         structure_or_first_problem({**_GOOD, name: value}, _Value)
--- a/packages/state/src/hollyknot_state/tests/test_update.py
+++ b/packages/state/src/hollyknot_state/tests/test_update.py
@@ -85,13 +85,13 @@
 def _edit(
     document: dict[str, Any], section: str, name: str, value: Any
 ) -> None:
-    holder, key = document, section
+    container, key = document, section
     if name and isinstance(document.get(section), dict):
-        holder, key = document[section], name
+        container, key = document[section], name
     if value == "remove":
-        holder.pop(key, None)
+        container.pop(key, None)
     else:
-        holder[key] = value
+        container[key] = value
 
 
 class TestUpdate:
@@ -119,7 +119,7 @@
         else:
             assert updated == whole
 
-    def test_first_and_last_entry_of_a_part(self) -> None:
+    def test_first_and_last_entry_of_a_section(self) -> None:
         """A part's first entry is not lost with its being empty.
 
         Symptom: a first customer has no access on hosts that learn by changes.
@@ -151,7 +151,7 @@
         found = update_declarations(previous, 2, records, removed)
         assert isinstance(found, Declarations | Problems)
 
-    def test_a_version_is_no_part(self) -> None:
+    def test_change_cannot_set_the_version(self) -> None:
         """A record sets the version that publishing gives.
 
         Symptom: a host has a version in force that was never published.
