--- a/packages/state/src/hollyknot_state/tests/test_parse.py
+++ b/packages/state/src/hollyknot_state/tests/test_parse.py
@@ -1,4 +1,4 @@
-"""Documents: every kind of mistake, all at once, and never an exception."""
+"""Tests of document readers: all mistakes are reported, none raises."""
 
 import copy
 import json
@@ -88,7 +88,8 @@
 }
 _REMOVED = object()
 
-# Document, way to the changed value, new value, path told, part of the line.
+# Document; keys to the changed value, joined by slashes; new value; reported
+# path, None for the same keys; text in the reported problem.
 _MISTAKES = [
     ("declarations", "classes/counter/tier", "1", None, "not an integer"),
     ("declarations", "classes/counter/tier", True, None, "not an integer"),
@@ -193,7 +194,7 @@
 
 
 def _with_value(document: dict[str, Any], slash_path: str, value: Any) -> bytes:
-    """Returns the document with one value set; arrays may grow by one."""
+    """Returns a document as JSON with one value set, appended or removed."""
     changed = copy.deepcopy(document)
     *steps, last = slash_path.split("/")
     item: Any = changed
@@ -218,7 +219,7 @@
 
 
 class TestValidDocuments:
-    """Documents that are taken."""
+    """Documents without mistakes are read."""
 
     def test_declarations_come_back_from_their_dump(self) -> None:
         first = parse_declarations(json.dumps(_DECLARATIONS), 7)
@@ -237,12 +238,11 @@
         assert type(again.stop_grace_s) is float
 
     def test_unknown_field_of_the_host_list_is_ignored(self) -> None:
-        """The platform adds a field; the fleet must not refuse its list.
+        """Guards against refusing a host list to which a field was added.
 
-        Symptom: work is sent on to upstreams that left long ago.
-        Sequence: the platform's new release adds "zone" to each entry; each
-            host refuses the list and keeps the last good one for good.
-        Cause: a reader of somebody else's document that knows all its fields.
+        If a new release of the platform adds "zone" to each entry and hosts
+        refuse unknown fields, they keep an old list and go on sending work to
+        upstreams that left long ago.
         """
         parsed = parse_host_list(_with_value(_HOSTS, "entries/0/zone", 1))
         assert isinstance(parsed, HostList)
@@ -250,7 +250,7 @@
 
 
 class TestMistakes:
-    """What is told of documents that are refused."""
+    """Problems that are reported for refused documents."""
 
     @pytest.mark.parametrize(
         ("kind", "slash_path", "value", "path", "expected_text"), _MISTAKES
@@ -301,25 +301,24 @@
         assert str(result).endswith("and 14900 more")
 
     def test_secrets_are_not_shown_in_problems(self) -> None:
-        """A secret in the wrong place must not reach a log.
+        """Guards against logging a secret that was pasted into a document.
 
-        Symptom: a bearer key or link key stands in the log of the check.
-        Sequence: an operator pastes the key where its hash belongs.
-        Cause: a message that quotes the wrong value.
+        If an operator pastes a bearer key where its hash belongs, or a link key
+        that is too short, a problem that quotes the value would log the key.
         """
         secret = "s3cret-but-short"
         slash_path = "customers/desk/key_sha256"
-        expected_text = parse_declarations(
+        declarations = parse_declarations(
             _with_value(_DECLARATIONS, slash_path, secret), 1
         )
         links = parse_settings(_with_value(_SETTINGS, "link_keys/0", secret))
-        for result in (expected_text, links):
+        for result in (declarations, links):
             assert isinstance(result, Problems)
             assert secret not in str(result)
 
 
 class TestInvalidText:
-    """Text that is no acceptable JSON."""
+    """Text that is not acceptable JSON is refused."""
 
     @pytest.mark.parametrize(
         ("text", "expected_text"),
@@ -366,7 +365,7 @@
 
 
 class TestArbitraryInput:
-    """Any bytes and any JSON value."""
+    """Readers of arbitrary bytes and JSON values never raise."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=400)
     @given(data=_ANY_DOCUMENT, kind=st.sampled_from(sorted(_READERS)))
@@ -382,7 +381,7 @@
 
 
 class TestValues:
-    """Values that code builds."""
+    """Values are checked however they are built."""
 
     def test_huge_version_is_reported(self) -> None:
         result = parse_declarations("{}", 10**5_000)
--- a/packages/state/src/hollyknot_state/tests/test_paths.py
+++ b/packages/state/src/hollyknot_state/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths in one spelling."""
+"""Tests of the normalisation of paths."""
 
 import urllib.parse
 
@@ -10,7 +10,7 @@
 
 
 class TestNormalisePath:
-    """What paths become, and which have no single spelling."""
+    """Paths are normalised; ambiguous ones are refused."""
 
     @pytest.mark.parametrize(
         ("path", "normal"),
--- a/packages/state/src/hollyknot_state/tests/test_structure_or_first_problem.py
+++ b/packages/state/src/hollyknot_state/tests/test_structure_or_first_problem.py
@@ -1,4 +1,4 @@
-"""Tests of reading a value up to its first mistake."""
+"""Tests of building a typed value up to its first problem."""
 
 import enum
 from typing import Any
@@ -41,7 +41,7 @@
 
 
 class TestStructureOrFirstProblem:
-    """Values of a stranger, built or refused."""
+    """Untrusted values are built or refused, and never raise."""
 
     def test_valid_value_is_built(self) -> None:
         parts = [{"weight": 2}, {"weight": 3, "other": 1}]
--- a/packages/state/src/hollyknot_state/tests/test_update.py
+++ b/packages/state/src/hollyknot_state/tests/test_update.py
@@ -1,4 +1,4 @@
-"""A change of declarations gives what the whole document gives."""
+"""Tests that a change and the whole document give equal declarations."""
 
 import copy
 import json
@@ -95,7 +95,7 @@
 
 
 class TestUpdate:
-    """`update_declarations` beside `parse_declarations`."""
+    """Compares `update_declarations` with `parse_declarations`."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=500)
     @given(edits=_EDITS)
@@ -120,11 +120,11 @@
             assert updated == whole
 
     def test_first_and_last_entry_of_a_section(self) -> None:
-        """A part's first entry is not lost with its being empty.
+        """Guards against losing the first entry of an empty section.
 
-        Symptom: a first customer has no access on hosts that learn by changes.
-        Sequence: a version has no customers; the next has one.
-        Cause: the record of the empty part goes, and took the new entry along.
+        An empty section is a record of its own, which is removed when the first
+        entry is added. If its removal also dropped the new entry, the first
+        customer would have no access on hosts that apply changes.
         """
         empty = _BASE | {"customers": {}}
         assert _update(_BASE, empty) == parse_declarations(json.dumps(_BASE), 2)
@@ -152,11 +152,11 @@
         assert isinstance(found, Declarations | Problems)
 
     def test_change_cannot_set_the_version(self) -> None:
-        """A record sets the version that publishing gives.
+        """Guards against a change that sets the version itself.
 
-        Symptom: a host has a version in force that was never published.
-        Sequence: a peer's change holds a record named `version`.
-        Cause: a record that replaces what the reader itself fills in.
+        If a record named `version` in a peer's change replaced the version that
+        the reader fills in, a host would have a version in force that was never
+        published.
         """
         for path in ("version", "version/a"):
             record = DocumentRecord(path, b"9")
