--- a/packages/state/src/hollyknot_state/_host_report.py
+++ b/packages/state/src/hollyknot_state/_host_report.py
@@ -51,7 +51,7 @@
     """The load that a host's streams put on a service's upstreams.
 
     Attributes:
-        pool: The service, whose name is a reserved word of thrift.
+        pool: Name of the service; `service` is a reserved word of thrift.
         loose_tokens_s: Prompt tokens sent per second, smoothed, of streams that
             tolerate long inter-token gaps.
         tight_tokens_s: Prompt tokens sent per second, smoothed, of the other
--- a/packages/state/src/hollyknot_state/_update.py
+++ b/packages/state/src/hollyknot_state/_update.py
@@ -1,4 +1,4 @@
-"""Applies a change to declarations at a cost that grows with the change only.
+"""Applies a change to declarations without parsing the whole document again.
 
 Parsing 18,000 customers takes some tenths of a second. If every host did so for
 each change of a day, it would spend more on control than it may.
