--- a/packages/bench/src/hollyknot_bench/slopes/_network.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_network.py
@@ -20,8 +20,8 @@
     PeerCommand,
     PeerState,
     Send,
-    StartWatching,
-    StopWatching,
+    StartPolling,
+    StopPolling,
 )
 from hollyknot_state import DocumentKind, DocumentVersion
 
@@ -157,10 +157,10 @@
                     self._send(node.name, peer, message)
                 case Apply(document=document, version=version):
                     node.applied[document, version] = self.now_s
-                case StartWatching(document=document, pause_s=pause_s):
+                case StartPolling(document=document, pause_s=pause_s):
                     node.watching.add(document)
                     self._read(node, document, pause_s)
-                case StopWatching(document=document):
+                case StopPolling(document=document):
                     node.watching.discard(document)
                 case _:
                     node.reports.append(command)
--- a/packages/coordination/src/hollyknot_coordination/_peer_commands.py
+++ b/packages/coordination/src/hollyknot_coordination/_peer_commands.py
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen
-class StartWatching:
+class StartPolling:
     """Read a document from the platform, again and again.
 
     Each read asks after `PeerState.read_after(document)` at that moment and
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen
-class StopWatching:
+class StopPolling:
     """Stop reading a document from the platform.
 
     Attributes:
@@ -136,8 +136,8 @@
     | Apply
     | Reject
     | ReportConflict
-    | StartWatching
-    | StopWatching
+    | StartPolling
+    | StopPolling
     | ReportMember
     | ReportSignals
 )
--- a/packages/coordination/src/hollyknot_coordination/_transmit_queue.py
+++ b/packages/coordination/src/hollyknot_coordination/_transmit_queue.py
@@ -23,21 +23,21 @@
     """Keys of news with the number of times that each was told."""
 
     def __init__(self) -> None:
-        self._told: dict[K, int] = {}
+        self._send_counts: dict[K, int] = {}
 
     def __bool__(self) -> bool:
         """Whether there is news to tell."""
-        return bool(self._told)
+        return bool(self._send_counts)
 
     def add(self, key: K) -> None:
         """Counts a key as news from now on."""
-        self._told[key] = 0
+        self._send_counts[key] = 0
 
     def discard(self, key: K) -> None:
         """Forgets a key."""
-        self._told.pop(key, None)
+        self._send_counts.pop(key, None)
 
-    def take(
+    def next_keys(
         self, limit: int, hosts: int, recency: Callable[[K], float]
     ) -> list[K]:
         """Returns what to tell in one message and counts it as told.
@@ -47,11 +47,13 @@
             hosts: How many hosts are to hear of it.
             recency: Among keys told equally often, the larger goes first.
         """
-        order = sorted(self._told, key=lambda k: (self._told[k], -recency(k)))
-        taken = order[:limit]
-        most = transmit_limit(hosts)
-        for key in taken:
-            self._told[key] += 1
-            if self._told[key] >= most:
-                del self._told[key]
-        return taken
+        order = sorted(
+            self._send_counts, key=lambda k: (self._send_counts[k], -recency(k))
+        )
+        chosen = order[:limit]
+        max_sends = transmit_limit(hosts)
+        for key in chosen:
+            self._send_counts[key] += 1
+            if self._send_counts[key] >= max_sends:
+                del self._send_counts[key]
+        return chosen
--- a/packages/coordination/src/hollyknot_coordination/membership/_neighbours.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_neighbours.py
@@ -26,10 +26,10 @@
         ranked: From `rank_hosts`.
     """
     peers = [h for h in ranked if h != host]
-    place = ranked.index(host)
-    turned = [*ranked[place + 1 :], *ranked[:place]]
+    position = ranked.index(host)
+    rotated = [*ranked[position + 1 :], *ranked[:position]]
     near = closest_hosts(host, peers, RANDOM_NEIGHBOURS)
-    return frozenset((*turned[:SUCCESSORS], *near))
+    return frozenset((*rotated[:SUCCESSORS], *near))
 
 
 def closest_hosts(
--- a/packages/coordination/src/hollyknot_coordination/membership/_prober.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_prober.py
@@ -14,13 +14,13 @@
 DIRECT_TIMEOUT_S = 0.4
 """Seconds after which others are asked; far above a round trip."""
 
-HELPERS = 2
+MAX_HELPERS = 2
 """Peers that are asked to probe for this host."""
 
-RELAY_KEEP_S = 2.0
+RELAY_TTL_S = 2.0
 MAX_RELAYS = 256
 
-_NOBODY = ""
+_NO_TARGET = ""
 
 
 @attrs.frozen
@@ -37,9 +37,9 @@
         self._rng = rng
         self._ring: list[str] = []
         self._sequence = 0
-        self._target = _NOBODY
+        self._target = _NO_TARGET
         self._target_sequence = 0
-        self._asked_helpers = False
+        self._has_asked_helpers = False
         self._started_s = now_s
         self._next_s = now_s + rng.uniform(0, ROUND_S)
         self._relays: dict[int, _Relay] = {}
@@ -63,10 +63,10 @@
         if now_s >= self._next_s:
             if self._target:
                 suspect(self._target)
-            return self._start(listed, now_s)
+            return self._start_round(listed, now_s)
         is_late = now_s - self._started_s >= DIRECT_TIMEOUT_S
-        if self._target and is_late and not self._asked_helpers:
-            self._asked_helpers = True
+        if self._target and is_late and not self._has_asked_helpers:
+            self._has_asked_helpers = True
             return self._ask_helpers(alive)
         return []
 
@@ -74,7 +74,7 @@
         """Answers that this host is alive."""
         return [Send(peer, ProbeAck(probe.sequence))]
 
-    def on_indirect(
+    def on_indirect_probe(
         self, peer: str, probe: IndirectProbe, now_s: float
     ) -> list[Send]:
         """Probes a host on behalf of a peer."""
@@ -82,26 +82,26 @@
             return []
         sequence = self._next_sequence()
         self._relays[sequence] = _Relay(
-            peer, probe.sequence, now_s + RELAY_KEEP_S
+            peer, probe.sequence, now_s + RELAY_TTL_S
         )
         return [Send(probe.target, Probe(sequence))]
 
     def on_ack(self, ack: ProbeAck) -> list[Send]:
         """Takes an answer, for this host or for one that asked it to help."""
         if self._target and ack.sequence == self._target_sequence:
-            self._target = _NOBODY
+            self._target = _NO_TARGET
             return []
         relay = self._relays.pop(ack.sequence, None)
         if relay is None:
             return []
         return [Send(relay.requester, ProbeAck(relay.sequence))]
 
-    def forget_round(self, now_s: float) -> None:
+    def abandon_probe(self, now_s: float) -> None:
         """Gives up the probe under way without blaming its target."""
-        self._target = _NOBODY
+        self._target = _NO_TARGET
         self._next_s = now_s + ROUND_S
 
-    def _start(self, listed: tuple[str, ...], now_s: float) -> list[Send]:
+    def _start_round(self, listed: tuple[str, ...], now_s: float) -> list[Send]:
         self._relays = {
             s: r for s, r in self._relays.items() if r.expires_s > now_s
         }
@@ -111,7 +111,7 @@
             return []
         self._target_sequence = self._next_sequence()
         self._started_s = now_s
-        self._asked_helpers = False
+        self._has_asked_helpers = False
         return [Send(self._target, Probe(self._target_sequence))]
 
     def _next_target(self, listed: tuple[str, ...]) -> str:
@@ -122,11 +122,11 @@
                 return host
         self._ring = list(listed)
         self._rng.shuffle(self._ring)
-        return self._ring.pop() if self._ring else _NOBODY
+        return self._ring.pop() if self._ring else _NO_TARGET
 
     def _ask_helpers(self, alive: tuple[str, ...]) -> list[Send]:
         others = [h for h in alive if h != self._target]
-        helpers = self._rng.sample(others, min(HELPERS, len(others)))
+        helpers = self._rng.sample(others, min(MAX_HELPERS, len(others)))
         message = IndirectProbe(self._target_sequence, self._target)
         return [Send(helper, message) for helper in helpers]
 
--- a/packages/coordination/src/hollyknot_coordination/membership/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_table.py
@@ -11,13 +11,13 @@
 
 from hollyknot_state import MemberState, MemberUpdate
 
-_ORDER = {
+_STATE_RANK = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
     MemberState.DEAD: 2,
 }
 
-PARTITION_SHARE = 0.25
+PARTITION_FRACTION = 0.25
 """The share of unreachable peers from which a cut is assumed.
 
 Of 278 hosts of a data centre about 9 fail in a day; 70 at once do not die one
@@ -31,8 +31,8 @@
 class MemberChange(enum.Enum):
     """What an update did to a table."""
 
-    NEWS = "news"
-    KNOWN = "known"
+    CHANGED = "news"
+    UNCHANGED = "known"
     REFUTED = "refuted"
 
 
@@ -68,7 +68,7 @@
         return tuple(self._members)
 
     @property
-    def own(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """What this host says of itself."""
         return MemberUpdate(self._host, MemberState.ALIVE, self._incarnation)
 
@@ -80,7 +80,9 @@
         itself nobody tells it of the others. It ends when enough answer again,
         or when the host list, which the platform makes, no longer has them.
         """
-        return _is_many(self._unreachable, len(self._members)) or _is_many(
+        return _suggests_partition(
+            self._unreachable, len(self._members)
+        ) or _suggests_partition(
             self._unreachable_neighbours, len(self._neighbours)
         )
 
@@ -91,7 +93,7 @@
     def update_of(self, host: str) -> MemberUpdate:
         """Returns the belief about a host, as it is told to others."""
         if host == self._host:
-            return self.own
+            return self.own_update
         member = self._members[host]
         return MemberUpdate(host, member.state, member.incarnation)
 
@@ -114,7 +116,7 @@
             del self._members[host]
         for host in sorted(hosts - self._members.keys() - {self._host}):
             self._members[host] = _Member(since_s=now_s)
-        self._count()
+        self._update_counts()
 
     def merge(self, update: MemberUpdate, now_s: float) -> MemberChange:
         """Takes a belief of another host.
@@ -126,25 +128,25 @@
             return self._refute(update)
         member = self._members.get(update.host)
         if member is None:
-            return MemberChange.KNOWN
+            return MemberChange.UNCHANGED
         state = update.state
         if state is MemberState.DEAD and self.is_partition_suspected:
             state = MemberState.SUSPECT
-        rank = (update.incarnation, _ORDER[state])
-        if rank <= (member.incarnation, _ORDER[member.state]):
-            return MemberChange.KNOWN
+        rank = (update.incarnation, _STATE_RANK[state])
+        if rank <= (member.incarnation, _STATE_RANK[member.state]):
+            return MemberChange.UNCHANGED
         if member.state is not state:
             member.since_s = now_s
         member.state = state
         member.incarnation = update.incarnation
-        self._count()
-        return MemberChange.NEWS
+        self._update_counts()
+        return MemberChange.CHANGED
 
     def suspect(self, host: str, now_s: float) -> MemberChange:
         """Takes that a peer did not answer this host's probe."""
         member = self._members.get(host)
         if member is None:
-            return MemberChange.KNOWN
+            return MemberChange.UNCHANGED
         return self.merge(
             MemberUpdate(host, MemberState.SUSPECT, member.incarnation), now_s
         )
@@ -178,14 +180,14 @@
     def _refute(self, update: MemberUpdate) -> MemberChange:
         is_alive = update.state is MemberState.ALIVE
         if is_alive and update.incarnation <= self._incarnation:
-            return MemberChange.KNOWN
+            return MemberChange.UNCHANGED
         # Blame of an older incarnation is answered too: the refutation may
         # have been lost, and that peer would hold this host for dead for good.
         if update.incarnation >= self._incarnation:
             self._incarnation = update.incarnation + 1
         return MemberChange.REFUTED
 
-    def _count(self) -> None:
+    def _update_counts(self) -> None:
         lost = {
             h
             for h, m in self._members.items()
@@ -195,6 +197,6 @@
         self._unreachable_neighbours = len(lost & self._neighbours)
 
 
-def _is_many(unreachable: int, peers: int) -> bool:
-    least = max(PARTITION_MIN_PEERS, peers * PARTITION_SHARE)
-    return peers > 0 and unreachable >= min(peers, least)
+def _suggests_partition(unreachable: int, peers: int) -> bool:
+    threshold = max(PARTITION_MIN_PEERS, peers * PARTITION_FRACTION)
+    return peers > 0 and unreachable >= min(peers, threshold)
--- a/packages/coordination/src/hollyknot_coordination/membership/tests/test_membership.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/tests/test_membership.py
@@ -46,7 +46,7 @@
 class TestMembership:
     """What hosts believe of each other."""
 
-    def test_a_crashed_host_is_found_by_all(self) -> None:
+    def test_crashed_host_is_detected_by_all(self) -> None:
         network = make_network()
         assert all(seen_alive(network, "h3"))
         del network.nodes["h3"]
@@ -66,7 +66,7 @@
             network.run(1)
             assert all(seen_alive(network, "h3"))
 
-    def test_lost_probes_alone_kill_nobody(self) -> None:
+    def test_lost_probes_alone_declare_nobody_dead(self) -> None:
         """Symptom: healthy hosts are believed dead on a lossy network.
 
         Three messages in ten are lost, so that suspicions are frequent. Cause:
@@ -80,7 +80,7 @@
             assert SUSPECT in states
             assert DEAD not in states
 
-    def test_a_suspect_hears_of_it_at_each_round(self) -> None:
+    def test_suspect_is_notified_in_each_round(self) -> None:
         """Symptom: a healthy host with few probers is believed dead.
 
         It was suspected by a lost probe, and is probed again only after the
@@ -90,18 +90,18 @@
         network.is_cut = lambda _a, b: b == "h3"
         node = network.nodes["h0"]
         suspicion = MemberUpdate("h3", SUSPECT, 0)
-        blame = Gossip(members=(suspicion,))
-        node.state.on_message("h1", blame, network.now_s)
-        told = 0
+        accusation = Gossip(members=(suspicion,))
+        node.state.on_message("h1", accusation, network.now_s)
+        notifications = 0
         for _ in range(10):
             network.now_s += 0.2
             for command in node.state.on_tick(network.now_s):
                 if isinstance(command, Send) and command.peer == "h3":
                     members = getattr(command.message, "members", ())
-                    told += suspicion in members
-        assert told >= 3
+                    notifications += suspicion in members
+        assert notifications >= 3
 
-    def test_a_refutation_that_was_lost_is_repeated(self) -> None:
+    def test_lost_refutation_is_repeated(self) -> None:
         """Symptom: a healthy host is believed dead by one peer for good.
 
         Two peers suspect it; it refutes, and the message to the second is
@@ -113,8 +113,10 @@
         member.set_hosts(("h0", "h1", "h2"), 0.0)
         refuted = Gossip(members=(MemberUpdate("h0", ALIVE, 1),))
         for peer in ("h1", "h2"):
-            blame = (MemberUpdate("h0", DEAD, 0),)
-            assert member.on_updates(peer, blame, 1.0) == [Send(peer, refuted)]
+            accusation = (MemberUpdate("h0", DEAD, 0),)
+            assert member.on_updates(peer, accusation, 1.0) == [
+                Send(peer, refuted)
+            ]
 
     def test_a_paused_host_refutes_its_death(self) -> None:
         """Symptom: a host that was paused gets no gossip any more.
@@ -131,7 +133,7 @@
         network.run(40)
         assert all(seen_alive(network, "h3"))
 
-    def test_a_host_that_was_cut_off_is_found_again(self) -> None:
+    def test_partitioned_host_is_found_again(self) -> None:
         """Symptom: a data centre loses its readers when one link heals.
 
         One host was cut off for a minute, suspects all others and tells them
@@ -152,7 +154,7 @@
         assert all(seen_alive(network, "h3"))
         assert len(network.nodes["h3"].state.alive_peers("a")) == 15
 
-    def test_a_host_that_wakes_blames_nobody(self) -> None:
+    def test_resumed_host_suspects_nobody(self) -> None:
         """Symptom: suspicions of healthy hosts after each long pause.
 
         A host sends a probe, is paused and looks at its clock first when it
@@ -167,7 +169,7 @@
         membership.on_tick(31.9)
         assert membership.alive == ("h1", "h2")
 
-    def test_a_cut_is_not_taken_for_a_mass_death(self) -> None:
+    def test_partition_is_not_treated_as_mass_failure(self) -> None:
         """Symptom: after a cut each half holds the other for dead.
 
         A data centre is cut in halves for a minute, then heals. Cause:
@@ -238,14 +240,14 @@
 
     def test_a_host_refutes_with_a_higher_incarnation(self) -> None:
         table = MemberTable("h0")
-        blame = MemberUpdate("h0", DEAD, 4)
-        assert table.merge(blame, 0.0) is MemberChange.REFUTED
-        assert table.own == MemberUpdate("h0", ALIVE, 5)
+        accusation = MemberUpdate("h0", DEAD, 4)
+        assert table.merge(accusation, 0.0) is MemberChange.REFUTED
+        assert table.own_update == MemberUpdate("h0", ALIVE, 5)
         # Said again, since the first refutation may be lost, but not raised.
-        assert table.merge(blame, 0.0) is MemberChange.REFUTED
-        assert table.own == MemberUpdate("h0", ALIVE, 5)
-        praise = MemberUpdate("h0", ALIVE, 5)
-        assert table.merge(praise, 0.0) is MemberChange.KNOWN
+        assert table.merge(accusation, 0.0) is MemberChange.REFUTED
+        assert table.own_update == MemberUpdate("h0", ALIVE, 5)
+        confirmation = MemberUpdate("h0", ALIVE, 5)
+        assert table.merge(confirmation, 0.0) is MemberChange.UNCHANGED
 
 
 class TestNeighbours:
--- a/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_aged_table.py
@@ -67,7 +67,7 @@
         self._queued_rank_s: dict[K, float] = {}
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether values wait to be sent to peers."""
         return bool(self._unsent)
 
@@ -119,7 +119,9 @@
         """
         self.expire(now_s)
         entries = self._entries
-        keys = self._unsent.take(limit, hosts, lambda k: entries[k].observed_s)
+        keys = self._unsent.next_keys(
+            limit, hosts, lambda k: entries[k].observed_s
+        )
         return [entries[k] for k in keys]
 
     def sample(
--- a/packages/coordination/src/hollyknot_coordination/signals/_store.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/_store.py
@@ -76,12 +76,12 @@
         )
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether signals wait to be sent to peers."""
         return (
-            self._pressures.has_news
-            or self._signs.has_news
-            or self._suspects.has_news
+            self._pressures.has_updates
+            or self._signs.has_updates
+            or self._suspects.has_updates
         )
 
     def silence_s(self, now_s: float) -> float:
--- a/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
+++ b/packages/coordination/src/hollyknot_coordination/signals/tests/test_signals.py
@@ -78,9 +78,9 @@
         store.note_sign(UpstreamSign("u", LOST, 0), 100.0)
         assert kinds(store, 129.0) == [LOST]
         assert kinds(store, 131.0) == []
-        assert store.has_news
+        assert store.has_updates
         assert store.next_updates(278, 131.0).signs == ()
-        assert not store.has_news
+        assert not store.has_updates
         assert not store.note_sign(UpstreamSign("u", LOST, 40_000), 131.0)
 
 
--- a/packages/coordination/src/hollyknot_coordination/spread/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/__init__.py
@@ -8,8 +8,8 @@
     ReportMember,
     ReportSignals,
     Send,
-    StartWatching,
-    StopWatching,
+    StartPolling,
+    StopPolling,
 )
 from hollyknot_coordination.spread._document import (
     Absent,
@@ -19,7 +19,7 @@
     Invalid,
 )
 from hollyknot_coordination.spread._peer_state import TICK_S, PeerState
-from hollyknot_coordination.spread._watching import READ_PAUSE_S
+from hollyknot_coordination.spread._polling import READ_PAUSE_S
 
 __all__ = [
     "READ_PAUSE_S",
@@ -37,6 +37,6 @@
     "ReportMember",
     "ReportSignals",
     "Send",
-    "StartWatching",
-    "StopWatching",
+    "StartPolling",
+    "StopPolling",
 ]
--- a/packages/coordination/src/hollyknot_coordination/spread/_heard.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_announced.py
@@ -14,39 +14,41 @@
 """Seconds without any progress after which nothing blocks any more."""
 
 
-class HeardVersion:
+class AnnouncedVersion:
     """The highest version heard of, and since when it is lacking."""
 
     def __init__(self) -> None:
         self._version = 0
-        self._told_s = float("-inf")
-        self._lacking_since_s = float("inf")
+        self._announced_s = float("-inf")
+        self._missing_since_s = float("inf")
 
     @property
     def version(self) -> int:
         """The highest version that a host said it holds."""
         return self._version
 
-    def note(self, version: int, now_s: float) -> None:
+    def observe(self, version: int, now_s: float) -> None:
         """Takes that a host holds a version that this host lacks."""
-        self._lacking_since_s = min(self._lacking_since_s, now_s)
-        if now_s - self._told_s >= FORGET_S:
+        self._missing_since_s = min(self._missing_since_s, now_s)
+        if now_s - self._announced_s >= FORGET_S:
             self._version = 0
         if version >= self._version:
             self._version = version
-            self._told_s = now_s
+            self._announced_s = now_s
 
-    def progress(self) -> None:
+    def on_applied(self) -> None:
         """Takes that a newer version came in force."""
-        self._lacking_since_s = float("inf")
+        self._missing_since_s = float("inf")
 
-    def reject(self, version: int) -> None:
+    def on_rejected(self, version: int) -> None:
         """Takes that a version is invalid, so that it lacks no more."""
         if version == self._version:
             self._version = 0
-            self._told_s = float("-inf")
+            self._announced_s = float("-inf")
 
-    def blocks(self, in_force: int, wanted: int, now_s: float) -> bool:
+    def blocks_readiness(
+        self, in_force: int, wanted: int, now_s: float
+    ) -> bool:
         """Whether a host that holds a version must not begin to serve.
 
         Args:
@@ -54,8 +56,8 @@
             wanted: The highest version that a source holds now.
             now_s: Monotonic seconds.
         """
-        if now_s - self._lacking_since_s >= BLOCK_MAX_S:
+        if now_s - self._missing_since_s >= BLOCK_MAX_S:
             return False
-        is_fresh = now_s - self._told_s < FORGET_S
-        heard = self._version if is_fresh else 0
-        return max(heard, wanted) > in_force
+        is_fresh = now_s - self._announced_s < FORGET_S
+        announced = self._version if is_fresh else 0
+        return max(announced, wanted) > in_force
--- a/packages/coordination/src/hollyknot_coordination/spread/_document.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_document.py
@@ -19,9 +19,9 @@
     ReportConflict,
     Send,
 )
+from hollyknot_coordination.spread._announced import AnnouncedVersion
 from hollyknot_coordination.spread._delta_log import DeltaLog
 from hollyknot_coordination.spread._fetcher import Fetcher
-from hollyknot_coordination.spread._heard import HeardVersion
 from hollyknot_coordination.spread._pages import PagedDocument, PageError
 from hollyknot_coordination.spread._records import (
     Change,
@@ -108,8 +108,8 @@
         self._conflict = 0
         self._log = DeltaLog()
         self._fetcher = Fetcher(document, rng)
-        self._heard = HeardVersion()
-        self._must_fetch_whole = False
+        self._announced = AnnouncedVersion()
+        self._must_fetch_full = False
         self._paged: PagedDocument | Absent = Absent.ABSENT
         self._paged_used_s = 0.0
 
@@ -132,7 +132,9 @@
         """Whether a version is in force and none above it is heard of."""
         in_force = self.version.version
         wanted = self._fetcher.wanted
-        return in_force > 0 and not self._heard.blocks(in_force, wanted, now_s)
+        return in_force > 0 and not self._announced.blocks_readiness(
+            in_force, wanted, now_s
+        )
 
     def on_platform(
         self, version: int, body: bytes, now_s: float
@@ -146,7 +148,7 @@
             # Digest 0: a peer may still bring this version in good order.
             unreadable = DocumentVersion(self._document, version, 0)
             return self._reject(unreadable, str(error))
-        return self._take(
+        return self._process_snapshot(
             make_snapshot(self._document, version, records), now_s
         )
 
@@ -164,9 +166,9 @@
             commands.append(
                 ReportConflict(self._document, version.version, peer)
             )
-        if self._is_lacking(version):
-            self._heard.note(version.version, now_s)
-            self._fetcher.hear(peer, version.version)
+        if self._is_missing(version):
+            self._announced.observe(version.version, now_s)
+            self._fetcher.add_source(peer, version.version)
         commands.extend(self._next_request(now_s))
         return commands
 
@@ -174,7 +176,7 @@
         self, peer: str, delta: DocumentDelta, now_s: float
     ) -> list[PeerCommand]:
         """Takes an answer in the form of a delta."""
-        if not self._is_lacking(delta.target):
+        if not self._is_missing(delta.target):
             return self._next_request(now_s)
         base = self._log.snapshot_at(self._in_force, delta.base)
         if isinstance(base, Snapshot):
@@ -183,33 +185,33 @@
             )
             if snapshot.version == delta.target:
                 if delta.base != self.version:
-                    return self._take(snapshot, now_s)
+                    return self._process_snapshot(snapshot, now_s)
                 # Comparing all records would be most of a change's cost.
                 held = base.records
                 removed = tuple(p for p in delta.removed if p in held)
                 change = Change(delta.changed, removed)
-                return self._judge(snapshot, change, now_s)
+                return self._check_and_apply(snapshot, change, now_s)
             # The two hosts hold different bodies under the base's digest, or
             # one computes wrongly. The whole document settles it.
-            self._must_fetch_whole = True
-        self._fetcher.fail(peer)
+            self._must_fetch_full = True
+        self._fetcher.on_failure(peer)
         return self._next_request(now_s)
 
     def on_page(
         self, peer: str, page: DocumentPage, now_s: float
     ) -> list[PeerCommand]:
         """Takes an answer in the form of a page."""
-        if not self._is_lacking(page.version):
+        if not self._is_missing(page.version):
             return self._next_request(now_s)
-        found = self._fetcher.take_page(peer, page)
+        found = self._fetcher.handle_page(peer, page)
         if not found:
             return self._next_request(now_s)
         version, records = found
         snapshot = make_snapshot(self._document, version.version, records)
         if snapshot.version != version:
-            self._fetcher.fail(peer)
+            self._fetcher.on_failure(peer)
             return self._next_request(now_s)
-        return self._take(snapshot, now_s)
+        return self._process_snapshot(snapshot, now_s)
 
     def on_fetch(
         self, peer: str, request: FetchDocument, now_s: float
@@ -232,29 +234,31 @@
             self._paged = Absent.ABSENT
         return self._next_request(now_s)
 
-    def keep_sources(self, hosts: Collection[str]) -> None:
+    def retain_sources(self, hosts: Collection[str]) -> None:
         """Forgets what was heard from hosts that are not among these."""
-        self._fetcher.keep(hosts)
+        self._fetcher.retain(hosts)
 
     def drop_source(self, host: str) -> None:
         """Forgets what was heard from a host that is believed dead."""
         self._fetcher.drop(host)
 
-    def _is_lacking(self, version: DocumentVersion) -> bool:
+    def _is_missing(self, version: DocumentVersion) -> bool:
         newer = version.version > self.version.version
         return newer and version not in self._rejected
 
     def _next_request(self, now_s: float) -> list[PeerCommand]:
         bases = self._log.bases(self._in_force)
-        if self._must_fetch_whole:
+        if self._must_fetch_full:
             bases = ()
         return list(self._fetcher.next_request(bases, now_s))
 
-    def _take(self, snapshot: Snapshot, now_s: float) -> list[PeerCommand]:
+    def _process_snapshot(
+        self, snapshot: Snapshot, now_s: float
+    ) -> list[PeerCommand]:
         change = find_change(self._in_force.records, snapshot.records)
-        return self._judge(snapshot, change, now_s)
+        return self._check_and_apply(snapshot, change, now_s)
 
-    def _judge(
+    def _check_and_apply(
         self, snapshot: Snapshot, change: Change, now_s: float
     ) -> list[PeerCommand]:
         """Checks a newer snapshot and puts it in force or rejects it."""
@@ -265,15 +269,15 @@
             self._log.append(self._in_force, snapshot.version, change)
             self._in_force = snapshot
             self._value = value
-            self._heard.progress()
-            self._must_fetch_whole = False
+            self._announced.on_applied()
+            self._must_fetch_full = False
             version = snapshot.version.version
             commands = [Apply(self._document, version, value)]
-        self._fetcher.settle(self._is_version_lacking)
+        self._fetcher.drop_unwanted(self._is_version_missing)
         commands.extend(self._next_request(now_s))
         return commands
 
-    def _is_version_lacking(self, version: int) -> bool:
+    def _is_version_missing(self, version: int) -> bool:
         if version <= self.version.version:
             return False
         return all(v.version != version or not v.digest for v in self._rejected)
@@ -282,7 +286,7 @@
         self, version: DocumentVersion, problems: str
     ) -> list[PeerCommand]:
         self._rejected[version] = None
-        self._heard.reject(version.version)
+        self._announced.on_rejected(version.version)
         while len(self._rejected) > MAX_REJECTED:
             del self._rejected[min(self._rejected, key=lambda v: v.version)]
         return [Reject(self._document, version.version, problems)]
--- a/packages/coordination/src/hollyknot_coordination/spread/_fetcher.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_fetcher.py
@@ -49,14 +49,14 @@
         self._peer = _NO_PEER
         self._deadline_s = 0.0
         self._assembly: PageAssembly | tuple[()] = ()
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
 
     @property
     def wanted(self) -> int:
         """The highest version that a source holds; 0 if none is newer."""
         return max((s.version for s in self._sources.values()), default=0)
 
-    def hear(self, peer: str, version: int) -> None:
+    def add_source(self, peer: str, version: int) -> None:
         """Takes that a peer holds a version that this host lacks.
 
         A lower version than before is a message that was overtaken: what a
@@ -74,12 +74,12 @@
         if self._peer == peer:
             self._peer = _NO_PEER
 
-    def keep(self, peers: Collection[str]) -> None:
+    def retain(self, peers: Collection[str]) -> None:
         """Forgets the sources that are not among these hosts."""
         for peer in [p for p in self._sources if p not in peers]:
             self.drop(peer)
 
-    def settle(self, is_wanted: Callable[[int], bool]) -> None:
+    def drop_unwanted(self, is_wanted: Callable[[int], bool]) -> None:
         """Forgets what is not lacking any more, after a version came."""
         for peer, source in list(self._sources.items()):
             source.failures = 0
@@ -89,12 +89,12 @@
         if self._assembly and not is_wanted(self._assembly.version.version):
             self._assembly = ()
 
-    def fail(self, peer: str) -> None:
+    def on_failure(self, peer: str) -> None:
         """Counts a request that brought nothing of use."""
         if self._peer == peer:
             self._peer = _NO_PEER
-        self._failures_in_row += 1
-        if self._failures_in_row >= MAX_ASSEMBLY_FAILURES:
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= MAX_ASSEMBLY_FAILURES:
             # All sources may have gone on to a newer version and let go of
             # the pages of this one; asking on for them would never end.
             self._assembly = ()
@@ -105,7 +105,7 @@
         if source.failures >= MAX_FAILURES:
             self.drop(peer)
 
-    def take_page(
+    def handle_page(
         self, peer: str, page: DocumentPage
     ) -> tuple[DocumentVersion, Records] | tuple[()]:
         """Takes a page that is lacking.
@@ -118,14 +118,14 @@
                 return ()
             if self._peer == peer:
                 self._peer = _NO_PEER
-            self._failures_in_row = 0
+            self._consecutive_failures = 0
             if not self._assembly or not self._assembly.is_whole:
                 return ()
             version = self._assembly.version
             records = self._assembly.records()
         except PageError:
             self._assembly = ()
-            self.fail(peer)
+            self.on_failure(peer)
             return ()
         self._assembly = ()
         return version, records
@@ -140,24 +140,24 @@
             now_s: Monotonic seconds.
         """
         if self._peer and now_s >= self._deadline_s:
-            self.fail(self._peer)
+            self.on_failure(self._peer)
         if self._peer or not self._sources:
             return []
-        self._peer = self._choose()
+        self._peer = self._choose_source()
         self._deadline_s = now_s + REQUEST_TIMEOUT_S
         return [Send(self._peer, self._request(bases))]
 
     def _add(self, page: DocumentPage) -> bool:
         """Adds a page that is lacking; tells whether it was."""
-        begun = self._assembly
+        current = self._assembly
         if page.page > 0:
-            return begun.add(page) if begun else False
-        if begun and page.version.version <= begun.version.version:
+            return current.add(page) if current else False
+        if current and page.version.version <= current.version.version:
             return False
         self._assembly = PageAssembly(page)
         return True
 
-    def _choose(self) -> str:
+    def _choose_source(self) -> str:
         wanted = self.wanted
         holders = [p for p, s in self._sources.items() if s.version == wanted]
         fewest = min(self._sources[p].failures for p in holders)
--- a/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
@@ -16,9 +16,9 @@
 from hollyknot_coordination.membership import Membership, choose_readers
 from hollyknot_coordination.signals import SignalStore
 from hollyknot_coordination.spread._document import Check, DocumentState
-from hollyknot_coordination.spread._readiness import CONTACTS, Readiness
+from hollyknot_coordination.spread._polling import Polling
+from hollyknot_coordination.spread._readiness import MIN_CONTACTS, Readiness
 from hollyknot_coordination.spread._topology import Topology, sample_hosts
-from hollyknot_coordination.spread._watching import Watching
 from hollyknot_state import (
     DocumentDelta,
     DocumentKind,
@@ -40,7 +40,7 @@
 TICK_S = 0.2
 """How often `on_tick` should be called, in seconds."""
 
-NEWS_ROUND_S = 0.5
+UPDATE_ROUND_S = 0.5
 IDLE_ROUND_S = 1.0
 FANOUT = 2
 """Peers of the data centre that a round of gossip reaches."""
@@ -48,10 +48,10 @@
 ANNOUNCE_FANOUT = 4
 """Peers that a host tells at once of a version that came in force."""
 
-WAKE_S = 2.0
+PAUSE_GAP_S = 2.0
 """A gap between calls above this is a pause of this process."""
 
-WAKE_KEEP_S = 1.0
+AFTER_PAUSE_S = 1.0
 """Seconds after a pause in which messages count as old as the pause."""
 
 
@@ -86,11 +86,11 @@
         self._membership = Membership(host, rng, now_s)
         self._signals = SignalStore(rng, now_s)
         self._readiness = Readiness()
-        self._watching = Watching(rng, now_s)
+        self._polling = Polling(rng, now_s)
         self._next_round_s = now_s
         self._last_call_s = now_s
         self._pause_s = 0.0
-        self._woke_s = now_s
+        self._resumed_s = now_s
         self._readers: tuple[str, ...] = (host,)
 
     @property
@@ -147,16 +147,16 @@
 
     def on_tick(self, now_s: float) -> list[PeerCommand]:
         """Does what is due; call it every `TICK_S`."""
-        self._note_time(now_s)
-        commands = self._after(self._membership.on_tick(now_s), now_s)
+        self._detect_pause(now_s)
+        commands = self._follow_up(self._membership.on_tick(now_s), now_s)
         for document in self._documents.values():
-            commands += self._after(document.on_tick(now_s), now_s)
+            commands += self._follow_up(document.on_tick(now_s), now_s)
         if now_s >= self._next_round_s:
-            commands += self._round(now_s)
+            commands += self._gossip_round(now_s)
         held = frozenset(
             d for d, s in self._documents.items() if s.version.version > 0
         )
-        commands += self._watching.on_tick(held, self.is_reader, now_s)
+        commands += self._polling.on_tick(held, self.is_reader, now_s)
         self._check_ready(now_s)
         return commands
 
@@ -164,8 +164,8 @@
         self, peer: str, message: PeerMessage, now_s: float
     ) -> list[PeerCommand]:
         """Takes a message of an authenticated peer."""
-        self._note_time(now_s)
-        commands = self._after(self._dispatch(peer, message, now_s), now_s)
+        self._detect_pause(now_s)
+        commands = self._follow_up(self._dispatch(peer, message, now_s), now_s)
         self._check_ready(now_s)
         return commands
 
@@ -181,9 +181,11 @@
                 or the host list.
             now_s: Monotonic seconds.
         """
-        self._note_time(now_s)
+        self._detect_pause(now_s)
         state = self._documents[document]
-        commands = self._after(state.on_platform(version, body, now_s), now_s)
+        commands = self._follow_up(
+            state.on_platform(version, body, now_s), now_s
+        )
         self._check_ready(now_s)
         return commands
 
@@ -214,7 +216,9 @@
             case ProbeAck():
                 return list(self._membership.on_ack(message))
             case IndirectProbe():
-                return list(self._membership.on_indirect(peer, message, now_s))
+                return list(
+                    self._membership.on_indirect_probe(peer, message, now_s)
+                )
             case FetchDocument():
                 return self._on_fetch(peer, message, now_s)
             case DocumentDelta():
@@ -233,12 +237,12 @@
             document = self._documents[version.document]
             is_behind |= version.version < document.version.version
             commands += document.on_version(peer, version, now_s)
-        self._readiness.hear(peer)
+        self._readiness.add_contact(peer)
         commands += self._membership.on_updates(peer, gossip.members, now_s)
-        delay_s = self._pause_s if self._is_waking(now_s) else 0.0
+        delay_s = self._pause_s if self._has_just_resumed(now_s) else 0.0
         commands += self._signals.on_gossip(gossip, delay_s, now_s)
         if is_behind or gossip.reply:
-            commands.append(Send(peer, self._gossip(peer, False, now_s)))
+            commands.append(Send(peer, self._make_gossip(peer, False, now_s)))
         return commands
 
     def _on_fetch(
@@ -248,9 +252,9 @@
         answer = document.on_fetch(peer, request, now_s)
         if answer:
             return list(answer)
-        return [Send(peer, self._gossip(peer, False, now_s))]
+        return [Send(peer, self._make_gossip(peer, False, now_s))]
 
-    def _after(
+    def _follow_up(
         self, commands: list[PeerCommand], now_s: float
     ) -> list[PeerCommand]:
         """Follows up on what came in force and on who died."""
@@ -273,7 +277,7 @@
         self._topology.set_host_list(host_list)
         self._membership.set_hosts(self._topology.own_ranked, now_s)
         for document in self._documents.values():
-            document.keep_sources(self._topology.hosts)
+            document.retain_sources(self._topology.hosts)
         self._choose_readers()
         self._next_round_s = min(self._next_round_s, now_s)
 
@@ -296,11 +300,11 @@
             for peer in sorted(targets)
         ]
 
-    def _round(self, now_s: float) -> list[PeerCommand]:
-        has_news = self._signals.has_news or self._membership.has_news
-        pause_s = NEWS_ROUND_S if has_news else IDLE_ROUND_S
+    def _gossip_round(self, now_s: float) -> list[PeerCommand]:
+        has_updates = self._signals.has_updates or self._membership.has_updates
+        pause_s = UPDATE_ROUND_S if has_updates else IDLE_ROUND_S
         self._next_round_s = now_s + pause_s * self._rng.uniform(0.9, 1.1)
-        fanout = FANOUT if self.is_ready else max(FANOUT, CONTACTS)
+        fanout = FANOUT if self.is_ready else max(FANOUT, MIN_CONTACTS)
         targets = sample_hosts(self._membership.targets, fanout, self._rng)
         # A suspect that hears of it can refute it; it would otherwise die of
         # a probe that was lost, as soon as nobody gossips to it any more.
@@ -309,33 +313,34 @@
             targets += self._topology.next_remote(self._rng)
         reply = not self.is_ready
         return [
-            Send(peer, self._gossip(peer, reply, now_s)) for peer in targets
+            Send(peer, self._make_gossip(peer, reply, now_s))
+            for peer in targets
         ]
 
-    def _gossip(self, peer: str, reply: bool, now_s: float) -> Gossip:
+    def _make_gossip(self, peer: str, reply: bool, now_s: float) -> Gossip:
         if peer not in self._topology.own_ranked:
             return Gossip(reply=reply, versions=self.versions)
         hosts = len(self._topology.own_ranked)
-        news = self._signals.next_updates(hosts, now_s)
+        updates = self._signals.next_updates(hosts, now_s)
         return Gossip(
             reply=reply,
             versions=self.versions,
             members=self._membership.updates_for(peer),
-            pressures=news.pressures,
-            signs=news.signs,
-            suspects=news.suspects,
+            pressures=updates.pressures,
+            signs=updates.signs,
+            suspects=updates.suspects,
         )
 
     def _check_ready(self, now_s: float) -> None:
         peers = len(self._topology.own_ranked) - 1
         self._readiness.check(self._documents.values(), peers, now_s)
 
-    def _note_time(self, now_s: float) -> None:
+    def _detect_pause(self, now_s: float) -> None:
         gap_s = now_s - self._last_call_s
         self._last_call_s = now_s
-        if gap_s > WAKE_S:
+        if gap_s > PAUSE_GAP_S:
             self._pause_s = gap_s
-            self._woke_s = now_s
+            self._resumed_s = now_s
 
-    def _is_waking(self, now_s: float) -> bool:
-        return self._pause_s > 0 and now_s - self._woke_s < WAKE_KEEP_S
+    def _has_just_resumed(self, now_s: float) -> bool:
+        return self._pause_s > 0 and now_s - self._resumed_s < AFTER_PAUSE_S
--- a/packages/coordination/src/hollyknot_coordination/spread/_watching.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_polling.py
@@ -4,8 +4,8 @@
 
 from hollyknot_coordination._peer_commands import (
     PeerCommand,
-    StartWatching,
-    StopWatching,
+    StartPolling,
+    StopPolling,
 )
 from hollyknot_state import DocumentKind
 
@@ -17,21 +17,21 @@
 the platform would bring the whole body to each reader at each change.
 """
 
-START_SPREAD_S = 2.0
+START_JITTER_S = 2.0
 """A new host waits up to this long, so that a fleet that starts at one moment
 does not ask the platform at one moment."""
 
-PEERS_FIRST_S = 4.0
+PEER_WAIT_S = 4.0
 """Seconds for which a new host that has the host list waits for its peers."""
 
 
-class Watching:
+class Polling:
     """Starts and stops the reading of each document."""
 
     def __init__(self, rng: random.Random, now_s: float) -> None:
-        self._start_s = now_s + rng.uniform(0, START_SPREAD_S)
-        self._listed_s = float("inf")
-        self._watched: set[DocumentKind] = set()
+        self._start_s = now_s + rng.uniform(0, START_JITTER_S)
+        self._host_list_since_s = float("inf")
+        self._polled: set[DocumentKind] = set()
 
     def on_tick(
         self,
@@ -47,20 +47,24 @@
             now_s: Monotonic seconds.
         """
         if DocumentKind.HOSTS in held:
-            self._listed_s = min(self._listed_s, now_s)
+            self._host_list_since_s = min(self._host_list_since_s, now_s)
         commands: list[PeerCommand] = []
         for document in DocumentKind:
             wanted = is_reader or document not in held
-            wanted = wanted and now_s >= self._begin_s(document, is_reader)
-            if wanted and document not in self._watched:
-                self._watched.add(document)
-                commands.append(StartWatching(document, READ_PAUSE_S))
-            if not wanted and document in self._watched:
-                self._watched.discard(document)
-                commands.append(StopWatching(document))
+            wanted = wanted and now_s >= self._earliest_read_s(
+                document, is_reader
+            )
+            if wanted and document not in self._polled:
+                self._polled.add(document)
+                commands.append(StartPolling(document, READ_PAUSE_S))
+            if not wanted and document in self._polled:
+                self._polled.discard(document)
+                commands.append(StopPolling(document))
         return commands
 
-    def _begin_s(self, document: DocumentKind, is_reader: bool) -> float:
+    def _earliest_read_s(
+        self, document: DocumentKind, is_reader: bool
+    ) -> float:
         """Returns from when on a document may be read.
 
         The host list comes first: without it there are no peers to ask.
@@ -68,5 +72,5 @@
         if document is DocumentKind.HOSTS:
             return self._start_s
         if is_reader:
-            return max(self._start_s, self._listed_s)
-        return self._listed_s + PEERS_FIRST_S
+            return max(self._start_s, self._host_list_since_s)
+        return self._host_list_since_s + PEER_WAIT_S
--- a/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
@@ -4,7 +4,7 @@
 
 from hollyknot_coordination.spread._document import DocumentState
 
-CONTACTS = 3
+MIN_CONTACTS = 3
 """Peers that a new host has to hear before it counts itself caught up."""
 
 CONTACT_TIMEOUT_S = 10.0
@@ -22,14 +22,14 @@
     def __init__(self) -> None:
         self._is_ready = False
         self._contacts: set[str] = set()
-        self._held_since_s = float("inf")
+        self._complete_since_s = float("inf")
 
     @property
     def is_ready(self) -> bool:
         """Whether the host may serve."""
         return self._is_ready
 
-    def hear(self, peer: str) -> None:
+    def add_contact(self, peer: str) -> None:
         """Counts a peer that told its versions."""
         if not self._is_ready:
             self._contacts.add(peer)
@@ -49,8 +49,8 @@
         states = tuple(documents)
         if not all(d.version.version > 0 for d in states):
             return
-        self._held_since_s = min(self._held_since_s, now_s)
-        waited_s = now_s - self._held_since_s
-        has_contacts = len(self._contacts) >= min(CONTACTS, peers)
+        self._complete_since_s = min(self._complete_since_s, now_s)
+        waited_s = now_s - self._complete_since_s
+        has_contacts = len(self._contacts) >= min(MIN_CONTACTS, peers)
         if has_contacts or waited_s >= CONTACT_TIMEOUT_S:
             self._is_ready = all(d.is_caught_up(now_s) for d in states)
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/network.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/network.py
@@ -16,8 +16,8 @@
     PeerCommand,
     PeerState,
     Send,
-    StartWatching,
-    StopWatching,
+    StartPolling,
+    StopPolling,
 )
 from hollyknot_state import (
     DocumentKind,
@@ -80,7 +80,7 @@
     name: str
     data_centre: str
     state: PeerState
-    watching: set[DocumentKind] = attrs.Factory(set)
+    polled: set[DocumentKind] = attrs.Factory(set)
     next_read_s: dict[DocumentKind, float] = attrs.Factory(dict)
     applied: list[tuple[DocumentKind, int]] = attrs.Factory(list)
     reports: list[PeerCommand] = attrs.Factory(list)
@@ -148,11 +148,11 @@
                     self._send(node.name, peer, message)
                 case Apply(document=document, version=version):
                     node.applied.append((document, version))
-                case StartWatching(document=document):
-                    node.watching.add(document)
+                case StartPolling(document=document):
+                    node.polled.add(document)
                     node.next_read_s[document] = self.now_s
-                case StopWatching(document=document):
-                    node.watching.discard(document)
+                case StopPolling(document=document):
+                    node.polled.discard(document)
                 case _:
                     node.reports.append(command)
 
@@ -188,7 +188,7 @@
         deferred, node.deferred = node.deferred, []
         for sender, message in deferred:
             self._receive(node, sender, message)
-        for document in sorted(node.watching, key=lambda d: d.value):
+        for document in sorted(node.polled, key=lambda d: d.value):
             if self.now_s >= node.next_read_s[document]:
                 self._read(node, document)
 
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
@@ -35,9 +35,9 @@
 
     def test_three_hosts_of_a_data_centre_read(self) -> None:
         network = make_network(TWO_CENTRES)
-        reading = [n for n in network.nodes.values() if n.watching]
+        reading = [n for n in network.nodes.values() if n.polled]
         assert sorted(n.data_centre for n in reading) == list("aaabbb")
-        assert all(n.watching == {DECLARATIONS, HOSTS} for n in reading)
+        assert all(n.polled == {DECLARATIONS, HOSTS} for n in reading)
 
     def test_a_change_is_read_by_few_of_the_readers(self) -> None:
         """Ten changes: the six readers would read sixty bodies by watches."""
@@ -49,7 +49,7 @@
         assert in_force(network) == {15}
         assert network.platform.bodies <= 20
 
-    def test_a_silent_reader_is_replaced(self) -> None:
+    def test_crashed_readers_are_replaced(self) -> None:
         """Symptom: changes stop to come in force in a data centre.
 
         Its three readers die at once while the host list still has them, and
@@ -65,7 +65,7 @@
         network.run(8)
         assert in_force(network) == {6}
 
-    def test_a_data_centre_cut_from_the_platform_learns(self) -> None:
+    def test_data_centre_cut_off_from_platform_gets_changes(self) -> None:
         """Symptom: one data centre stays at an old version.
 
         It cannot reach the platform, the other one can. Cause: gossip that
@@ -77,7 +77,7 @@
         network.run(8)
         assert in_force(network) == {6}
 
-    def test_a_data_centre_that_was_cut_off_catches_up(self) -> None:
+    def test_partitioned_data_centre_catches_up(self) -> None:
         """Symptom: one data centre stays at an old version until the next.
 
         It was cut from the platform and the other one while a change was
@@ -94,7 +94,7 @@
         assert in_force(network) == {6}
 
 
-class TestNeverBack:
+class TestVersionsOnlyRise:
     """Versions in force only rise and are valid."""
 
     def test_a_restored_platform_changes_nothing(self) -> None:
@@ -132,9 +132,7 @@
             if any(isinstance(r, Reject) for r in n.reports)
         }
         assert in_force(network) == {5}
-        assert rejecting == {
-            n.name for n in network.nodes.values() if n.watching
-        }
+        assert rejecting == {n.name for n in network.nodes.values() if n.polled}
         assert network.platform.bodies <= 2 * 6 + len(rejecting)
         publish(network, 7)
         network.run(8)
@@ -164,7 +162,7 @@
 class TestNewHost:
     """A new host serves when it has caught up, and is not blocked for ever."""
 
-    def test_it_hears_three_peers_or_waits_ten_seconds(self) -> None:
+    def test_waits_for_three_peers_or_ten_seconds(self) -> None:
         """Symptom: a new host serves by declarations that were replaced.
 
         It reads both documents from a platform that is restored to an older
@@ -184,7 +182,7 @@
             )
             assert first == ready_s
 
-    def test_it_waits_for_the_highest_version_it_heard_of(self) -> None:
+    def test_waits_for_highest_announced_version(self) -> None:
         """Symptom: a new host serves by declarations that were replaced.
 
         The platform, restored, offers it version 5; its peers hold 7 and lose
@@ -205,7 +203,7 @@
     @pytest.mark.parametrize(
         "tells_on", [False, True], ids=["source gone", "never gives"]
     )
-    def test_a_version_nobody_gives_does_not_block_for_ever(
+    def test_unavailable_version_blocks_for_a_bounded_time(
         self, tells_on: bool
     ) -> None:
         """Symptom: a new host never serves.
@@ -218,10 +216,12 @@
         hosts = {**ONE_CENTRE, "new": "a"}
         network.platform.publish_hosts(2, hosts)
         new = network.add("new", "a")
-        told = Gossip(versions=(DocumentVersion(DECLARATIONS, 9, 1),))
+        announcement = Gossip(versions=(DocumentVersion(DECLARATIONS, 9, 1),))
         for second in range(100):
             if second == 0 or tells_on:
-                commands = new.state.on_message("h0", told, network.now_s)
+                commands = new.state.on_message(
+                    "h0", announcement, network.now_s
+                )
                 network.execute(new, commands)
             network.run(1)
             if second == 8:
@@ -229,7 +229,7 @@
         assert new.state.is_ready
         assert new.ready_s <= 100 + 15 + (80 if tells_on else 25)
 
-    def test_it_starts_while_the_platform_is_down(self) -> None:
+    def test_starts_while_the_platform_is_down(self) -> None:
         """Symptom: a replaced host serves nothing until the platform is back.
 
         The list has it already; the platform is down when it starts. Cause:
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
@@ -27,7 +27,7 @@
 class TestWholeDocument:
     """Large documents in pages, small changes as deltas."""
 
-    def test_a_new_host_takes_pages_while_its_source_dies(self) -> None:
+    def test_new_host_resumes_pages_at_another_source(self) -> None:
         """Symptom: a new host begins at page 0 again and again.
 
         Each of the hosts that it asks is stopped after a page. Cause: pages
@@ -109,7 +109,7 @@
         assert [r.path for r in seen[-1].changed] == ["customers/c0"]
         assert seen[-1].removed == ()
 
-    def test_one_version_with_two_bodies_is_settled_by_the_next(self) -> None:
+    def test_next_version_resolves_conflicting_bodies(self) -> None:
         """Symptom: two hosts have one version in force and differ for ever.
 
         The platform, restored, gave out version 5 twice; each host got another
@@ -122,7 +122,7 @@
         exchange(first, second)
         assert first.versions == second.versions
 
-    def test_a_wrong_delta_makes_the_host_ask_for_the_whole(self) -> None:
+    def test_wrong_delta_makes_host_fetch_full_document(self) -> None:
         """Symptom: a host's declarations differ from all others'.
 
         A delta leads to another result than its sender has. Cause: a delta
@@ -139,11 +139,13 @@
         assert commands == [Send("h1", FetchDocument(DECLARATIONS))]
 
 
-def exchange(teller: PeerState, learner: PeerState) -> list[str]:
+def exchange(holder: PeerState, requester: PeerState) -> list[str]:
     """Tells one host of another's versions; returns the kinds of messages."""
-    states = {"teller": teller, "learner": learner}
-    told = Gossip(versions=teller.versions)
-    queue: list[tuple[str, str, PeerMessage]] = [("learner", "teller", told)]
+    states = {"teller": holder, "learner": requester}
+    announcement = Gossip(versions=holder.versions)
+    queue: list[tuple[str, str, PeerMessage]] = [
+        ("learner", "teller", announcement)
+    ]
     kinds: list[str] = []
     while queue:
         receiver, sender, message = queue.pop(0)
--- a/packages/daemon/src/hollyknot_daemon/_peers_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_peers_task.py
@@ -14,8 +14,8 @@
     ReportMember,
     ReportSignals,
     Send,
-    StartWatching,
-    StopWatching,
+    StartPolling,
+    StopPolling,
 )
 from hollyknot_daemon._documents import CHECKS, Documents
 from hollyknot_state import (
@@ -133,9 +133,9 @@
                     version=version,
                     peer=command.peer,
                 )
-            case StartWatching(document=document, pause_s=pause_s):
+            case StartPolling(document=document, pause_s=pause_s):
                 self._start_watching(document, pause_s)
-            case StopWatching(document=document):
+            case StopPolling(document=document):
                 task = self._watches.pop(document, None)
                 if task is not None:
                     task.cancel()
