--- a/packages/coordination/src/hollyknot_coordination/_peer_commands.py
+++ b/packages/coordination/src/hollyknot_coordination/_peer_commands.py
@@ -1,6 +1,6 @@
-"""Commands of the modules by which hosts come to know things.
+"""Commands that `PeerState` returns for the host's task to execute.
 
-The host's task executes them in order; none waits for another.
+They are executed in order, and none waits for the result of another.
 """
 
 import attrs
@@ -20,8 +20,8 @@
     """Send a one-way message; drop it if the peer can't be reached at once.
 
     Attributes:
-        peer: The host's name in the host list in force.
-        message: What to send.
+        peer: Name of the receiving host in the host list in force.
+        message: Message to send.
     """
 
     peer: str
@@ -30,12 +30,12 @@
 
 @attrs.frozen
 class Apply:
-    """A newer version of a document is in force from now on.
+    """Put a newer version of a document in force.
 
     Attributes:
-        document: Which document.
-        version: Above each version that was in force before.
-        value: What the check made of it.
+        document: Document that changes.
+        version: New version, higher than any that was in force before.
+        value: Parsed document, as the check returned it.
     """
 
     document: DocumentKind
@@ -45,12 +45,12 @@
 
 @attrs.frozen
 class Reject:
-    """A newer version is invalid; what was in force stays so. For the log.
+    """Log that a newer version is invalid; the version in force stays.
 
     Attributes:
-        document: Which document.
-        version: The refused version.
-        problems: What is wrong, for an operator.
+        document: Document that was checked.
+        version: Rejected version.
+        problems: Description of the faults, for an operator.
     """
 
     document: DocumentKind
@@ -60,15 +60,15 @@
 
 @attrs.frozen
 class ReportConflict:
-    """A peer holds another body under the version in force. For the log.
+    """Log that a peer holds another body under the version in force.
 
-    The platform published one number twice; no host can tell which body was
-    meant, and each keeps its own until a higher version ends it.
+    The platform published one version number twice. No host can know which
+    body was intended, so each keeps its own until a higher version arrives.
 
     Attributes:
-        document: Which document.
-        version: The version that stands for two bodies.
-        peer: Who holds the other one.
+        document: Document in conflict.
+        version: Version number that two bodies share.
+        peer: Host that holds the other body.
     """
 
     document: DocumentKind
@@ -78,14 +78,15 @@
 
 @attrs.frozen
 class StartPolling:
-    """Read a document from the platform, again and again.
+    """Read a document from the platform at intervals until told to stop.
 
-    Each read asks after `PeerState.read_after(document)` at that moment and
-    does not wait at the platform.
+    Each read asks for a version above `PeerState.read_after(document)`, taken
+    at that moment, and returns at once if there is none.
 
     Attributes:
-        document: Which document.
-        pause_s: Mean seconds between reads; spread them at random by half.
+        document: Document to read.
+        pause_s: Mean seconds between reads; each pause varies at random by
+            up to half of it.
     """
 
     document: DocumentKind
@@ -97,7 +98,7 @@
     """Stop reading a document from the platform.
 
     Attributes:
-        document: Which document.
+        document: Document to read no longer.
     """
 
     document: DocumentKind
@@ -105,11 +106,11 @@
 
 @attrs.frozen
 class ReportMember:
-    """A belief about a peer changed. For the log and the metrics.
+    """Record for the log and the metrics that a peer changed its state.
 
     Attributes:
-        host: The peer.
-        state: What is believed from now on.
+        host: Name of the peer.
+        state: New state of the peer as this host sees it.
     """
 
     host: str
@@ -118,12 +119,12 @@
 
 @attrs.frozen
 class ReportSignals:
-    """Signals that a peer told and that were news to this host.
+    """Handle signals that a peer gossiped and that are new to this host.
 
     Attributes:
-        pressures: Of tiers.
-        signs: Of upstreams.
-        suspects: Of requests.
+        pressures: Tiers that are short of capacity.
+        signs: Health signs of upstreams.
+        suspects: Records of requests that are suspected of crashing upstreams.
     """
 
     pressures: tuple[TierPressure, ...] = ()
@@ -141,4 +142,4 @@
     | ReportMember
     | ReportSignals
 )
-"""All commands of `PeerState`."""
+"""Any command that `PeerState` returns."""
--- a/packages/coordination/src/hollyknot_coordination/_transmit_queue.py
+++ b/packages/coordination/src/hollyknot_coordination/_transmit_queue.py
@@ -1,4 +1,4 @@
-"""Counts how often each piece of news is still to be told."""
+"""Queues gossip updates until each was sent often enough to reach all hosts."""
 
 import math
 from collections.abc import Callable, Hashable
@@ -7,45 +7,47 @@
 K = TypeVar("K", bound=Hashable)
 
 TRANSMIT_FACTOR = 3
-"""News is told this many times the binary logarithm of the hosts.
+"""Number of sends of an update, per binary logarithm of the number of hosts.
 
-Each telling reaches a random peer; with three times the logarithm the chance
-that some host hears of it from nobody is far below one in the hosts' number.
+Each send reaches a random peer. With three times the logarithm, the chance
+that some host never receives the update is far below one divided by the number
+of hosts.
 """
 
 
 def transmit_limit(hosts: int) -> int:
-    """Returns how often a host tells one piece of news."""
+    """Returns how often a host sends one update."""
     return TRANSMIT_FACTOR * max(1, math.ceil(math.log2(max(2, hosts))))
 
 
 class TransmitQueue(Generic[K]):
-    """Keys of news with the number of times that each was told."""
+    """Holds the keys of unsent updates and how often each was sent."""
 
     def __init__(self) -> None:
         self._send_counts: dict[K, int] = {}
 
     def __bool__(self) -> bool:
-        """Whether there is news to tell."""
+        """Whether any update is still to be sent."""
         return bool(self._send_counts)
 
     def add(self, key: K) -> None:
-        """Counts a key as news from now on."""
+        """Queues a key, or queues it again with no sends counted."""
         self._send_counts[key] = 0
 
     def discard(self, key: K) -> None:
-        """Forgets a key."""
+        """Removes a key if it is queued."""
         self._send_counts.pop(key, None)
 
     def next_keys(
         self, limit: int, hosts: int, recency: Callable[[K], float]
     ) -> list[K]:
-        """Returns what to tell in one message and counts it as told.
+        """Returns the keys for one message and counts one send of each.
 
         Args:
-            limit: The most keys.
-            hosts: How many hosts are to hear of it.
-            recency: Among keys told equally often, the larger goes first.
+            limit: Maximum number of keys.
+            hosts: Number of hosts that the updates are to reach.
+            recency: Sort key among keys that were sent equally often; the
+                larger value goes first.
         """
         order = sorted(
             self._send_counts, key=lambda k: (self._send_counts[k], -recency(k))
--- a/packages/coordination/src/hollyknot_coordination/membership/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which hosts of the data centre are alive, and which read the platform."""
+"""Tracks which hosts of a data centre are alive and which read the platform."""
 
 from hollyknot_coordination.membership._membership import Membership
 from hollyknot_coordination.membership._neighbours import (
--- a/packages/coordination/src/hollyknot_coordination/membership/_membership.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_membership.py
@@ -1,7 +1,8 @@
-"""Liveness of the hosts of one data centre, after the SWIM protocol.
+"""Tracks the liveness of a data centre's hosts with the SWIM protocol.
 
-It decides who is gossiped to and who reads from the platform. It does not
-decide who holds claims: the host list alone does that.
+Liveness decides which peers receive gossip and which hosts read from the
+platform. It does not decide which hosts hold claims: the host list alone does
+that.
 """
 
 import math
@@ -27,20 +28,26 @@
 )
 
 SUSPICION_ROUNDS = 4
-"""Rounds of suspicion, for each power of ten of the hosts."""
+"""Probe rounds after which a suspect is declared dead.
+
+The number is multiplied by the decimal logarithm of the number of hosts.
+"""
 
 MIN_NEIGHBOURS = 3
-"""Alive neighbours below which a host gossips with any peer."""
+"""Number of alive neighbours below which a host gossips with any alive peer."""
 
 MAX_UPDATES = 8
-"""Updates in one message."""
+"""Maximum number of member updates in one message.
+
+One update about a receiver that is not believed alive may be added.
+"""
 
 PAUSE_GAP_S = 2 * ROUND_S
-"""A gap between ticks above this means that this process was paused."""
+"""Seconds between two ticks above which this process counts as paused."""
 
 
 class Membership:
-    """Probes peers, takes and gives updates, and keeps the view of peers."""
+    """Probes peers, exchanges updates and keeps the list of alive peers."""
 
     def __init__(self, host: str, rng: random.Random, now_s: float) -> None:
         self._host = host
@@ -56,36 +63,37 @@
 
     @property
     def alive(self) -> tuple[str, ...]:
-        """Peers that are neither suspect nor dead."""
+        """Peers that are believed neither suspect nor dead."""
         return self._alive
 
     @property
     def suspects(self) -> tuple[str, ...]:
-        """Peers that are suspect."""
+        """Peers that are suspected of being down."""
         return self._table.in_state(MemberState.SUSPECT)
 
     @property
     def is_partition_suspected(self) -> bool:
-        """Whether too many peers are unreachable to have died."""
+        """Whether so many peers are unreachable that a partition is likely."""
         return self._table.is_partition_suspected
 
     @property
     def has_updates(self) -> bool:
-        """Whether updates wait to be told."""
+        """Whether member updates wait to be sent to peers."""
         return bool(self._unsent)
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """Whom to gossip with: neighbours that are alive, else all alive."""
+        """Peers to gossip with: alive neighbours, or all alive if too few."""
         near = tuple(h for h in self._alive if h in self._neighbours)
         return near if len(near) >= MIN_NEIGHBOURS else self._alive
 
     def set_hosts(self, ranked: Sequence[str], now_s: float) -> None:
-        """Takes the live hosts of this data centre in the host list.
+        """Replaces the hosts by those that the host list has now.
 
         Args:
-            ranked: From `rank_hosts`, this host among them.
-            now_s: Monotonic seconds.
+            ranked: Live hosts of this data centre including this one, in the
+                order of `rank_hosts`.
+            now_s: Current time in monotonic seconds.
         """
         self._neighbours = choose_neighbours(self._host, ranked)
         self._probe_targets = tuple(sorted(self._neighbours))
@@ -98,13 +106,13 @@
         self._refresh_alive()
 
     def on_tick(self, now_s: float) -> list[PeerCommand]:
-        """Probes, suspects and buries; call it several times a round."""
+        """Probes peers and expires suspicions; call it several times a round."""
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
         if gap_s > PAUSE_GAP_S:
-            # This process was paused: the answers to its probe lie unread in
-            # its sockets, and everyone would look dead to it. One would
-            # notice suspicions of healthy hosts right after each long pause.
+            # This process was paused, and the answer to its probe may lie
+            # unread in a socket. Without this, healthy hosts would be
+            # suspected right after each long pause.
             self._prober.abandon_probe(now_s)
             self._table.extend_suspicions(gap_s)
         sends = self._prober.on_tick(
@@ -126,7 +134,7 @@
     def on_updates(
         self, peer: str, updates: tuple[MemberUpdate, ...], now_s: float
     ) -> list[PeerCommand]:
-        """Takes what a peer believes, and refutes that this host is gone."""
+        """Merges a peer's updates; refutes any that says this host is down."""
         commands: list[PeerCommand] = []
         for update in updates:
             change = self._table.merge(update, now_s)
@@ -137,26 +145,27 @@
         return [*self._pop_reports(), *commands]
 
     def on_probe(self, peer: str, probe: Probe) -> list[Send]:
-        """Answers a probe."""
+        """Answers a probe of a peer."""
         return self._prober.on_probe(peer, probe)
 
     def on_indirect_probe(
         self, peer: str, probe: IndirectProbe, now_s: float
     ) -> list[Send]:
-        """Probes a listed host on behalf of a peer."""
+        """Probes a host on behalf of a peer, if the host is listed."""
         if probe.target not in self._table:
             return []
         return self._prober.on_indirect_probe(peer, probe, now_s)
 
     def on_ack(self, ack: ProbeAck) -> list[Send]:
-        """Takes an answer to a probe."""
+        """Handles the answer to a probe."""
         return self._prober.on_ack(ack)
 
     def updates_for(self, peer: str) -> tuple[MemberUpdate, ...]:
-        """Returns the updates of one message to a peer and counts them.
+        """Returns the updates for one message to a peer and counts the sends.
 
-        A peer that is not believed alive is told so, whatever else is news:
-        it can then refute it, also when it was cut off while it was buried.
+        A peer that is not believed alive always receives the update about
+        itself. It can then refute it, also if it was partitioned while it was
+        declared dead.
         """
         recency = self._changed_s
         hosts = self._unsent.next_keys(
@@ -167,16 +176,17 @@
         return tuple(self._table.update_of(h) for h in hosts)
 
     def is_suspect_or_dead(self, peer: str) -> bool:
-        """Whether a listed peer is believed suspect or dead."""
+        """Whether a peer is listed and believed suspect or dead."""
         if peer not in self._table:
             return False
         return self._table.state_of(peer) is not MemberState.ALIVE
 
     def _notify_suspect_or_dead(self, probes: list[Send]) -> list[Send]:
-        """Tells a probed peer that it is blamed, so that it can refute it.
+        """Sends probed peers that are not believed alive that belief.
 
-        After a cut has healed nobody would otherwise ever gossip to the hosts
-        of the other side, and each side would hold the other for dead.
+        They can then refute it. Otherwise, after a network partition has
+        healed, no host would gossip to the other side, and each side would go
+        on believing the other dead.
         """
         return [
             Send(send.peer, Gossip(members=(self._table.update_of(send.peer),)))
--- a/packages/coordination/src/hollyknot_coordination/membership/_neighbours.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_neighbours.py
@@ -1,10 +1,11 @@
-"""The few peers that a host probes and gossips with.
-
-With all peers in turn, each pair of hosts of a large data centre would meet
-less often than a link may idle, and nearly each message would cost a new link
-with its handshake. A few peers by a hash of the pair make a random graph, over
-which news spreads as fast as over all; the next hosts in rank order make sure
-that each host has peers that probe it and tell it news.
+"""Chooses the few peers that a host probes and gossips with.
+
+If hosts took all peers in turn, each pair in a large data centre would
+exchange messages less often than the idle timeout of a link, and nearly every
+message would need a new link with its handshake. A few peers chosen by a hash
+of the pair form a random graph, over which updates spread as fast as over all
+pairs. The next hosts in rank order are added so that each host has peers that
+probe it and gossip with it.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,18 +13,18 @@
 import xxhash
 
 SUCCESSORS = 4
-"""Next hosts in rank order; so each host is probed by four at least."""
+"""Number of next hosts in rank order; each host is probed by at least four."""
 
 RANDOM_NEIGHBOURS = 8
-"""Peers by the hash of the pair."""
+"""Number of peers that are chosen by the hash of the pair."""
 
 
 def choose_neighbours(host: str, ranked: Sequence[str]) -> frozenset[str]:
     """Returns the neighbours of a host among ranked hosts.
 
     Args:
-        host: The host, one of the ranked.
-        ranked: From `rank_hosts`.
+        host: Name of the host, which must be among the ranked hosts.
+        ranked: Hosts of its data centre in the order of `rank_hosts`.
     """
     peers = [h for h in ranked if h != host]
     position = ranked.index(host)
@@ -35,7 +36,7 @@
 def closest_hosts(
     host: str, peers: Iterable[str], count: int
 ) -> tuple[str, ...]:
-    """Returns peers by the hash of the pair, the same at each call."""
+    """Returns the peers with the smallest hash of the pair; deterministic."""
     return tuple(sorted(peers, key=lambda p: _pair_hash(host, p))[:count])
 
 
--- a/packages/coordination/src/hollyknot_coordination/membership/_prober.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_prober.py
@@ -1,4 +1,4 @@
-"""Probes one peer a round, itself and through others, in a shuffled ring."""
+"""Probes one peer in each round, directly and then through other peers."""
 
 import random
 from collections.abc import Callable
@@ -9,16 +9,22 @@
 from hollyknot_state import IndirectProbe, Probe, ProbeAck
 
 ROUND_S = 1.0
-"""Seconds between probes; also the time in which one must be answered."""
+"""Seconds between probes, and the time limit for the answer to each."""
 
 DIRECT_TIMEOUT_S = 0.4
-"""Seconds after which others are asked; far above a round trip."""
+"""Seconds without an answer after which other peers are asked to probe.
+
+This is far above a round trip within a data centre.
+"""
 
 MAX_HELPERS = 2
-"""Peers that are asked to probe for this host."""
+"""Maximum number of peers that are asked to probe for this host."""
 
 RELAY_TTL_S = 2.0
+"""Seconds for which the answer to a probe for another host is awaited."""
+
 MAX_RELAYS = 256
+"""Maximum number of probes for other hosts that are under way at once."""
 
 _NO_TARGET = ""
 
@@ -31,7 +37,7 @@
 
 
 class Prober:
-    """The ring, the probe under way and the probes on behalf of others."""
+    """Probes peers in a shuffled order and relays probes for other hosts."""
 
     def __init__(self, rng: random.Random, now_s: float) -> None:
         self._rng = rng
@@ -51,14 +57,15 @@
         suspect: Callable[[str], None],
         now_s: float,
     ) -> list[Send]:
-        """Goes on with the round.
+        """Advances the round, or starts the next one when it is over.
 
         Args:
-            listed: Peers to probe; each is probed once in two turns of the
-                ring at most, also a dead one, so that it is found again.
-            alive: Peers that may be asked to help.
-            suspect: Called with a peer that nobody reached in the round.
-            now_s: Monotonic seconds.
+            listed: Peers to probe. Each is probed again within two passes over
+                them at most. Dead peers are included, so that a host that
+                returns is detected.
+            alive: Peers that may be asked to probe for this host.
+            suspect: Called with the peer that did not answer in the round.
+            now_s: Current time in monotonic seconds.
         """
         if now_s >= self._next_s:
             if self._target:
@@ -71,13 +78,13 @@
         return []
 
     def on_probe(self, peer: str, probe: Probe) -> list[Send]:
-        """Answers that this host is alive."""
+        """Returns the answer that this host is alive."""
         return [Send(peer, ProbeAck(probe.sequence))]
 
     def on_indirect_probe(
         self, peer: str, probe: IndirectProbe, now_s: float
     ) -> list[Send]:
-        """Probes a host on behalf of a peer."""
+        """Probes a host on behalf of a peer; ignored above `MAX_RELAYS`."""
         if len(self._relays) >= MAX_RELAYS:
             return []
         sequence = self._next_sequence()
@@ -87,7 +94,7 @@
         return [Send(probe.target, Probe(sequence))]
 
     def on_ack(self, ack: ProbeAck) -> list[Send]:
-        """Takes an answer, for this host or for one that asked it to help."""
+        """Handles an answer; passes it on if the probe was made for a peer."""
         if self._target and ack.sequence == self._target_sequence:
             self._target = _NO_TARGET
             return []
@@ -97,7 +104,7 @@
         return [Send(relay.requester, ProbeAck(relay.sequence))]
 
     def abandon_probe(self, now_s: float) -> None:
-        """Gives up the probe under way without blaming its target."""
+        """Abandons the probe under way without suspecting its target."""
         self._target = _NO_TARGET
         self._next_s = now_s + ROUND_S
 
--- a/packages/coordination/src/hollyknot_coordination/membership/_readers.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_readers.py
@@ -1,18 +1,18 @@
-"""Who reads from the platform: a few hosts of each data centre."""
+"""Chooses the few hosts of each data centre that read from the platform."""
 
 from collections.abc import Iterable
 
 import xxhash
 
 READERS = 3
-"""Readers in a data centre: two may fail at once and one still reads."""
+"""Number of readers in a data centre; two may fail at once."""
 
 
 def rank_hosts(hosts: Iterable[str]) -> tuple[str, ...]:
-    """Returns hosts by rendezvous hash, the first reader first.
+    """Returns the hosts in the order of their rendezvous hash.
 
-    When a host comes or goes, the order of the others stays, so that at most
-    one reader changes.
+    The readers are the first ones. When a host is added or removed, the order
+    of the others stays the same, so that at most one reader changes.
     """
     return tuple(
         sorted(hosts, key=lambda h: (xxhash.xxh3_64_intdigest(h.encode()), h))
@@ -22,10 +22,10 @@
 def choose_readers(
     ranked: Iterable[str], alive: frozenset[str]
 ) -> tuple[str, ...]:
-    """Returns the readers among ranked hosts.
+    """Returns the first ranked hosts that are alive.
 
     Args:
-        ranked: From `rank_hosts`.
-        alive: Hosts that this host can reach, and itself.
+        ranked: Hosts of a data centre in the order of `rank_hosts`.
+        alive: Hosts that this host believes alive, including itself.
     """
     return tuple(h for h in ranked if h in alive)[:READERS]
--- a/packages/coordination/src/hollyknot_coordination/membership/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_table.py
@@ -1,8 +1,8 @@
-"""What a host believes of the hosts of its data centre.
+"""Holds what a host believes about the state of its peers.
 
-A belief is ordered by incarnation, then by state, so that hosts that hear the
-same updates in any order believe the same. Only the host itself raises its
-incarnation, which is how it refutes that it is dead.
+Beliefs are ordered by incarnation, then by state, so that hosts that receive
+the same updates in any order hold the same beliefs. A host raises its own
+incarnation, and no other, to refute that it is suspect or dead.
 """
 
 import enum
@@ -18,21 +18,31 @@
 }
 
 PARTITION_FRACTION = 0.25
-"""The share of unreachable peers from which a cut is assumed.
+"""Fraction of unreachable peers from which a network partition is suspected.
 
-Of 278 hosts of a data centre about 9 fail in a day; 70 at once do not die one
-by one. A cut leaves at least one side with a larger share unreachable.
+Of 278 hosts of a data centre about 9 fail in a day, so 70 that are unreachable
+at once have not failed independently. A partition leaves a larger fraction
+unreachable on at least one side.
 """
 
 PARTITION_MIN_PEERS = 2
-"""One lost peer of several is a crash, however few there are."""
+"""Minimum number of unreachable peers from which a partition is suspected.
+
+One unreachable peer of several counts as a crash, however few peers there are.
+"""
 
 
 class MemberChange(enum.Enum):
-    """What an update did to a table."""
+    """Effect of an update on a table.
 
-    CHANGED = "news"
-    UNCHANGED = "known"
+    Attributes:
+        CHANGED: The update replaced an older belief.
+        UNCHANGED: The update is superseded, or its host is not listed.
+        REFUTED: The update contradicts what this host says of itself.
+    """
+
+    CHANGED = "changed"
+    UNCHANGED = "unchanged"
     REFUTED = "refuted"
 
 
@@ -44,7 +54,7 @@
 
 
 class MemberTable:
-    """Beliefs about the listed hosts of one data centre but this one."""
+    """Holds beliefs about the listed hosts of a data centre except this one."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -55,30 +65,31 @@
         self._unreachable_neighbours = 0
 
     def __contains__(self, host: str) -> bool:
-        """Whether a host is a listed peer."""
+        """Returns whether a host is a listed peer."""
         return host in self._members
 
     def __len__(self) -> int:
-        """Returns how many peers are listed."""
+        """Returns the number of listed peers."""
         return len(self._members)
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """All listed peers."""
+        """Names of all listed peers."""
         return tuple(self._members)
 
     @property
     def own_update(self) -> MemberUpdate:
-        """What this host says of itself."""
+        """Update that says that this host is alive."""
         return MemberUpdate(self._host, MemberState.ALIVE, self._incarnation)
 
     @property
     def is_partition_suspected(self) -> bool:
-        """Whether too many peers are unreachable to have died.
+        """Whether so many peers are unreachable that a partition is likely.
 
-        Of all peers, or of those that this host probes: when it is cut off by
-        itself nobody tells it of the others. It ends when enough answer again,
-        or when the host list, which the platform makes, no longer has them.
+        Both all peers and those that this host probes are counted: a host that
+        is partitioned alone receives no updates about the others. The
+        suspicion ends when enough peers answer again, or when the host list
+        that the platform publishes no longer contains them.
         """
         return _suggests_partition(
             self._unreachable, len(self._members)
@@ -87,29 +98,29 @@
         )
 
     def state_of(self, host: str) -> MemberState:
-        """Returns the belief about a listed peer."""
+        """Returns the state that a listed peer is believed to be in."""
         return self._members[host].state
 
     def update_of(self, host: str) -> MemberUpdate:
-        """Returns the belief about a host, as it is told to others."""
+        """Returns the update to send about this host or a listed peer."""
         if host == self._host:
             return self.own_update
         member = self._members[host]
         return MemberUpdate(host, member.state, member.incarnation)
 
     def in_state(self, *states: MemberState) -> tuple[str, ...]:
-        """Returns the peers of which any of these is believed."""
+        """Returns the peers that are believed to be in any of these states."""
         return tuple(h for h, m in self._members.items() if m.state in states)
 
     def set_hosts(
         self, hosts: frozenset[str], neighbours: frozenset[str], now_s: float
     ) -> None:
-        """Takes the hosts that the host list has in this data centre.
+        """Replaces the listed peers by those that the host list has now.
 
         Args:
-            hosts: All of them.
-            neighbours: Those that this host probes itself.
-            now_s: Monotonic seconds.
+            hosts: All hosts of this data centre in the host list.
+            neighbours: Hosts among them that this host probes.
+            now_s: Current time in monotonic seconds.
         """
         self._neighbours = neighbours
         for host in [h for h in self._members if h not in hosts]:
@@ -119,10 +130,10 @@
         self._update_counts()
 
     def merge(self, update: MemberUpdate, now_s: float) -> MemberChange:
-        """Takes a belief of another host.
+        """Merges an update that another host sent.
 
-        During a suspected partition a death is taken as a suspicion: the two
-        sides of a cut would otherwise bury each other.
+        During a suspected partition, DEAD counts as SUSPECT: the two sides of
+        a partition would otherwise declare each other dead.
         """
         if update.host == self._host:
             return self._refute(update)
@@ -143,7 +154,7 @@
         return MemberChange.CHANGED
 
     def suspect(self, host: str, now_s: float) -> MemberChange:
-        """Takes that a peer did not answer this host's probe."""
+        """Marks a peer that did not answer this host's probe as suspect."""
         member = self._members.get(host)
         if member is None:
             return MemberChange.UNCHANGED
@@ -152,14 +163,17 @@
         )
 
     def expire(self, timeout_s: float, now_s: float) -> tuple[str, ...]:
-        """Turns old suspicions into deaths, but not in a suspected partition.
+        """Declares peers dead that were suspect for the timeout.
+
+        During a suspected partition no peer is declared dead.
 
         Returns:
-            The hosts that are believed dead from now on.
+            Hosts that were declared dead by this call.
         """
         if self.is_partition_suspected:
-            # Timers begin anew when it ends: the first hosts to answer after
-            # a cut would otherwise let all others die at that moment.
+            # The timers start again when the partition ends. Otherwise all
+            # other suspects would be declared dead at the moment when enough
+            # hosts answer again.
             for member in self._members.values():
                 member.since_s = now_s
             return ()
@@ -173,7 +187,7 @@
         return tuple(dead)
 
     def extend_suspicions(self, by_s: float) -> None:
-        """Gives suspects more time, after this host was paused itself."""
+        """Extends the timers of all suspicions after a pause of this process."""
         for member in self._members.values():
             member.since_s += by_s
 
@@ -181,8 +195,9 @@
         is_alive = update.state is MemberState.ALIVE
         if is_alive and update.incarnation <= self._incarnation:
             return MemberChange.UNCHANGED
-        # Blame of an older incarnation is answered too: the refutation may
-        # have been lost, and that peer would hold this host for dead for good.
+        # An update with an older incarnation is refuted too: the earlier
+        # refutation may have been lost, and the peer would otherwise never
+        # learn that this host is alive.
         if update.incarnation >= self._incarnation:
             self._incarnation = update.incarnation + 1
         return MemberChange.REFUTED
