--- a/packages/coordination/src/hollyknot_coordination/membership/_membership.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_membership.py
@@ -106,7 +106,7 @@
         self._refresh_alive()
 
     def on_tick(self, now_s: float) -> list[PeerCommand]:
-        """Probes peers and expires suspicions; call it several times a round."""
+        """Probes peers, expires suspicions; call it several times a round."""
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
         if gap_s > PAUSE_GAP_S:
--- a/packages/coordination/src/hollyknot_coordination/membership/_table.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/_table.py
@@ -187,7 +187,7 @@
         return tuple(dead)
 
     def extend_suspicions(self, by_s: float) -> None:
-        """Extends the timers of all suspicions after a pause of this process."""
+        """Extends all suspicions after a pause of this process."""
         for member in self._members.values():
             member.since_s += by_s
 
--- a/packages/coordination/src/hollyknot_coordination/spread/__init__.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/__init__.py
@@ -1,4 +1,4 @@
-"""How documents, liveness and signals spread between hosts."""
+"""Spreads documents, liveness and signals between hosts by gossip."""
 
 from hollyknot_coordination._peer_commands import (
     Apply,
--- a/packages/coordination/src/hollyknot_coordination/spread/_announced.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_announced.py
@@ -1,21 +1,22 @@
-"""How long a version that was heard of keeps a new host from serving.
+"""Bounds how long a missing version keeps a new host from serving.
 
-The version may be one that nobody can give any more, since the only host that
-held it is gone. It blocks while somebody tells of it: each live holder does so
-every second or two, so that `FORGET_S` of silence means that no holder can be
-reached. A host that tells of a version but never gives it (its link carries
-bytes one way only) blocks for `BLOCK_MAX_S` at most.
+No host may be able to send the version any more, for instance if the only
+holder was lost. It blocks while peers announce it: each live holder does so
+every second or two, so `FORGET_S` without an announcement means that no holder
+can be reached. A host that announces a version but never sends it, for instance
+because its link carries bytes in one direction only, blocks for at most
+`BLOCK_MAX_S`.
 """
 
 FORGET_S = 10.0
-"""Seconds after the last telling in which a version still blocks."""
+"""Seconds after its last announcement during which a version blocks."""
 
 BLOCK_MAX_S = 60.0
-"""Seconds without any progress after which nothing blocks any more."""
+"""Seconds without an applied version after which nothing blocks."""
 
 
 class AnnouncedVersion:
-    """The highest version heard of, and since when it is lacking."""
+    """Tracks the highest announced version and since when one is missing."""
 
     def __init__(self) -> None:
         self._version = 0
@@ -24,11 +25,11 @@
 
     @property
     def version(self) -> int:
-        """The highest version that a host said it holds."""
+        """Highest version that a host announced."""
         return self._version
 
     def observe(self, version: int, now_s: float) -> None:
-        """Takes that a host holds a version that this host lacks."""
+        """Records that a peer announced a version that this host is missing."""
         self._missing_since_s = min(self._missing_since_s, now_s)
         if now_s - self._announced_s >= FORGET_S:
             self._version = 0
@@ -37,11 +38,11 @@
             self._announced_s = now_s
 
     def on_applied(self) -> None:
-        """Takes that a newer version came in force."""
+        """Records that a newer version was put in force."""
         self._missing_since_s = float("inf")
 
     def on_rejected(self, version: int) -> None:
-        """Takes that a version is invalid, so that it lacks no more."""
+        """Records that a version is invalid and so no longer missing."""
         if version == self._version:
             self._version = 0
             self._announced_s = float("-inf")
@@ -49,12 +50,12 @@
     def blocks_readiness(
         self, in_force: int, wanted: int, now_s: float
     ) -> bool:
-        """Whether a host that holds a version must not begin to serve.
+        """Returns whether a missing version keeps the host from serving.
 
         Args:
-            in_force: What it holds.
-            wanted: The highest version that a source holds now.
-            now_s: Monotonic seconds.
+            in_force: Version that the host has in force.
+            wanted: Highest version that a source holds now.
+            now_s: Current time in monotonic seconds.
         """
         if now_s - self._missing_since_s >= BLOCK_MAX_S:
             return False
--- a/packages/coordination/src/hollyknot_coordination/spread/_delta_log.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_delta_log.py
@@ -1,8 +1,8 @@
-"""The last changes of a document, forwards and backwards.
+"""Keeps the last changes of a document in both directions.
 
-Two hosts may come to one version by different steps, when one of them skipped
-a version. A host therefore names the last versions that it can go back to;
-whoever has changes from any one of them can answer with a delta.
+Two hosts may reach a version by different steps if one of them skipped a
+version. A request therefore lists the last versions that its sender can go
+back to, and a peer that has the changes since any of them answers with a delta.
 """
 
 from collections.abc import Iterable
@@ -18,16 +18,19 @@
 from hollyknot_state import DocumentDelta, DocumentRecord, DocumentVersion
 
 MAX_STEPS = 64
-"""Changes kept: nearly five minutes of them at 0.22 a second."""
+"""Maximum number of kept changes: almost five minutes at 0.22 a second."""
 
 MAX_DELTA_BYTES = 131_072
-"""A larger change is not kept; the whole document in pages is no dearer."""
+"""Maximum bytes of a kept change.
+
+For a larger one, sending the full document in pages costs no more.
+"""
 
 MAX_LOG_BYTES = 1_048_576
-"""Bytes of all kept changes, in both directions."""
+"""Maximum bytes of all kept changes, counting both directions."""
 
 MAX_BASES = 8
-"""Versions that a request names. The log may reach further back."""
+"""Maximum number of versions in a request; the log may reach further back."""
 
 
 @attrs.frozen
@@ -43,7 +46,7 @@
 
 
 class DeltaLog:
-    """Consecutive changes that lead to the snapshot in force."""
+    """Holds consecutive changes that lead to the snapshot in force."""
 
     def __init__(self) -> None:
         self._steps: list[_Step] = []
@@ -56,7 +59,8 @@
         back = invert_change(change, old.records)
         step = _Step(old.version, new, change, back)
         if old.version.version == 0 or change.size > MAX_DELTA_BYTES:
-            # A gap: what is kept must lead to the snapshot in force.
+            # This step is not kept, so the earlier ones no longer lead to the
+            # snapshot in force.
             self._steps.clear()
             self._size = 0
             return
@@ -66,7 +70,7 @@
             self._size -= self._steps.pop(0).size
 
     def bases(self, in_force: Snapshot) -> tuple[DocumentVersion, ...]:
-        """Returns versions that a delta may start from, newest first."""
+        """Returns the versions that a delta may start from, newest first."""
         if in_force.version.version == 0:
             return ()
         steps = self._steps[:-MAX_BASES:-1]
@@ -75,10 +79,10 @@
     def snapshot_at(
         self, in_force: Snapshot, wanted: DocumentVersion
     ) -> Snapshot | DocumentVersion:
-        """Goes back to an earlier version.
+        """Reconstructs the snapshot of an earlier version.
 
         Returns:
-            The snapshot, or the wanted version if the log does not reach it.
+            The snapshot, or the wanted version if the log does not contain it.
         """
         snapshot = in_force
         for step in reversed(self._steps):
@@ -93,11 +97,11 @@
     def delta_from(
         self, bases: Iterable[DocumentVersion]
     ) -> DocumentDelta | tuple[DocumentVersion, ...]:
-        """Returns one delta from the first of the bases that the log knows.
+        """Merges the changes since the first base that the log contains.
 
         Returns:
-            The delta to the snapshot in force, or the bases if none is known
-            or the delta would be too large.
+            The delta to the snapshot in force, or the bases if the log
+            contains none of them or the delta would be too large.
         """
         starts = {step.base: i for i, step in enumerate(self._steps)}
         tried = tuple(bases)
--- a/packages/coordination/src/hollyknot_coordination/spread/_document.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_document.py
@@ -1,9 +1,10 @@
-"""One document on one host: what is in force and how a newer one comes in.
+"""Holds a host's version of a document in force and applies newer ones.
 
-Versions in force only rise. A lower or equal version changes nothing, whoever
-offers it: a platform restored from an older copy would otherwise take back
-what the whole fleet has applied. A body is checked before it is in force; an
-invalid one is remembered as rejected and is spread no further.
+The version in force only rises. A lower or equal version changes nothing,
+whoever offers it: a platform that is restored from an older copy would
+otherwise undo what the whole fleet has applied. A body is checked before it is
+put in force. An invalid version is remembered as rejected and not announced to
+peers.
 """
 
 import enum
@@ -43,22 +44,24 @@
 )
 
 MAX_REJECTED = 64
+"""Maximum number of remembered rejected versions; the lowest are dropped."""
+
 PAGED_IDLE_S = 30.0
-"""Seconds without a request after which the pages' bytes are let go."""
+"""Seconds without a request after which the bytes of the pages are freed."""
 
 
 class Absent(enum.Enum):
-    """Stands where a host has nothing yet."""
+    """Type of the placeholder for a value that a host does not have yet."""
 
     ABSENT = "absent"
 
 
 @attrs.frozen
 class Invalid:
-    """A check's refusal.
+    """Result of a check that rejects a version.
 
     Attributes:
-        problems: What is wrong, for an operator.
+        problems: Description of the faults, for an operator.
     """
 
     problems: str
@@ -66,13 +69,13 @@
 
 @attrs.frozen
 class Candidate:
-    """A newer version that a check has to judge.
+    """A newer version that is to be checked.
 
     Attributes:
-        snapshot: The version and its records.
-        change: What differs from the version in force, so that a check may
-            look at the changed records only.
-        previous: What the check made of the version in force, or `Absent`.
+        snapshot: Version to check with its records.
+        change: Difference from the version in force, so that a check can
+            limit itself to the changed records.
+        previous: Result of the check for the version in force, or `Absent`.
     """
 
     snapshot: Snapshot
@@ -81,21 +84,21 @@
 
     @property
     def version(self) -> int:
-        """The version or revision."""
+        """Version of declarations, or revision of a host list."""
         return self.snapshot.version.version
 
     @property
     def body(self) -> bytes:
-        """The whole document, in the shape in which the platform gives it."""
+        """Full document as JSON, in the format of the platform."""
         return write_body(self.snapshot)
 
 
 Check = Callable[[Candidate], object]
-"""Returns the parsed value, or `Invalid`. It raises nothing."""
+"""Function that returns the parsed value or `Invalid`, and never raises."""
 
 
 class DocumentState:
-    """Holds a document's version in force and fetches what is newer."""
+    """Holds a document's version in force and fetches newer versions."""
 
     def __init__(
         self, document: DocumentKind, check: Check, rng: random.Random
@@ -115,21 +118,21 @@
 
     @property
     def version(self) -> DocumentVersion:
-        """The version in force; version 0 before there is one."""
+        """Version in force, with the number 0 before there is one."""
         return self._in_force.version
 
     @property
     def read_after(self) -> int:
-        """The version after which to ask the platform.
+        """Version number above which the platform is asked for a version.
 
-        A rejected version is not read again: it would cost each reader its
-        whole body at each read until the operators publish the next.
+        A rejected version is not read again. Otherwise each reader would
+        download its full body at each read until operators publish the next.
         """
         rejected = max((v.version for v in self._rejected), default=0)
         return max(self.version.version, rejected)
 
     def is_caught_up(self, now_s: float) -> bool:
-        """Whether a version is in force and none above it is heard of."""
+        """Returns whether a version is in force and no higher one is known."""
         in_force = self.version.version
         wanted = self._fetcher.wanted
         return in_force > 0 and not self._announced.blocks_readiness(
@@ -139,13 +142,14 @@
     def on_platform(
         self, version: int, body: bytes, now_s: float
     ) -> list[PeerCommand]:
-        """Takes what the platform gave, be it older or newer."""
+        """Handles a document that was read from the platform, old or new."""
         if version <= self.read_after:
             return []
         try:
             records = read_records(self._document, body)
         except UnreadableError as error:
-            # Digest 0: a peer may still bring this version in good order.
+            # With digest 0 a readable body of this version from a peer is not
+            # rejected.
             unreadable = DocumentVersion(self._document, version, 0)
             return self._reject(unreadable, str(error))
         return self._process_snapshot(
@@ -155,7 +159,7 @@
     def on_version(
         self, peer: str, version: DocumentVersion, now_s: float
     ) -> list[PeerCommand]:
-        """Takes the version that a peer says it holds."""
+        """Handles the announcement of the version that a peer holds."""
         in_force = self.version
         commands: list[PeerCommand] = []
         is_conflict = (
@@ -175,7 +179,7 @@
     def on_delta(
         self, peer: str, delta: DocumentDelta, now_s: float
     ) -> list[PeerCommand]:
-        """Takes an answer in the form of a delta."""
+        """Handles a delta that answers a request."""
         if not self._is_missing(delta.target):
             return self._next_request(now_s)
         base = self._log.snapshot_at(self._in_force, delta.base)
@@ -186,13 +190,15 @@
             if snapshot.version == delta.target:
                 if delta.base != self.version:
                     return self._process_snapshot(snapshot, now_s)
-                # Comparing all records would be most of a change's cost.
+                # The delta is the change already. Comparing all records would
+                # take most of the time that a change costs.
                 held = base.records
                 removed = tuple(p for p in delta.removed if p in held)
                 change = Change(delta.changed, removed)
                 return self._check_and_apply(snapshot, change, now_s)
-            # The two hosts hold different bodies under the base's digest, or
-            # one computes wrongly. The whole document settles it.
+            # Either the hosts hold different bodies with the same digest, or
+            # one of them computed its digest wrongly. The full document
+            # resolves both.
             self._must_fetch_full = True
         self._fetcher.on_failure(peer)
         return self._next_request(now_s)
@@ -200,7 +206,7 @@
     def on_page(
         self, peer: str, page: DocumentPage, now_s: float
     ) -> list[PeerCommand]:
-        """Takes an answer in the form of a page."""
+        """Handles a page that answers a request."""
         if not self._is_missing(page.version):
             return self._next_request(now_s)
         found = self._fetcher.handle_page(peer, page)
@@ -216,7 +222,7 @@
     def on_fetch(
         self, peer: str, request: FetchDocument, now_s: float
     ) -> list[Send]:
-        """Answers a peer's request, or returns nothing if it can't."""
+        """Answers a peer's request; returns nothing if it cannot."""
         if request.page > 0:
             return self._send_page(peer, request, now_s)
         if self.version.version == 0:
@@ -229,17 +235,17 @@
         return [Send(peer, self._paged_document(now_s).page(0))]
 
     def on_tick(self, now_s: float) -> list[PeerCommand]:
-        """Sends a request again whose time is up, and lets go of pages."""
+        """Repeats a request that timed out and frees unused pages."""
         if now_s - self._paged_used_s > PAGED_IDLE_S:
             self._paged = Absent.ABSENT
         return self._next_request(now_s)
 
     def retain_sources(self, hosts: Collection[str]) -> None:
-        """Forgets what was heard from hosts that are not among these."""
+        """Forgets the announcements of hosts that are not among these."""
         self._fetcher.retain(hosts)
 
     def drop_source(self, host: str) -> None:
-        """Forgets what was heard from a host that is believed dead."""
+        """Forgets the announcements of a host that is believed dead."""
         self._fetcher.drop(host)
 
     def _is_missing(self, version: DocumentVersion) -> bool:
@@ -261,7 +267,7 @@
     def _check_and_apply(
         self, snapshot: Snapshot, change: Change, now_s: float
     ) -> list[PeerCommand]:
-        """Checks a newer snapshot and puts it in force or rejects it."""
+        """Checks a newer snapshot, then puts it in force or rejects it."""
         value = self._check(Candidate(snapshot, change, self._value))
         if isinstance(value, Invalid):
             commands = self._reject(snapshot.version, value.problems)
@@ -309,10 +315,12 @@
             return []
 
     def _paged_document(self, now_s: float) -> PagedDocument:
-        """Returns pages of the version in force or of one a delta leads from.
+        """Returns the pages of the version in force, or of a recent version.
 
-        While many new hosts fetch the whole, each change would otherwise make
-        each source write its bytes again and the hosts begin again.
+        The pages of a recent version are kept as long as a delta leads from it
+        to the version in force. Otherwise, while many new hosts fetch the full
+        document, each change would make every source serialise it again and
+        every host start again at page 0.
         """
         paged = self._paged
         if isinstance(paged, Absent) or (
--- a/packages/coordination/src/hollyknot_coordination/spread/_fetcher.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_fetcher.py
@@ -1,8 +1,9 @@
-"""Fetches a newer version of a document from the hosts that said they hold it.
+"""Fetches a newer version of a document from the hosts that announced it.
 
-A source goes when it leaves the host list, is believed dead, or fails
-`MAX_FAILURES` requests in a row; when it tells of the version again it counts
-again. So a version that nobody can give any more is not asked for for ever.
+A source is dropped when it leaves the host list, is believed dead, or fails
+`MAX_FAILURES` requests in a row. It becomes a source again when it announces
+the version again. So a version that no host can send any more is not requested
+for ever.
 """
 
 import random
@@ -21,14 +22,16 @@
 )
 
 REQUEST_TIMEOUT_S = 1.0
+"""Seconds after which a request without an answer has failed."""
+
 MAX_FAILURES = 3
-"""Requests in a row that a source may leave without an answer of use."""
+"""Consecutive failed requests after which a source is dropped."""
 
 MAX_ASSEMBLY_FAILURES = 2
-"""Requests in a row after which begun pages are given up."""
+"""Consecutive failed requests after which partial pages are discarded."""
 
 MAX_SOURCES = 256
-"""Sources kept; more would not make a fetch succeed sooner."""
+"""Maximum number of sources; more would not make a fetch finish sooner."""
 
 _NO_PEER = ""
 
@@ -40,7 +43,7 @@
 
 
 class Fetcher:
-    """Who holds newer versions, and the one request that is under way."""
+    """Tracks the sources of newer versions and the one request under way."""
 
     def __init__(self, document: DocumentKind, rng: random.Random) -> None:
         self._document = document
@@ -53,14 +56,14 @@
 
     @property
     def wanted(self) -> int:
-        """The highest version that a source holds; 0 if none is newer."""
+        """Highest version that a source holds, or 0 if there are no sources."""
         return max((s.version for s in self._sources.values()), default=0)
 
     def add_source(self, peer: str, version: int) -> None:
-        """Takes that a peer holds a version that this host lacks.
+        """Records that a peer holds a version that this host is missing.
 
-        A lower version than before is a message that was overtaken: what a
-        process holds never falls.
+        A lower version than before comes from a message that was overtaken,
+        since the version that a process holds never falls.
         """
         source = self._sources.get(peer)
         if source is not None:
@@ -69,18 +72,18 @@
             self._sources[peer] = _Source(version)
 
     def drop(self, peer: str) -> None:
-        """Forgets a source."""
+        """Removes a source."""
         self._sources.pop(peer, None)
         if self._peer == peer:
             self._peer = _NO_PEER
 
     def retain(self, peers: Collection[str]) -> None:
-        """Forgets the sources that are not among these hosts."""
+        """Removes the sources that are not among these hosts."""
         for peer in [p for p in self._sources if p not in peers]:
             self.drop(peer)
 
     def drop_unwanted(self, is_wanted: Callable[[int], bool]) -> None:
-        """Forgets what is not lacking any more, after a version came."""
+        """Drops sources and pages of versions that are no longer missing."""
         for peer, source in list(self._sources.items()):
             source.failures = 0
             if not is_wanted(source.version):
@@ -90,13 +93,14 @@
             self._assembly = ()
 
     def on_failure(self, peer: str) -> None:
-        """Counts a request that brought nothing of use."""
+        """Counts a request that failed or brought an unusable answer."""
         if self._peer == peer:
             self._peer = _NO_PEER
         self._consecutive_failures += 1
         if self._consecutive_failures >= MAX_ASSEMBLY_FAILURES:
-            # All sources may have gone on to a newer version and let go of
-            # the pages of this one; asking on for them would never end.
+            # All sources may have moved on to a newer version and freed the
+            # pages of this one, so that requests for them would go on for
+            # ever.
             self._assembly = ()
         source = self._sources.get(peer)
         if source is None:
@@ -108,10 +112,11 @@
     def handle_page(
         self, peer: str, page: DocumentPage
     ) -> tuple[DocumentVersion, Records] | tuple[()]:
-        """Takes a page that is lacking.
+        """Handles a page of a version that is missing.
 
         Returns:
-            The version and its records with the last page, else nothing.
+            The version and its records after the last page, else an empty
+            tuple.
         """
         try:
             if not self._add(page):
@@ -137,7 +142,7 @@
 
         Args:
             bases: Versions that a delta may start from.
-            now_s: Monotonic seconds.
+            now_s: Current time in monotonic seconds.
         """
         if self._peer and now_s >= self._deadline_s:
             self.on_failure(self._peer)
@@ -148,7 +153,7 @@
         return [Send(self._peer, self._request(bases))]
 
     def _add(self, page: DocumentPage) -> bool:
-        """Adds a page that is lacking; tells whether it was."""
+        """Adds a page if it is the next missing one; returns whether it was."""
         current = self._assembly
         if page.page > 0:
             return current.add(page) if current else False
--- a/packages/coordination/src/hollyknot_coordination/spread/_pages.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_pages.py
@@ -1,7 +1,8 @@
-"""Whole documents in pages that any holder of the version can give.
+"""Splits full documents into pages that any holder of a version can send.
 
-A page is a slice of the document's canonical bytes, compressed by itself, so
-that a host whose source dies goes on with another one at the same page.
+A page is a slice of the document's canonical bytes that is compressed on its
+own, so that a host whose source fails can continue with the same page at
+another source.
 """
 
 import zlib
@@ -17,18 +18,21 @@
 from hollyknot_state import DocumentPage, DocumentVersion
 
 PAGE_BYTES = 131_072
-"""Bytes of a page before compression; well below the largest frame."""
+"""Bytes of a page before compression, well below the maximum frame size."""
 
 MAX_PAGES = 1_024
-"""A document of more than 128 MB is a mistake or an attack on memory."""
+"""Maximum number of pages of a document.
+
+A document above 128 MB is a mistake or an attempt to exhaust memory.
+"""
 
 
 class PageError(ValueError):
-    """A page or the pages together are no document."""
+    """Raised if a page does not exist or the pages form no valid document."""
 
 
 class PagedDocument:
-    """A document's canonical bytes, kept while hosts ask for its pages."""
+    """Holds a document's canonical bytes and serves pages of them."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._version = snapshot.version
@@ -36,39 +40,43 @@
 
     @property
     def version(self) -> DocumentVersion:
-        """The version that the pages make up."""
+        """Version of the document."""
         return self._version
 
     @property
     def pages(self) -> int:
-        """How many pages there are; at least 1."""
+        """Number of pages, at least 1."""
         return -(-len(self._body) // PAGE_BYTES)
 
     def page(self, index: int) -> DocumentPage:
-        """Returns a page, from 0.
+        """Returns the page with an index, counted from 0.
 
         Raises:
-            PageError: There is no such page.
+            PageError: The index is out of range.
         """
         if not 0 <= index < self.pages:
-            raise PageError(f"page {index} of {self.pages} was asked for")
+            raise PageError(
+                f"page {index} requested; the document has {self.pages}"
+            )
         start = index * PAGE_BYTES
         body = zlib.compress(self._body[start : start + PAGE_BYTES])
         return DocumentPage(self._version, index, self.pages, body)
 
 
 class PageAssembly:
-    """Pages of one version, put together in order."""
+    """Assembles the pages of one version in order."""
 
     def __init__(self, first: DocumentPage) -> None:
-        """Begins with page 0.
+        """Creates an assembly that holds page 0.
 
         Raises:
-            PageError: It can't be one.
+            PageError: The page is not page 0, announces more than `MAX_PAGES`
+                pages, or cannot be decompressed.
         """
         if first.page != 0 or first.pages > MAX_PAGES:
             raise PageError(
-                f"page {first.page} of {first.pages} can't begin a document"
+                f"page {first.page} of {first.pages} cannot start a document;"
+                f" expected page 0 of at most {MAX_PAGES}"
             )
         self._version = first.version
         self._pages = first.pages
@@ -76,24 +84,24 @@
 
     @property
     def version(self) -> DocumentVersion:
-        """The version that is being put together."""
+        """Version that is being assembled."""
         return self._version
 
     @property
     def next_page(self) -> int:
-        """The page that is missing first."""
+        """Index of the first missing page."""
         return len(self._bodies)
 
     @property
     def is_whole(self) -> bool:
-        """Whether no page is missing."""
+        """Whether all pages are present."""
         return len(self._bodies) == self._pages
 
     def add(self, page: DocumentPage) -> bool:
-        """Takes a page; tells whether it was the one that was missing first.
+        """Adds the first missing page; returns whether the page was that one.
 
         Raises:
-            PageError: Its body can't be inflated.
+            PageError: The body cannot be decompressed.
         """
         if page.version != self._version or page.pages != self._pages:
             return False
@@ -103,17 +111,17 @@
         return True
 
     def records(self) -> Records:
-        """Returns the records of a whole document.
+        """Returns the records of the assembled document.
 
         Raises:
-            PageError: The pages are no document.
+            PageError: The pages together are not a JSON object.
         """
         try:
             value = orjson.loads(b"".join(self._bodies))
         except orjson.JSONDecodeError as error:
-            raise PageError(f"the pages are no JSON: {error}") from error
+            raise PageError(f"the pages are not valid JSON: {error}") from error
         if not isinstance(value, dict):
-            raise PageError("the pages are no JSON object")
+            raise PageError("the pages are not a JSON object")
         return {path: dump_record(body) for path, body in value.items()}
 
 
@@ -123,13 +131,13 @@
 
 
 def _inflate(body: bytes) -> bytes:
-    # A few bytes of zlib can stand for gigabytes; without the bound a faulty
-    # peer would end this process by its memory.
+    # A few bytes can decompress to gigabytes. Without the bound, a faulty peer
+    # could make this process run out of memory.
     inflater = zlib.decompressobj()
     try:
         plain = inflater.decompress(body, PAGE_BYTES + 1)
     except zlib.error as error:
-        raise PageError(f"the page can't be inflated: {error}") from error
+        raise PageError(f"the page cannot be decompressed: {error}") from error
     if len(plain) > PAGE_BYTES or not inflater.eof:
-        raise PageError(f"the page is cut or above {PAGE_BYTES} bytes")
+        raise PageError(f"the page is truncated or above {PAGE_BYTES} bytes")
     return plain
--- a/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_peer_state.py
@@ -1,7 +1,8 @@
-"""Documents, liveness and signals of one host, in one class.
+"""Combines the documents, the liveness and the signals of one host.
 
-The host's task gives it events and the time and executes its commands. It is
-deterministic for given events, times and random source.
+The host's task passes events and the time to `PeerState` and executes the
+commands that it returns. The result is deterministic for given events, times
+and random source.
 """
 
 import random
@@ -38,25 +39,29 @@
 )
 
 TICK_S = 0.2
-"""How often `on_tick` should be called, in seconds."""
+"""Seconds between the calls of `on_tick`."""
 
 UPDATE_ROUND_S = 0.5
+"""Mean seconds between rounds of gossip while updates wait to be sent."""
+
 IDLE_ROUND_S = 1.0
+"""Mean seconds between rounds of gossip while no updates wait."""
+
 FANOUT = 2
-"""Peers of the data centre that a round of gossip reaches."""
+"""Number of peers of the data centre that receive gossip in each round."""
 
 ANNOUNCE_FANOUT = 4
-"""Peers that a host tells at once of a version that came in force."""
+"""Number of peers that are notified at once of a version put in force."""
 
 PAUSE_GAP_S = 2.0
-"""A gap between calls above this is a pause of this process."""
+"""Seconds between two calls above which this process counts as paused."""
 
 AFTER_PAUSE_S = 1.0
-"""Seconds after a pause in which messages count as old as the pause."""
+"""Seconds after a pause during which messages count as old as the pause."""
 
 
 class PeerState:
-    """What one host knows of documents, peers and signals."""
+    """Holds what a host knows about documents, peers and signals."""
 
     def __init__(
         self,
@@ -66,15 +71,15 @@
         rng: random.Random,
         now_s: float,
     ) -> None:
-        """Starts with nothing known.
+        """Creates the state of a host that has no documents or peers yet.
 
         Args:
-            host: This host's name in the host list.
-            data_centre: Where it runs.
-            checks: For each document. That of the host list returns a
-                `HostList` or `Invalid`.
-            rng: For all random choices.
-            now_s: Monotonic seconds.
+            host: Name of this host in the host list.
+            data_centre: Data centre in which this host runs.
+            checks: Check function for each document. The check of the host
+                list returns a `HostList` or `Invalid`.
+            rng: Random source for all random choices.
+            now_s: Current time in monotonic seconds.
         """
         self._host = host
         self._data_centre = data_centre
@@ -95,36 +100,36 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the host may serve; once true it stays so."""
+        """Whether the host may serve. Once true, it stays true."""
         return self._readiness.is_ready
 
     def is_caught_up(self, now_s: float) -> bool:
-        """Whether no version is heard of above those in force."""
+        """Returns whether all documents are in force and none is outdated."""
         return all(d.is_caught_up(now_s) for d in self._documents.values())
 
     @property
     def is_partition_suspected(self) -> bool:
-        """Whether too many peers are unreachable to have died."""
+        """Whether so many peers are unreachable that a partition is likely."""
         return self._membership.is_partition_suspected
 
     @property
     def is_reader(self) -> bool:
-        """Whether this host reads the platform for its data centre."""
+        """Whether this host reads from the platform for its data centre."""
         return self._host in self._readers
 
     @property
     def readers(self) -> tuple[str, ...]:
-        """The readers of this data centre, as this host sees it."""
+        """Readers of this data centre as this host sees them."""
         return self._readers
 
     @property
     def signals(self) -> SignalStore:
-        """The soft signals, to read."""
+        """Advisory signals that this host knows, for reading."""
         return self._signals
 
     @property
     def versions(self) -> tuple[DocumentVersion, ...]:
-        """The versions in force."""
+        """Versions in force, one for each document."""
         return tuple(d.version for d in self._documents.values())
 
     def version_in_force(self, document: DocumentKind) -> int:
@@ -132,21 +137,21 @@
         return self._documents[document].version.version
 
     def read_after(self, document: DocumentKind) -> int:
-        """Returns the version after which to ask the platform."""
+        """Returns the version above which to ask the platform."""
         return self._documents[document].read_after
 
     def alive_peers(self, data_centre: str) -> tuple[str, ...]:
-        """Returns peers that are believed alive.
+        """Returns the hosts of a data centre that are believed alive.
 
-        Of this data centre by probes; of others those of the host list, since
-        nobody probes across data centres.
+        For this data centre probes decide. For others all live entries of the
+        host list are returned, since hosts do not probe across data centres.
         """
         if data_centre == self._data_centre:
             return self._membership.alive
         return self._topology.hosts_of(data_centre)
 
     def on_tick(self, now_s: float) -> list[PeerCommand]:
-        """Does what is due; call it every `TICK_S`."""
+        """Returns the commands that are due; call it every `TICK_S` seconds."""
         self._detect_pause(now_s)
         commands = self._follow_up(self._membership.on_tick(now_s), now_s)
         for document in self._documents.values():
@@ -163,7 +168,7 @@
     def on_message(
         self, peer: str, message: PeerMessage, now_s: float
     ) -> list[PeerCommand]:
-        """Takes a message of an authenticated peer."""
+        """Handles a message of an authenticated peer."""
         self._detect_pause(now_s)
         commands = self._follow_up(self._dispatch(peer, message, now_s), now_s)
         self._check_ready(now_s)
@@ -172,14 +177,14 @@
     def on_platform_document(
         self, document: DocumentKind, version: int, body: bytes, now_s: float
     ) -> list[PeerCommand]:
-        """Takes a document that the platform gave.
+        """Handles a document that was read from the platform.
 
         Args:
-            document: Which document.
-            version: Its version or revision.
-            body: The value as JSON: the declarations without their version,
-                or the host list.
-            now_s: Monotonic seconds.
+            document: Document that was read.
+            version: Version of the declarations, or revision of the host list.
+            body: Document as JSON: the declarations without their version, or
+                the host list.
+            now_s: Current time in monotonic seconds.
         """
         self._detect_pause(now_s)
         state = self._documents[document]
@@ -197,7 +202,7 @@
         signs: Iterable[UpstreamSign] = (),
         suspects: Iterable[SuspectRecord] = (),
     ) -> None:
-        """Takes signals that this host saw itself, to tell them."""
+        """Adds signals that this host observed itself, to gossip them."""
         for pressure in pressures:
             self._signals.note_pressure(pressure, now_s)
         for sign in signs:
@@ -257,7 +262,7 @@
     def _follow_up(
         self, commands: list[PeerCommand], now_s: float
     ) -> list[PeerCommand]:
-        """Follows up on what came in force and on who died."""
+        """Handles applied documents and changed peers; adds what follows."""
         followed = list(commands)
         for command in commands:
             match command:
@@ -286,7 +291,7 @@
         self._readers = choose_readers(self._topology.own_ranked, alive)
 
     def _announce(self) -> list[PeerCommand]:
-        """Tells a few peers at once what is in force."""
+        """Sends the versions in force to a few peers at once."""
         targets = set(
             sample_hosts(self._membership.targets, ANNOUNCE_FANOUT, self._rng)
         )
@@ -294,7 +299,7 @@
             targets.update(self._readers)
             targets.update(self._topology.remote_readers(self._rng))
         targets.discard(self._host)
-        # In a fixed order: a set's order differs between runs of Python.
+        # Sorted, because the order of a set differs between Python processes.
         return [
             Send(peer, Gossip(versions=self.versions))
             for peer in sorted(targets)
@@ -306,8 +311,9 @@
         self._next_round_s = now_s + pause_s * self._rng.uniform(0.9, 1.1)
         fanout = FANOUT if self.is_ready else max(FANOUT, MIN_CONTACTS)
         targets = sample_hosts(self._membership.targets, fanout, self._rng)
-        # A suspect that hears of it can refute it; it would otherwise die of
-        # a probe that was lost, as soon as nobody gossips to it any more.
+        # A suspect that receives gossip can refute the suspicion. Otherwise a
+        # single lost probe would get it declared dead, since nobody would
+        # gossip to it any more.
         targets += sample_hosts(self._membership.suspects, 1, self._rng)
         if self.is_reader:
             targets += self._topology.next_remote(self._rng)
--- a/packages/coordination/src/hollyknot_coordination/spread/_polling.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_polling.py
@@ -1,4 +1,4 @@
-"""Which documents this host reads from the platform."""
+"""Decides which documents this host reads from the platform."""
 
 import random
 
@@ -10,23 +10,29 @@
 from hollyknot_state import DocumentKind
 
 READ_PAUSE_S = 3.0
-"""Mean seconds between a reader's reads of one document.
+"""Mean seconds between two reads of a document by a reader.
 
-Readers read at random times and tell each other at once, so that most ask
-after the version that is newest already and get no body. A watch that waits at
-the platform would bring the whole body to each reader at each change.
+Readers read at random times and notify each other at once, so that most reads
+ask for a version above the newest one and return no body. A watch that waits at
+the platform would send the full body to every reader at each change.
 """
 
 START_JITTER_S = 2.0
-"""A new host waits up to this long, so that a fleet that starts at one moment
-does not ask the platform at one moment."""
+"""Maximum seconds for which a new host waits before its first read.
+
+The wait is random, so that a fleet that starts all at once does not read from
+the platform all at once.
+"""
 
 PEER_WAIT_S = 4.0
-"""Seconds for which a new host that has the host list waits for its peers."""
+"""Seconds for which a new host with a host list waits for documents of peers.
+
+After them it reads from the platform, even if it is not a reader.
+"""
 
 
 class Polling:
-    """Starts and stops the reading of each document."""
+    """Starts and stops the reads of each document."""
 
     def __init__(self, rng: random.Random, now_s: float) -> None:
         self._start_s = now_s + rng.uniform(0, START_JITTER_S)
@@ -39,12 +45,12 @@
         is_reader: bool,
         now_s: float,
     ) -> list[PeerCommand]:
-        """Starts or stops reading.
+        """Returns the commands that start or stop reads.
 
         Args:
             held: Documents of which a version is in force.
             is_reader: Whether this host is a reader of its data centre.
-            now_s: Monotonic seconds.
+            now_s: Current time in monotonic seconds.
         """
         if DocumentKind.HOSTS in held:
             self._host_list_since_s = min(self._host_list_since_s, now_s)
@@ -65,9 +71,10 @@
     def _earliest_read_s(
         self, document: DocumentKind, is_reader: bool
     ) -> float:
-        """Returns from when on a document may be read.
+        """Returns the earliest time at which a document may be read.
 
-        The host list comes first: without it there are no peers to ask.
+        The host list is read first, because without it there are no peers to
+        fetch other documents from.
         """
         if document is DocumentKind.HOSTS:
             return self._start_s
--- a/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
@@ -1,22 +1,25 @@
-"""When a new host may begin to serve."""
+"""Decides when a new host may start to serve."""
 
 from collections.abc import Iterable
 
 from hollyknot_coordination.spread._document import DocumentState
 
 MIN_CONTACTS = 3
-"""Peers that a new host has to hear before it counts itself caught up."""
+"""Number of peers whose gossip a new host waits for before it serves."""
 
 CONTACT_TIMEOUT_S = 10.0
-"""Seconds after which it no longer waits for peers that stay silent."""
+"""Seconds after which a new host stops waiting for gossip of peers.
+
+The time counts from when it has a version of all documents.
+"""
 
 
 class Readiness:
-    """Becomes ready once and stays so.
+    """Holds whether the host is ready; once ready, it stays ready.
 
-    A host that serves goes on with the last good version while a newer one is
-    on its way, and through any outage of the platform: to stop serving at each
-    change would stop all hosts at once.
+    A serving host continues with the last valid version while it fetches a
+    newer one, and during any outage of the platform. If hosts stopped serving
+    at each change, all would stop at the same time.
     """
 
     def __init__(self) -> None:
@@ -30,19 +33,19 @@
         return self._is_ready
 
     def add_contact(self, peer: str) -> None:
-        """Counts a peer that told its versions."""
+        """Records a peer that announced its versions."""
         if not self._is_ready:
             self._contacts.add(peer)
 
     def check(
         self, documents: Iterable[DocumentState], peers: int, now_s: float
     ) -> None:
-        """Becomes ready if nothing is lacking.
+        """Sets the host ready if it heard its peers and no version is missing.
 
         Args:
-            documents: All documents.
-            peers: How many peers the host list has in this data centre.
-            now_s: Monotonic seconds.
+            documents: States of all documents.
+            peers: Number of peers that the host list has in this data centre.
+            now_s: Current time in monotonic seconds.
         """
         if self._is_ready:
             return
--- a/packages/coordination/src/hollyknot_coordination/spread/_records.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_records.py
@@ -1,10 +1,10 @@
-"""A document as records, so that a small change costs little to tell.
+"""Splits documents into records, so that small changes make small deltas.
 
-A record's path is `section/key` where a section is a JSON object, and just
-`section` where it is not. The list of hosts is taken as an object by name. A
-digest is the sum of the records' hashes: it changes with each record, does not
-depend on their order, and is updated without reading the unchanged ones.
-Peers are authenticated, so that the hash need not resist forgery.
+The path of a record is `section/key` if the section is a JSON object, and
+`section` otherwise. The list of hosts is treated as an object that is keyed by
+name. A digest is the sum of the hashes of the records: it changes with each
+record, does not depend on their order, and is updated without reading the
+unchanged ones. Peers are authenticated, so the hash need not resist forgery.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,7 +17,7 @@
 from hollyknot_state import DocumentKind, DocumentRecord, DocumentVersion
 
 Records = dict[str, bytes]
-"""Record bodies by path. Never changed once it is in a `Snapshot`."""
+"""Record bodies by path; not modified once it is in a `Snapshot`."""
 
 _DIGEST_MASK = (1 << 63) - 1
 _HOST_ENTRIES = "entries"
@@ -29,7 +29,7 @@
 
 
 class UnreadableError(ValueError):
-    """A body is no document at all, so that its records have no digest."""
+    """Raised if a body cannot be split into records, so it has no digest."""
 
 
 @attrs.frozen
@@ -37,8 +37,8 @@
     """A document at a version.
 
     Attributes:
-        version: With the document's name and the digest.
-        records: All records.
+        version: Version number with the document's kind and the digest.
+        records: Bodies of all records by path.
     """
 
     version: DocumentVersion
@@ -50,8 +50,8 @@
     """The difference between two snapshots of a document.
 
     Attributes:
-        changed: Records that are new or differ.
-        removed: Paths that are gone.
+        changed: Records that are new or that differ.
+        removed: Paths of the records that were removed.
     """
 
     changed: tuple[DocumentRecord, ...]
@@ -59,20 +59,20 @@
 
     @property
     def size(self) -> int:
-        """Bytes of its paths and bodies."""
+        """Total bytes of the paths and bodies."""
         size = sum(len(r.path) + len(r.body) for r in self.changed)
         return size + sum(len(path) for path in self.removed)
 
 
 def empty_snapshot(document: DocumentKind) -> Snapshot:
-    """Returns what a host holds before it has learnt anything."""
+    """Returns the snapshot of a host that has not received a version yet."""
     return Snapshot(DocumentVersion(document, 0, 0), {})
 
 
 def make_snapshot(
     document: DocumentKind, version: int, records: Mapping[str, bytes]
 ) -> Snapshot:
-    """Returns the snapshot of records, with their digest."""
+    """Returns a snapshot of the records with their digest."""
     digest = sum(_hash(path, body) for path, body in records.items())
     return Snapshot(
         DocumentVersion(document, version, digest & _DIGEST_MASK), records
@@ -80,18 +80,20 @@
 
 
 def read_records(document: DocumentKind, body: bytes) -> Records:
-    """Returns the records of a document as the platform gives it.
+    """Returns the records of a document in the format of the platform.
 
     Raises:
-        UnreadableError: The body is no JSON object, or its parts cannot be
-            told apart by name.
+        UnreadableError: The body is not a JSON object, or its parts do not
+            have unique names.
     """
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise UnreadableError(f"the body is no JSON: {error}") from error
+        raise UnreadableError(f"the body is not valid JSON: {error}") from error
     if not isinstance(value, dict):
-        raise UnreadableError("the body is no JSON object; publish an object")
+        raise UnreadableError(
+            "the body is not a JSON object; publish an object"
+        )
     value.pop(_VERSION_FIELDS[document], None)
     if document is DocumentKind.HOSTS:
         named = _by_name(value.pop(_HOST_ENTRIES, None))
@@ -101,9 +103,9 @@
 
 
 def write_body(snapshot: Snapshot) -> bytes:
-    """Returns the document as its check reads it: the platform's shape.
+    """Returns the document in the format of the platform, for its check.
 
-    The host list has its revision; declarations have no version.
+    The host list contains its revision; declarations do not contain a version.
     """
     document = snapshot.version.document
     value: dict[str, Any] = {}
@@ -120,17 +122,18 @@
 
 
 def dump_record(value: Any) -> bytes:
-    """Returns a record's body: JSON with sorted keys.
+    """Returns the body of a record as JSON with sorted keys.
 
-    The copy is not idle: orjson gives bytes in a buffer of 4 KB and leaves it
-    so. One would notice a host growing by 70 MB with 18,000 customers.
+    The bytes are copied because orjson returns them in a buffer of 4 KB that
+    it does not shrink. Without the copy a host grows by 70 MB with 18,000
+    customers.
     """
     written = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
     return bytes(bytearray(written))
 
 
 def invert_change(change: Change, old: Mapping[str, bytes]) -> Change:
-    """Returns what leads back to old records after a change of them."""
+    """Returns the change that reverts a change of the old records."""
     paths = (*(r.path for r in change.changed), *change.removed)
     changed = (DocumentRecord(p, old[p]) for p in paths if p in old)
     added = (r.path for r in change.changed if r.path not in old)
@@ -138,7 +141,7 @@
 
 
 def find_change(old: Mapping[str, bytes], new: Mapping[str, bytes]) -> Change:
-    """Returns what leads from old records to new ones."""
+    """Returns the change that leads from the old records to the new ones."""
     changed = (
         DocumentRecord(path, body)
         for path, body in new.items()
@@ -153,7 +156,7 @@
     changed: Iterable[DocumentRecord],
     removed: Iterable[str],
 ) -> Snapshot:
-    """Returns the snapshot that a change leads to, with its own digest."""
+    """Returns the snapshot that results from a change, with its digest."""
     records = dict(base.records)
     digest = base.version.digest
     for path in removed:
@@ -178,13 +181,13 @@
 
 def _by_name(entries: Any) -> dict[str, Any]:
     if not isinstance(entries, list):
-        raise UnreadableError("entries: is no array; publish an array")
+        raise UnreadableError("entries: is not an array; publish an array")
     named: dict[str, Any] = {}
     for i, entry in enumerate(entries):
         name = entry.get(_ENTRY_NAME) if isinstance(entry, dict) else ""
         if not isinstance(name, str) or not name or name in named:
             raise UnreadableError(
-                f"entries[{i}]: has no name of its own; give it a unique one"
+                f"entries[{i}]: has no unique name; give it one"
             )
         named[name] = entry
     return named
@@ -194,9 +197,11 @@
     records: Records = {}
     for section, content in value.items():
         if "/" in section:
-            raise UnreadableError(f"{section}: has a slash; rename the field")
-        # A part without entries stays a record of its own. Dropped here, an
-        # unknown one would never be seen by the check: a version that has
+            raise UnreadableError(
+                f"{section}: contains a slash; rename the field"
+            )
+        # An empty section stays a record of its own. If it were dropped, the
+        # check would not see an unknown one, and a version that contains
         # nothing else would pass as empty and remove all customers.
         if isinstance(content, dict) and content:
             records.update(
--- a/packages/coordination/src/hollyknot_coordination/spread/_topology.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_topology.py
@@ -1,4 +1,4 @@
-"""The host list as gossip needs it: hosts by data centre, and targets."""
+"""Groups the hosts of the host list by data centre and picks gossip targets."""
 
 import random
 from collections.abc import Iterable
@@ -7,11 +7,11 @@
 from hollyknot_state import EntryState, HostList, Role
 
 REMOTE_TARGETS = 3
-"""Hosts of each other data centre that a reader gossips with."""
+"""Number of hosts of each other data centre that a reader gossips with."""
 
 
 class Topology:
-    """Hosts by data centre, from the host list in force."""
+    """Holds the live hosts of each data centre from the host list in force."""
 
     def __init__(self, host: str, data_centre: str) -> None:
         self._host = host
@@ -24,24 +24,24 @@
 
     @property
     def hosts(self) -> frozenset[str]:
-        """All live hosts of all data centres, this one too if listed."""
+        """All live hosts of all data centres, including this host."""
         return self._hosts
 
     @property
     def own_ranked(self) -> tuple[str, ...]:
-        """This data centre's hosts by rendezvous hash, this host among them.
+        """Hosts of this data centre by rendezvous hash, including this host.
 
-        A host that the list does not have yet counts itself: it would
-        otherwise read nothing where it is the first of its data centre.
+        This host is included even if it is not listed yet. Otherwise the first
+        host of a data centre would never read from the platform.
         """
         return self._ranked.get(self._data_centre, (self._host,))
 
     def hosts_of(self, data_centre: str) -> tuple[str, ...]:
-        """Returns a data centre's live hosts by rendezvous hash."""
+        """Returns the live hosts of a data centre by rendezvous hash."""
         return self._ranked.get(data_centre, ())
 
     def set_host_list(self, host_list: HostList) -> None:
-        """Takes the host list that is in force from now on."""
+        """Replaces the hosts by those of a new host list."""
         groups: dict[str, set[str]] = {self._data_centre: {self._host}}
         for entry in host_list.entries:
             if entry.role is Role.HOST and entry.state is EntryState.LIVE:
@@ -55,9 +55,10 @@
         }
 
     def next_remote(self, rng: random.Random) -> tuple[str, ...]:
-        """Returns a host of the next other data centre, in turn.
+        """Returns a host of another data centre, by round robin over them.
 
-        One of a few that stay the same, so that links are used again.
+        It is chosen from a few hosts that stay the same, so that links are
+        reused.
         """
         if not self._remote:
             return ()
@@ -66,10 +67,10 @@
         return (rng.choice(self._remote_hosts[data_centre]),)
 
     def remote_readers(self, rng: random.Random) -> tuple[str, ...]:
-        """Returns one host of each other data centre that likely reads.
+        """Returns one probable reader of each other data centre.
 
-        A reader that hears of a version at once does not read it again from
-        the platform, which would cost the whole body.
+        A reader that is notified of a version at once does not download its
+        full body from the platform again.
         """
         return tuple(
             rng.choice(self._ranked[data_centre][:READERS])
@@ -80,6 +81,6 @@
 def sample_hosts(
     hosts: Iterable[str], count: int, rng: random.Random
 ) -> tuple[str, ...]:
-    """Returns some hosts at random, all if there are not more."""
+    """Returns a random sample of the hosts, or all if there are fewer."""
     pool = tuple(hosts)
     return tuple(rng.sample(pool, min(count, len(pool))))
