--- a/packages/coordination/src/hollyknot_coordination/membership/tests/test_membership.py
+++ b/packages/coordination/src/hollyknot_coordination/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Liveness under crashes, pauses and cuts, over the in-memory network."""
+"""Tests liveness under crashes, pauses and network partitions."""
 
 import random
 from collections import Counter
@@ -22,20 +22,21 @@
 
 
 def make_network() -> Network:
-    """Starts sixteen hosts of one data centre that know each other."""
+    """Starts sixteen ready hosts of one data centre."""
     network = Network()
     network.platform.publish_hosts(1, HOSTS)
     network.platform.publish(DECLARATIONS, 1, {})
     for name in HOSTS:
         network.add(name, "a")
     network.run(15)
-    # A host that is not ready asks for answers, which would hide a fault.
+    # A host that is not ready asks its peers for gossip, which would hide
+    # faults.
     assert all(n.state.is_ready for n in network.nodes.values())
     return network
 
 
 def seen_alive(network: Network, host: str) -> list[bool]:
-    """Returns for each other host whether it believes a host alive."""
+    """Returns for each other host whether it believes the host alive."""
     return [
         host in n.state.alive_peers("a")
         for n in network.nodes.values()
@@ -44,7 +45,7 @@
 
 
 class TestMembership:
-    """What hosts believe of each other."""
+    """Tests what hosts believe about each other."""
 
     def test_crashed_host_is_detected_by_all(self) -> None:
         network = make_network()
@@ -55,10 +56,9 @@
         assert not network.nodes["h0"].state.is_partition_suspected
 
     def test_a_host_that_one_peer_cannot_reach_stays_alive(self) -> None:
-        """Symptom: a healthy host flaps between alive and suspect.
+        """A host that one peer cannot reach must not flap to suspect.
 
-        One peer's link to it has gone silent. Cause: suspicion by one's own
-        probe alone.
+        It would if a peer suspected a host after its own probe alone.
         """
         network = make_network()
         network.is_cut = lambda a, b: {a, b} == {"h3", "h4"}
@@ -67,10 +67,10 @@
             assert all(seen_alive(network, "h3"))
 
     def test_lost_probes_alone_declare_nobody_dead(self) -> None:
-        """Symptom: healthy hosts are believed dead on a lossy network.
+        """Healthy hosts must not be declared dead on a lossy network.
 
-        Three messages in ten are lost, so that suspicions are frequent. Cause:
-        a suspect that nobody gossips to and that hears of it too late.
+        Three messages in ten are lost, so suspicions are frequent. A suspect
+        that receives no gossip would learn of the suspicion too late.
         """
         network = make_network()
         network.loss = 0.3
@@ -81,10 +81,11 @@
             assert DEAD not in states
 
     def test_suspect_is_notified_in_each_round(self) -> None:
-        """Symptom: a healthy host with few probers is believed dead.
+        """A suspect must learn of the suspicion before it expires.
 
-        It was suspected by a lost probe, and is probed again only after the
-        suspicion has run out. Cause: gossip to hosts that are alive only.
+        A healthy host that few hosts probe may be suspected after a lost probe
+        and probed again only after the suspicion expired. It would be declared
+        dead if gossip went to alive hosts only.
         """
         network = make_network()
         network.is_cut = lambda _a, b: b == "h3"
@@ -102,12 +103,11 @@
         assert notifications >= 3
 
     def test_lost_refutation_is_repeated(self) -> None:
-        """Symptom: a healthy host is believed dead by one peer for good.
+        """No peer may believe a healthy host dead for good.
 
-        Two peers suspect it; it refutes, and the message to the second is
-        lost, or it had heard of the first alone. The second goes on blaming
-        it by the old incarnation. Cause: blame of an old incarnation was
-        passed over as known.
+        Two peers believe a host dead and it refutes, but the second peer does
+        not receive the refutation and sends its belief with the old
+        incarnation. The host must refute that too.
         """
         member = Membership("h0", random.Random(1), 0.0)
         member.set_hosts(("h0", "h1", "h2"), 0.0)
@@ -119,10 +119,10 @@
             ]
 
     def test_a_paused_host_refutes_its_death(self) -> None:
-        """Symptom: a host that was paused gets no gossip any more.
+        """A host that resumes after a pause must become alive again.
 
-        It is believed dead, and its links were closed while it slept, so that
-        it has not heard so. Cause: a dead host that nobody probes any more.
+        It was declared dead and its links were closed, so the updates about
+        it are lost. It would stay dead if hosts did not probe dead peers.
         """
         network = make_network()
         network.nodes["h3"].paused_until_s = network.now_s + 60
@@ -134,10 +134,11 @@
         assert all(seen_alive(network, "h3"))
 
     def test_partitioned_host_is_found_again(self) -> None:
-        """Symptom: a data centre loses its readers when one link heals.
+        """A host that rejoins must not make its peers look down.
 
-        One host was cut off for a minute, suspects all others and tells them
-        so when it is back. Cause: news of a host that was itself cut off.
+        It was partitioned for a minute and gossips its suspicion of all others
+        when it is back. If peers adopted it, the data centre would lose its
+        readers.
         """
         network = make_network()
         network.is_cut = lambda a, b: "h3" in (a, b)
@@ -147,18 +148,18 @@
         for _ in range(80):
             network.run(0.5)
             for node in network.nodes.values():
-                # h3 itself may be missing, and the target of the probe that
-                # h3 had under way when its link healed.
+                # h3 itself may be missing, and so may the target of the probe
+                # that h3 had under way when the partition healed.
                 if node.name != "h3":
                     assert len(node.state.alive_peers("a")) >= 13
         assert all(seen_alive(network, "h3"))
         assert len(network.nodes["h3"].state.alive_peers("a")) == 15
 
     def test_resumed_host_suspects_nobody(self) -> None:
-        """Symptom: suspicions of healthy hosts after each long pause.
+        """A host must not suspect healthy peers after a long pause.
 
-        A host sends a probe, is paused and looks at its clock first when it
-        wakes; the answer lies unread. Cause: time that passed while it slept.
+        It is paused after it sent a probe, and checks its clock before it
+        reads the answer. The pause must not count as time without an answer.
         """
         membership = Membership("h0", random.Random(1), 0.0)
         membership.set_hosts(("h0", "h1", "h2"), 0.0)
@@ -170,10 +171,10 @@
         assert membership.alive == ("h1", "h2")
 
     def test_partition_is_not_treated_as_mass_failure(self) -> None:
-        """Symptom: after a cut each half holds the other for dead.
+        """The two sides of a partition must not declare each other dead.
 
-        A data centre is cut in halves for a minute, then heals. Cause:
-        suspicions that turn into deaths whatever their number.
+        A data centre is partitioned into halves for a minute. Suspicions must
+        not expire while so many peers are unreachable.
         """
         network = make_network()
         half = {f"h{i}" for i in range(8)}
@@ -193,10 +194,10 @@
             assert len(node.state.alive_peers("a")) == 15
 
     def test_the_host_list_ends_a_suspected_partition(self) -> None:
-        """Symptom: a partition is reported for ever after a rack has burnt.
+        """A partition must not be suspected for ever after a rack is lost.
 
-        The platform takes the lost hosts off its list. Cause: waiting for
-        hosts that will not answer.
+        The lost hosts never answer again; the platform removes them from the
+        host list.
         """
         network = make_network()
         lost = [f"h{i}" for i in range(6)]
@@ -211,7 +212,7 @@
 
 
 class TestMemberTable:
-    """The order of beliefs."""
+    """Tests the order of beliefs."""
 
     @pytest.mark.parametrize(
         ("first", "second", "believed"),
@@ -243,7 +244,8 @@
         accusation = MemberUpdate("h0", DEAD, 4)
         assert table.merge(accusation, 0.0) is MemberChange.REFUTED
         assert table.own_update == MemberUpdate("h0", ALIVE, 5)
-        # Said again, since the first refutation may be lost, but not raised.
+        # It refutes again, since the first refutation may be lost, but with
+        # the same incarnation.
         assert table.merge(accusation, 0.0) is MemberChange.REFUTED
         assert table.own_update == MemberUpdate("h0", ALIVE, 5)
         confirmation = MemberUpdate("h0", ALIVE, 5)
@@ -251,14 +253,14 @@
 
 
 class TestNeighbours:
-    """The few peers that a host probes and gossips with."""
+    """Tests the choice of the peers that a host probes and gossips with."""
 
     def test_each_host_is_a_neighbour_of_four_and_all_are_connected(
         self,
     ) -> None:
-        """Symptom: a host hears no news and nobody notices its death.
+        """Every host must be probed and must receive gossip.
 
-        Nobody has chosen it. Cause: neighbours at random alone.
+        With random neighbours alone, no host might choose a given one.
         """
         ranked = rank_hosts(f"host-{i}" for i in range(278))
         chosen = {h: choose_neighbours(h, ranked) for h in ranked}
@@ -272,7 +274,7 @@
 
 
 class TestReaders:
-    """Rendezvous hashing of readers."""
+    """Tests the rendezvous hashing of readers."""
 
     def test_a_lost_reader_changes_no_other(self) -> None:
         ranked = rank_hosts(HOSTS)
--- a/packages/coordination/src/hollyknot_coordination/spread/_announced.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_announced.py
@@ -1,7 +1,7 @@
 """Bounds how long a missing version keeps a new host from serving.
 
-No host may be able to send the version any more, for instance if the only
-holder was lost. It blocks while peers announce it: each live holder does so
+Possibly no host can send the version any more, for instance if its only holder
+was lost. It blocks while peers announce it: each live holder does so
 every second or two, so `FORGET_S` without an announcement means that no holder
 can be reached. A host that announces a version but never sends it, for instance
 because its link carries bytes in one direction only, blocks for at most
--- a/packages/coordination/src/hollyknot_coordination/spread/_pages.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_pages.py
@@ -32,7 +32,7 @@
 
 
 class PagedDocument:
-    """Holds a document's canonical bytes and serves pages of them."""
+    """Holds a document's canonical bytes while hosts request its pages."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._version = snapshot.version
--- a/packages/coordination/src/hollyknot_coordination/spread/_records.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_records.py
@@ -89,7 +89,9 @@
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise UnreadableError(f"the body is not valid JSON: {error}") from error
+        raise UnreadableError(
+            f"the body is not valid JSON; publish a JSON object: {error}"
+        ) from error
     if not isinstance(value, dict):
         raise UnreadableError(
             "the body is not a JSON object; publish an object"
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/network.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/network.py
@@ -1,4 +1,4 @@
-"""Hosts over a network in memory, under a virtual clock."""
+"""Simulates hosts on an in-memory network with a virtual clock."""
 
 import heapq
 import itertools
@@ -33,13 +33,15 @@
 
 
 def check_declarations(candidate: Candidate) -> object:
-    """Refuses declarations that say so."""
+    """Rejects declarations that have a true field `invalid`."""
     value = orjson.loads(candidate.body)
-    return Invalid("it says so") if value.get("invalid") else value
+    return (
+        Invalid("the field invalid is set") if value.get("invalid") else value
+    )
 
 
 def check_hosts(candidate: Candidate) -> object:
-    """Reads a host list of host names by data centre."""
+    """Parses a host list whose entries have a name and a data centre."""
     value = orjson.loads(candidate.body)
     entries = tuple(
         HostListEntry(e["name"], Role.HOST, e["dc"], "127.0.0.1", 1)
@@ -53,7 +55,7 @@
 
 @attrs.define
 class Platform:
-    """Both documents as the platform holds them now."""
+    """Stands in for the platform and holds the newest documents."""
 
     documents: dict[DocumentKind, tuple[int, bytes]] = attrs.Factory(dict)
     is_up: bool = True
@@ -64,18 +66,18 @@
     def publish(
         self, document: DocumentKind, version: int, value: object
     ) -> None:
-        """Puts a version in place, be it higher or lower."""
+        """Replaces a document by a version, which may be lower."""
         self.documents[document] = (version, orjson.dumps(value))
 
     def publish_hosts(self, revision: int, hosts: dict[str, str]) -> None:
-        """Puts a host list in place, from names to data centres."""
+        """Replaces the host list by hosts, given as data centres by name."""
         entries = [{"name": n, "dc": d} for n, d in sorted(hosts.items())]
         self.publish(HOSTS, revision, {"entries": entries})
 
 
 @attrs.define
 class Node:
-    """A host with what was observed of it."""
+    """Holds a simulated host and what was observed of it."""
 
     name: str
     data_centre: str
@@ -92,7 +94,7 @@
 
 
 class Network:
-    """Delivers messages late, twice, in another order or not at all."""
+    """Delivers messages, with optional delay, duplication and loss."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -121,7 +123,7 @@
         return node
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the clock and delivers the messages that are due."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             tick_s = min(
@@ -136,7 +138,7 @@
                     self._tick(node)
 
     def execute(self, node: Node, commands: list[PeerCommand]) -> None:
-        """Does what a host's commands say."""
+        """Executes the commands of a host."""
         if node.state.is_ready and not node.held_at_ready:
             node.ready_s = self.now_s
             node.held_at_ready = {
@@ -216,7 +218,7 @@
 
 
 def make_network(hosts: dict[str, str], seed: int = 1) -> Network:
-    """Starts listed hosts over a platform that has version 5 and settles."""
+    """Starts hosts on a platform with version 5 and runs them for 15 s."""
     network = Network(seed)
     network.platform.publish_hosts(1, hosts)
     publish(network, 5)
@@ -227,20 +229,20 @@
 
 
 def publish(network: Network, version: int, **extra: object) -> None:
-    """Publishes declarations whose customer names the version."""
+    """Publishes declarations whose only customer contains the version."""
     value = {"customers": {"c0": {"n": version}}, **extra}
     network.platform.publish(DECLARATIONS, version, value)
 
 
 def in_force(network: Network) -> set[int]:
-    """Returns the versions of declarations that are in force somewhere."""
+    """Returns the versions of declarations in force on any host."""
     return {
         n.state.version_in_force(DECLARATIONS) for n in network.nodes.values()
     }
 
 
 def make_state(name: str, versions: tuple[int, ...]) -> PeerState:
-    """Returns a host that read these versions of declarations."""
+    """Returns the state of a host that read these declarations."""
     state = PeerState(name, "a", CHECKS, random.Random(1), 0.0)
     for version in versions:
         body = b'{"customers":{"c0":{"n":%d}}}' % version
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
@@ -1,4 +1,4 @@
-"""Documents between hosts: spreading, catching up, and what must not happen."""
+"""Tests how documents spread between hosts and how hosts catch up."""
 
 from unittest.mock import ANY
 
@@ -23,7 +23,7 @@
 
 
 class TestSpread:
-    """Documents reach all hosts, and few hosts read the platform."""
+    """Tests that documents reach all hosts and few hosts read the platform."""
 
     def test_a_change_comes_in_force_on_all_hosts(self) -> None:
         network = make_network(TWO_CENTRES)
@@ -40,7 +40,10 @@
         assert all(n.polled == {DECLARATIONS, HOSTS} for n in reading)
 
     def test_a_change_is_read_by_few_of_the_readers(self) -> None:
-        """Ten changes: the six readers would read sixty bodies by watches."""
+        """Ten changes must cost far fewer bodies than the sixty of watches.
+
+        With watches, each of the six readers would read each body.
+        """
         network = make_network(TWO_CENTRES)
         network.platform.bodies = 0
         for version in range(6, 16):
@@ -50,10 +53,10 @@
         assert network.platform.bodies <= 20
 
     def test_crashed_readers_are_replaced(self) -> None:
-        """Symptom: changes stop to come in force in a data centre.
+        """A data centre must get changes after all its readers crash at once.
 
-        Its three readers die at once while the host list still has them, and
-        nobody else reads. Cause: readers chosen from the list alone.
+        The host list still contains them. If readers were chosen from the list
+        alone, no other host would read.
         """
         hosts = {f"h{i}": "a" for i in range(16)}
         network = make_network(hosts)
@@ -66,10 +69,9 @@
         assert in_force(network) == {6}
 
     def test_data_centre_cut_off_from_platform_gets_changes(self) -> None:
-        """Symptom: one data centre stays at an old version.
+        """A data centre that cannot reach the platform must get changes.
 
-        It cannot reach the platform, the other one can. Cause: gossip that
-        stays within a data centre.
+        The other data centre can reach it, so gossip must cross data centres.
         """
         network = make_network(TWO_CENTRES)
         network.is_platform_cut = lambda host: TWO_CENTRES[host] == "b"
@@ -78,10 +80,12 @@
         assert in_force(network) == {6}
 
     def test_partitioned_data_centre_catches_up(self) -> None:
-        """Symptom: one data centre stays at an old version until the next.
+        """A data centre must not stay at an old version after a partition.
 
-        It was cut from the platform and the other one while a change was
-        announced; only the second cut heals. Cause: news told only once.
+        It reached neither the platform nor the other data centre while a
+        change was announced; then only the other data centre is reachable
+        again. It would stay at the old version if a change were announced only
+        once.
         """
         network = make_network(TWO_CENTRES)
         network.is_platform_cut = lambda host: TWO_CENTRES[host] == "b"
@@ -95,13 +99,13 @@
 
 
 class TestVersionsOnlyRise:
-    """Versions in force only rise and are valid."""
+    """Tests that versions in force only rise and are valid."""
 
     def test_a_restored_platform_changes_nothing(self) -> None:
-        """Symptom: a withdrawn setting is in force again.
+        """A withdrawn setting must not come back in force.
 
-        The platform is restored from a copy and offers version 5 after 7, then
-        publishes another 6. Cause: a host that takes what the platform says.
+        The platform is restored from a copy: it offers version 5 after 7, then
+        publishes a different 6. Hosts must ignore versions below theirs.
         """
         network = make_network(ONE_CENTRE)
         network.platform.ignores_after = True
@@ -118,10 +122,11 @@
         assert new.held_at_ready[DECLARATIONS] == 7
 
     def test_an_invalid_version_is_spread_no_further(self) -> None:
-        """Symptom: all hosts log the same refusal, or worse, apply it.
+        """Only hosts that read the platform may see an invalid version.
 
-        The operators publish a version that the check refuses, then a good
-        one. Cause: a version that is announced before it is checked.
+        Operators publish a version that the check rejects, then a valid one.
+        If a version were announced before its check, all hosts would fetch and
+        reject it, or even apply it.
         """
         network = make_network(ONE_CENTRE)
         publish(network, 6, invalid=True)
@@ -139,10 +144,10 @@
         assert in_force(network) == {7}
 
     def test_a_good_version_below_a_rejected_one_is_taken(self) -> None:
-        """Symptom: a host stays at 5 while its peers have 6 in force.
+        """A host must not stay at 5 while its peers have 6 in force.
 
-        It reads the invalid 7 before it hears of 6. Cause: a rejected version
-        that counts as if it were in force.
+        It reads the invalid 7 before it receives an announcement of 6. A
+        rejected version must not count as in force.
         """
         network = make_network(ONE_CENTRE)
         network.is_cut = lambda a, b: "h0" in (a, b)
@@ -160,14 +165,14 @@
 
 
 class TestNewHost:
-    """A new host serves when it has caught up, and is not blocked for ever."""
+    """Tests that a new host serves once caught up, and is never stuck."""
 
     def test_waits_for_three_peers_or_ten_seconds(self) -> None:
-        """Symptom: a new host serves by declarations that were replaced.
+        """A new host must not serve with outdated declarations.
 
-        It reads both documents from a platform that is restored to an older
-        copy before any peer has told it a version. Cause: "nothing higher was
-        heard of" by a host that has heard nobody.
+        It reads both documents from a platform that was restored to an older
+        copy, before any peer has announced a version to it. It must not
+        conclude that its versions are the newest before it heard its peers.
         """
         entries = [{"name": f"h{i}", "dc": "a"} for i in range(5)]
         for heard, ready_s in ((0, 10.0), (2, 10.0), (3, 0.0)):
@@ -183,10 +188,10 @@
             assert first == ready_s
 
     def test_waits_for_highest_announced_version(self) -> None:
-        """Symptom: a new host serves by declarations that were replaced.
+        """A new host must not serve with outdated declarations.
 
-        The platform, restored, offers it version 5; its peers hold 7 and lose
-        most messages. Cause: readiness by any version at all.
+        The restored platform offers version 5; the peers hold 7, and half of
+        all messages are lost. Having some version must not make the host ready.
         """
         network = make_network(ONE_CENTRE)
         publish(network, 7)
@@ -201,16 +206,15 @@
         assert new.state.version_in_force(DECLARATIONS) == 7
 
     @pytest.mark.parametrize(
-        "tells_on", [False, True], ids=["source gone", "never gives"]
+        "keeps_announcing", [False, True], ids=["source gone", "never sends"]
     )
     def test_unavailable_version_blocks_for_a_bounded_time(
-        self, tells_on: bool
+        self, keeps_announcing: bool
     ) -> None:
-        """Symptom: a new host never serves.
+        """A new host must start to serve if nobody sends a missing version.
 
-        The only host with version 9 tells of it and dies, or tells of it for
-        ever while its answers get lost. Cause: waiting for what was heard
-        without a bound.
+        The only host with version 9 announces it and fails, or announces it
+        for ever while its answers are lost. The wait must have a bound.
         """
         network = make_network(ONE_CENTRE)
         hosts = {**ONE_CENTRE, "new": "a"}
@@ -218,7 +222,7 @@
         new = network.add("new", "a")
         announcement = Gossip(versions=(DocumentVersion(DECLARATIONS, 9, 1),))
         for second in range(100):
-            if second == 0 or tells_on:
+            if second == 0 or keeps_announcing:
                 commands = new.state.on_message(
                     "h0", announcement, network.now_s
                 )
@@ -227,13 +231,13 @@
             if second == 8:
                 assert not new.state.is_ready
         assert new.state.is_ready
-        assert new.ready_s <= 100 + 15 + (80 if tells_on else 25)
+        assert new.ready_s <= 100 + 15 + (80 if keeps_announcing else 25)
 
     def test_starts_while_the_platform_is_down(self) -> None:
-        """Symptom: a replaced host serves nothing until the platform is back.
+        """A replaced host must become ready during a platform outage.
 
-        The list has it already; the platform is down when it starts. Cause:
-        documents that come from the platform only.
+        The host list already contains it; the platform is down when it starts,
+        so it must fetch the documents from its peers.
         """
         network = make_network(ONE_CENTRE)
         network.platform.publish_hosts(2, {**ONE_CENTRE, "new": "a"})
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_state_machine.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Random faults against what must always hold of the documents."""
+"""Checks the invariants of spread documents under random faults."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
@@ -1,4 +1,4 @@
-"""Large documents in pages, small changes as deltas."""
+"""Tests transfers of full documents in pages and of changes as deltas."""
 
 import random
 import tracemalloc
@@ -25,13 +25,13 @@
 
 
 class TestWholeDocument:
-    """Large documents in pages, small changes as deltas."""
+    """Tests pages of large documents and deltas of small changes."""
 
     def test_new_host_resumes_pages_at_another_source(self) -> None:
-        """Symptom: a new host begins at page 0 again and again.
+        """A new host must not start again at page 0 when a source fails.
 
-        Each of the hosts that it asks is stopped after a page. Cause: pages
-        that only the host which gave the first can give.
+        The hosts that it fetches from become unreachable after a page. Any
+        other holder must be able to send the next page.
         """
         network = make_network(ONE_CENTRE)
         customers = {f"c{i}": {"key": f"{i:0100}"} for i in range(6_000)}
@@ -59,9 +59,9 @@
         assert pages <= whole + 2
 
     def test_records_take_little_more_memory_than_their_bytes(self) -> None:
-        """Symptom: a host grows by 70 MB with 18,000 customers.
+        """A host must not grow by 70 MB with 18,000 customers.
 
-        Cause: each record keeps the buffer in which it was written.
+        It does if each record keeps the buffer in which it was serialised.
         """
         customers = {f"c{i}": {"key": f"{i:0100}"} for i in range(4_000)}
         body = orjson.dumps({"customers": customers})
@@ -73,10 +73,10 @@
         assert kept < 3 * len(body)
 
     def test_hosts_that_skipped_different_versions_use_deltas(self) -> None:
-        """Symptom: whole documents are sent at each change.
+        """Hosts must not send full documents at each change.
 
-        h0 went from 5 to 7, h1 from 5 over 6. Cause: deltas between
-        neighbouring versions only.
+        h0 went from 5 to 7 and h1 from 5 to 6, so deltas between consecutive
+        versions alone would not suffice.
         """
         first = make_state("h0", (5, 7))
         second = make_state("h1", (5, 6))
@@ -85,10 +85,10 @@
         assert second.version_in_force(DECLARATIONS) == 7
 
     def test_a_check_sees_only_what_differs(self) -> None:
-        """Symptom: a check fails on a customer that it does not know.
+        """A check must not fail on the removal of an unknown customer.
 
-        c1 was added and removed between the two versions. Cause: a delta over
-        several versions that names what its base never had.
+        c1 was added and removed between the two versions. The merged delta
+        names it as removed, though its base never contained it.
         """
         first = make_state("h0", (5,))
         for version, customers in ((6, b'"c1":{}'), (7, b'"c0":{"n":7}')):
@@ -110,10 +110,11 @@
         assert seen[-1].removed == ()
 
     def test_next_version_resolves_conflicting_bodies(self) -> None:
-        """Symptom: two hosts have one version in force and differ for ever.
+        """Hosts with different bodies of one version must converge again.
 
-        The platform, restored, gave out version 5 twice; each host got another
-        body. Cause: a delta from a base that only has the same number.
+        A restored platform published version 5 twice, and each host read
+        another body. A delta must not be applied to a base that has the same
+        number but another digest.
         """
         first = make_state("h0", (4, 5, 6))
         second = make_state("h1", (4,))
@@ -123,10 +124,10 @@
         assert first.versions == second.versions
 
     def test_wrong_delta_makes_host_fetch_full_document(self) -> None:
-        """Symptom: a host's declarations differ from all others'.
+        """A wrong delta must not change the declarations of a host.
 
-        A delta leads to another result than its sender has. Cause: a delta
-        that is applied without a check of its result.
+        The delta leads to another result than its sender holds. The host must
+        compare the digest and fetch the full document.
         """
         state = make_state("h0", (5,))
         base = state.versions[0]
@@ -140,11 +141,11 @@
 
 
 def exchange(holder: PeerState, requester: PeerState) -> list[str]:
-    """Tells one host of another's versions; returns the kinds of messages."""
-    states = {"teller": holder, "learner": requester}
+    """Announces a holder's versions; returns the types of the messages."""
+    states = {"holder": holder, "requester": requester}
     announcement = Gossip(versions=holder.versions)
     queue: list[tuple[str, str, PeerMessage]] = [
-        ("learner", "teller", announcement)
+        ("requester", "holder", announcement)
     ]
     kinds: list[str] = []
     while queue:
