--- a/packages/coordination/src/hollyknot_coordination/_peer_commands.py
+++ b/packages/coordination/src/hollyknot_coordination/_peer_commands.py
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class StartPolling:
-    """Read a document from the platform at intervals until told to stop.
+    """Read a document from the platform at intervals until `StopPolling`.
 
     Each read asks for a version above `PeerState.read_after(document)`, taken
     at that moment, and returns at once if there is none.
--- a/packages/coordination/src/hollyknot_coordination/spread/_announced.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_announced.py
@@ -1,9 +1,9 @@
 """Bounds how long a missing version keeps a new host from serving.
 
 Possibly no host can send the version any more, for instance if its only holder
-was lost. It blocks while peers announce it: each live holder does so
-every second or two, so `FORGET_S` without an announcement means that no holder
-can be reached. A host that announces a version but never sends it, for instance
+was lost. It blocks while peers announce it: each live holder does so every
+second or two, so `FORGET_S` without an announcement means that no holder can be
+reached. A host that announces a version but never sends it, for instance
 because its link carries bytes in one direction only, blocks for at most
 `BLOCK_MAX_S`.
 """
--- a/packages/coordination/src/hollyknot_coordination/spread/_pages.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_pages.py
@@ -75,8 +75,7 @@
         """
         if first.page != 0 or first.pages > MAX_PAGES:
             raise PageError(
-                f"page {first.page} of {first.pages} cannot start a document;"
-                f" expected page 0 of at most {MAX_PAGES}"
+                f"page {first.page} of {first.pages} cannot start a document"
             )
         self._version = first.version
         self._pages = first.pages
--- a/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/_readiness.py
@@ -40,7 +40,7 @@
     def check(
         self, documents: Iterable[DocumentState], peers: int, now_s: float
     ) -> None:
-        """Sets the host ready if it heard its peers and no version is missing.
+        """Sets the host ready if it heard enough peers and misses no version.
 
         Args:
             documents: States of all documents.
--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_peer_state.py
@@ -172,7 +172,7 @@
 
         It reads both documents from a platform that was restored to an older
         copy, before any peer has announced a version to it. It must not
-        conclude that its versions are the newest before it heard its peers.
+        conclude that its versions are the newest before peers announced theirs.
         """
         entries = [{"name": f"h{i}", "dc": "a"} for i in range(5)]
         for heard, ready_s in ((0, 10.0), (2, 10.0), (3, 0.0)):
