--- a/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
+++ b/packages/coordination/src/hollyknot_coordination/spread/tests/test_whole_document.py
@@ -55,8 +55,8 @@
         )
         network.run(12)
         assert new.state.version_in_force(DECLARATIONS) == 6
-        whole = sum(len(c) + 110 for c in customers) // 131_072 + 2
-        assert pages <= whole + 2
+        page_count = sum(len(c) + 110 for c in customers) // 131_072 + 2
+        assert pages <= page_count + 2
 
     def test_records_take_little_more_memory_than_their_bytes(self) -> None:
         """A host must not grow by 70 MB with 18,000 customers.
