--- a/packages/daemon/src/hollyknot_daemon/_flow.py
+++ b/packages/daemon/src/hollyknot_daemon/_flow.py
@@ -117,7 +117,7 @@
     if result.has_started:
         return await response.finish(verdict, refusal)
     if result.answer is not None:
-        return response.whole(result.answer, verdict)
+        return response.respond(result.answer, verdict)
     return response.refuse(refusal)
 
 
--- a/packages/daemon/src/hollyknot_daemon/_host.py
+++ b/packages/daemon/src/hollyknot_daemon/_host.py
@@ -18,11 +18,11 @@
 from hollyknot_state import Reason, Settings
 from hollyknot_transport import (
     CallerServer,
-    Exchanges,
     Metrics,
     Readiness,
     StallGuard,
     Tracing,
+    UpstreamClient,
     get_logger,
     operators_server,
     start_server,
@@ -156,7 +156,7 @@
         self._dispatcher = dispatcher
         self._recorder = Recorder(self._metrics)
         self._documents = Documents(self._on_change)
-        exchanges = Exchanges(self._guard)
+        exchanges = UpstreamClient(self._guard)
         stack.push_async_callback(exchanges.close)
         self._probes = Probes(dispatcher.table, clock)
         stack.push_async_callback(self._probes.close)
--- a/packages/daemon/src/hollyknot_daemon/_tries.py
+++ b/packages/daemon/src/hollyknot_daemon/_tries.py
@@ -24,11 +24,11 @@
 from hollyknot_state import Nature, Outcome, Reason, RequestInfo, Verdict
 from hollyknot_transport import (
     CallerCall,
-    Exchanges,
     Result,
     Sink,
     Tracing,
     UpstreamAnswer,
+    UpstreamClient,
     UpstreamRequest,
 )
 
@@ -80,7 +80,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        exchanges: Exchanges,
+        exchanges: UpstreamClient,
         recorder: Recorder,
         tracing: Tracing,
         rng: random.Random,
--- a/packages/transport/src/hollyknot_transport/__init__.py
+++ b/packages/transport/src/hollyknot_transport/__init__.py
@@ -12,10 +12,10 @@
 )
 from hollyknot_transport._exchange import (
     IDLE_CONNECTION_S,
-    Exchanges,
     Result,
     Sink,
     UpstreamAnswer,
+    UpstreamClient,
     UpstreamRequest,
 )
 from hollyknot_transport._links import (
@@ -49,7 +49,7 @@
     "CallerCall",
     "CallerResponse",
     "CallerServer",
-    "Exchanges",
+    "UpstreamClient",
     "Handler",
     "KindTraffic",
     "LinkCounters",
--- a/packages/transport/src/hollyknot_transport/_aiohttp_relay.py
+++ b/packages/transport/src/hollyknot_transport/_aiohttp_relay.py
@@ -17,20 +17,22 @@
 
 from aiohttp import StreamReader
 
-TakeNow = Callable[[bytes], bool]
+ForwardNow = Callable[[bytes], bool]
 """Takes a part at once; False if it can't, and then it took nothing."""
 
-Take = Callable[[bytes], Awaitable[None]]
+Forward = Callable[[bytes], Awaitable[None]]
 """Takes a part and waits while its receiver is slow."""
 
 
-class _Direct:
+class _Forwarder:
     """Stands in the place of the future that the reader would wake."""
 
-    __slots__ = ("_ended", "take_now")
+    __slots__ = ("_ended", "forward_now")
 
-    def __init__(self, take_now: TakeNow, ended: asyncio.Future[None]) -> None:
-        self.take_now = take_now
+    def __init__(
+        self, forward_now: ForwardNow, ended: asyncio.Future[None]
+    ) -> None:
+        self.forward_now = forward_now
         self._ended = ended
 
     def done(self) -> bool:
@@ -48,15 +50,17 @@
         self.set_result(None)
 
 
-class _DirectReader(StreamReader):
+class _ForwardingReader(StreamReader):
     """A reader that keeps nothing while its parts are taken at once."""
 
     __slots__ = ()
 
     def feed_data(self, data: bytes, size: int = 0) -> bool:
         """Called by the library's parser with each part of the body."""
-        direct: Any = self._waiter
-        if type(direct) is not _Direct or not _taken(direct, data):
+        forwarder: Any = self._waiter
+        if type(forwarder) is not _Forwarder or not _try_forward(
+            forwarder, data
+        ):
             return super().feed_data(data, size)
         # Both positions move on: the reader drops its notes of chunks that
         # lie before the cursor, and pauses for good if they pile up.
@@ -67,20 +71,22 @@
     def end_http_chunk_receiving(self) -> None:
         """Called at the end of each chunk; only kept parts need a note."""
         waiter: Any = self._waiter
-        if type(waiter) is not _Direct:
+        if type(waiter) is not _Forwarder:
             super().end_http_chunk_receiving()
 
 
-def _taken(direct: _Direct, data: bytes) -> bool:
+def _try_forward(forwarder: _Forwarder, data: bytes) -> bool:
     try:
-        return direct.take_now(data)
+        return forwarder.forward_now(data)
     except Exception:
         # It would come up in the parser, which would report a bad body. The
         # task takes the part again and meets the error itself.
         return False
 
 
-async def relay(content: StreamReader, take_now: TakeNow, take: Take) -> None:
+async def relay(
+    content: StreamReader, forward_now: ForwardNow, forward: Forward
+) -> None:
     """Hands all parts of a body on, in order, until it ends.
 
     Backpressure: while a receiver takes nothing at once, parts are kept by the
@@ -88,8 +94,8 @@
 
     Args:
         content: The body; nobody else may read it.
-        take_now: Asked first, from within the parser: it must not wait.
-        take: Takes what `take_now` did not.
+        forward_now: Asked first, from within the parser: it must not wait.
+        forward: Takes what `forward_now` did not.
 
     Raises:
         aiohttp.ClientPayloadError: The body ended early.
@@ -97,26 +103,26 @@
     """
     is_plain = type(content) is StreamReader
     if is_plain:
-        content.__class__ = _DirectReader
+        content.__class__ = _ForwardingReader
     while True:
         data = content.read_nowait()
         if data:
-            await take(data)
+            await forward(data)
         elif content.at_eof():
             return
         elif is_plain:
-            await _relay_direct(content, take_now)
+            await _relay_from_parser(content, forward_now)
         elif rest := await content.readany():
-            await take(rest)
+            await forward(rest)
 
 
-async def _relay_direct(content: Any, take_now: TakeNow) -> None:
+async def _relay_from_parser(content: Any, forward_now: ForwardNow) -> None:
     """Returns at the end, at an error, or when a part was not taken."""
     ended = asyncio.get_running_loop().create_future()
-    direct = _Direct(take_now, ended)
-    content._waiter = direct
+    forwarder = _Forwarder(forward_now, ended)
+    content._waiter = forwarder
     try:
         await ended
     finally:
-        if content._waiter is direct:
+        if content._waiter is forwarder:
             content._waiter = None
--- a/packages/transport/src/hollyknot_transport/_caller_response.py
+++ b/packages/transport/src/hollyknot_transport/_caller_response.py
@@ -50,7 +50,7 @@
         render = openai_refusal if self._is_model else problem_refusal
         return render(self._request_id, refusal)
 
-    def whole(self, answer: UpstreamAnswer, verdict: Verdict) -> web.Response:
+    def respond(self, answer: UpstreamAnswer, verdict: Verdict) -> web.Response:
         """Returns the response that carries an upstream's whole answer."""
         headers = dict(answer.headers)
         headers[REQUEST_ID] = self._request_id
--- a/packages/transport/src/hollyknot_transport/_caller_server.py
+++ b/packages/transport/src/hollyknot_transport/_caller_server.py
@@ -17,7 +17,7 @@
 HEAD_TIMEOUT_S = 30.0
 """Seconds that a connection may be without a request in work."""
 
-END_S = 0.1
+SHUTDOWN_TIMEOUT_S = 0.1
 """Seconds that requests get to end once a server is closed. A planned stop has
 waited for them before; the library's minute would make a process that is to
 end at once wait for its slowest request."""
@@ -51,8 +51,8 @@
             lingering_time=1.0,
             auto_decompress=False,
         )
-        self._inner = handler
-        self._known: dict[RequestHandler, _Connection] = {}
+        self._wrapped_handler = handler
+        self._open_connections: dict[RequestHandler, _Connection] = {}
         self._in_work = 0
         self._is_stopping = False
         self._idle = asyncio.Event()
@@ -66,7 +66,7 @@
     def stop_keeping_alive(self) -> None:
         """Closes each connection after the answer it is busy with."""
         self._is_stopping = True
-        for connection in list(self._known.values()):
+        for connection in list(self._open_connections.values()):
             if not connection.in_work:
                 connection.transport.close()
 
@@ -80,14 +80,14 @@
         """Notes a new connection."""
         super().connection_made(handler, transport)
         now = asyncio.get_running_loop().time()
-        self._known[handler] = _Connection(transport, now)
+        self._open_connections[handler] = _Connection(transport, now)
 
     def connection_lost(
         self, handler: RequestHandler, exc: BaseException | None = None
     ) -> None:
         """Forgets a connection."""
         super().connection_lost(handler, exc)
-        self._known.pop(handler, None)
+        self._open_connections.pop(handler, None)
 
     def sweep(self, now_s: float) -> int:
         """Closes connections that are too long without a request in work.
@@ -104,7 +104,7 @@
         """
         stale = [
             c
-            for c in self._known.values()
+            for c in self._open_connections.values()
             if not c.in_work and now_s - c.idle_since > HEAD_TIMEOUT_S
         ]
         for connection in stale:
@@ -112,13 +112,13 @@
         return len(stale)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        connection = self._known.get(request.protocol)
+        connection = self._open_connections.get(request.protocol)
         self._in_work += 1
         self._idle.clear()
         if connection is not None:
             connection.in_work += 1
         try:
-            response = await self._inner(request)
+            response = await self._wrapped_handler(request)
             await self._finish(request, response)
             return response
         finally:
@@ -157,7 +157,7 @@
     Raises:
         OSError: The address can't be listened on.
     """
-    runner = web.ServerRunner(server, shutdown_timeout=END_S)
+    runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     site = web.TCPSite(runner, address.ip, address.port, backlog=1024)
     await site.start()
--- a/packages/transport/src/hollyknot_transport/_calls.py
+++ b/packages/transport/src/hollyknot_transport/_calls.py
@@ -106,7 +106,7 @@
         request_id=request_id,
         method=request.method,
         upstream_path=_upstream_path(request, target.call),
-        headers=_forwarded(request),
+        headers=_forwarded_headers(request),
         body=body,
         target=target.call,
         is_streamed=target.is_streamed,
@@ -227,7 +227,7 @@
     return "/" + rest
 
 
-def _forwarded(request: web.BaseRequest) -> dict[str, str]:
+def _forwarded_headers(request: web.BaseRequest) -> dict[str, str]:
     headers = {}
     for name in _FORWARDED_REQUEST_HEADERS:
         value = request.headers.get(name)
--- a/packages/transport/src/hollyknot_transport/_exchange.py
+++ b/packages/transport/src/hollyknot_transport/_exchange.py
@@ -16,7 +16,7 @@
 from hollyknot_transport._answers import NOT_RUN, REQUEST_ID
 from hollyknot_transport._stall_guard import Phase, StallGuard, Watched
 
-BUFFERED_ANSWER_BYTES = 262_144
+MAX_BUFFERED_ANSWER_BYTES = 262_144
 """A whole answer up to this size is read before the caller gets any of it, so
 that a truncated one can be tried elsewhere."""
 
@@ -124,7 +124,7 @@
     """The caller's connection failed while the answer was relayed."""
 
 
-class Exchanges:
+class UpstreamClient:
     """The host's client towards upstreams."""
 
     def __init__(self, guard: StallGuard) -> None:
@@ -134,17 +134,17 @@
             guard: Watches each exchange; swept by the host's timer.
         """
         self._guard = guard
-        self._shared = _session(force_close=False)
+        self._pooled_session = _session(force_close=False)
         # A kept connection may be closed by the upstream just as a request is
         # written to it, and the client library then sends an idempotent
         # method again by itself. On a new connection it never does, and a
         # refused connection is proof that the request was not run.
-        self._single = _session(force_close=True)
+        self._single_use_session = _session(force_close=True)
 
     async def close(self) -> None:
         """Closes all connections."""
-        await self._shared.close()
-        await self._single.close()
+        await self._pooled_session.close()
+        await self._single_use_session.close()
 
     async def run(self, request: UpstreamRequest, sink: Sink) -> Result:
         """Sends a request and reads, or relays, its answer.
@@ -158,8 +158,10 @@
             cancelled, which closes the upstream's connection and so cancels
             the work there.
         """
-        is_single = request.nature is Nature.NON_IDEMPOTENT
-        session = self._single if is_single else self._shared
+        is_single_use = request.nature is Nature.NON_IDEMPOTENT
+        session = (
+            self._single_use_session if is_single_use else self._pooled_session
+        )
         loop = asyncio.get_running_loop()
         bounds = {
             Phase.FIRST_BYTE: request.first_byte_s,
@@ -174,19 +176,33 @@
             async with timeout:
                 return await attempt.run(session)
         except aiohttp.ClientConnectorError:
-            return attempt.ended(Outcome.NOT_RUN, Reason.CONNECT_FAILED)
+            return attempt.incomplete_result(
+                Outcome.NOT_RUN, Reason.CONNECT_FAILED
+            )
         except aiohttp.ConnectionTimeoutError:
-            return attempt.ended(Outcome.NOT_RUN, Reason.CONNECT_FAILED)
+            return attempt.incomplete_result(
+                Outcome.NOT_RUN, Reason.CONNECT_FAILED
+            )
         except TimeoutError:
             if watched.phase is Phase.CALLER:
-                return attempt.ended(Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE)
-            return attempt.ended(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT)
+                return attempt.incomplete_result(
+                    Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE
+                )
+            return attempt.incomplete_result(
+                Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_SILENT
+            )
         except CallerGoneError:
-            return attempt.ended(Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE)
+            return attempt.incomplete_result(
+                Outcome.MAY_HAVE_RUN, Reason.CALLER_GONE
+            )
         except aiohttp.ClientPayloadError:
-            return attempt.ended(Outcome.MAY_HAVE_RUN, Reason.TRUNCATED)
+            return attempt.incomplete_result(
+                Outcome.MAY_HAVE_RUN, Reason.TRUNCATED
+            )
         except (aiohttp.ClientError, OSError, ValueError):
-            return attempt.ended(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
+            return attempt.incomplete_result(
+                Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST
+            )
         finally:
             self._guard.discard(watched)
 
@@ -203,14 +219,14 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         read_bufsize=_READ_BUFFER_BYTES,
-        request_class=_OwnHeadersRequest,
+        request_class=_MinimalHeadersRequest,
         timeout=aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_S
         ),
     )
 
 
-class _OwnHeadersRequest(aiohttp.ClientRequest):
+class _MinimalHeadersRequest(aiohttp.ClientRequest):
     """A request with the caller's headers and no more than the least."""
 
     def update_auto_headers(self, _: Iterable[str] | None) -> None:
@@ -243,7 +259,7 @@
         self._parts = 0
         self._tail = b""
 
-    def ended(
+    def incomplete_result(
         self, outcome: Outcome, reason: Reason, detail: str = ""
     ) -> Result:
         """Returns the result of an end with nothing whole to hand on."""
@@ -269,22 +285,24 @@
             self._watched.progress_at = self._clock()
             self._watched.phase = Phase.NEXT_BYTES
             if response.headers.get(NOT_RUN) == "true":
-                return self._refused(response)
+                return self._refused_result(response)
             # An answer to another request must never reach this caller.
-            theirs = response.headers.get(REQUEST_ID, request.request_id)
-            if theirs != request.request_id:
-                return self.ended(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR)
-            head = UpstreamAnswer(response.status, _kept_headers(response))
+            answered_id = response.headers.get(REQUEST_ID, request.request_id)
+            if answered_id != request.request_id:
+                return self.incomplete_result(
+                    Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_ERROR
+                )
+            head = UpstreamAnswer(response.status, _forwarded_headers(response))
             if request.is_streamed and response.status < _SERVER_ERROR:
                 return await self._relay(response, head)
             return await self._read_whole(response, head)
 
-    def _refused(self, response: aiohttp.ClientResponse) -> Result:
+    def _refused_result(self, response: aiohttp.ClientResponse) -> Result:
         verdict = Verdict(
             Outcome.NOT_RUN,
             Reason.UPSTREAM_REFUSED,
             "The upstream refused the request and did not run it",
-            _seconds(response.headers.get("Retry-After", "")),
+            _retry_after_s(response.headers.get("Retry-After", "")),
             response.status,
         )
         return Result(verdict)
@@ -295,23 +313,25 @@
         head: UpstreamAnswer,
     ) -> Result:
         self._head = head
-        await relay(response.content, self._take_now, self._take)
+        await relay(response.content, self._forward_now, self._forward)
         is_events = response.content_type == "text/event-stream"
         tail = self._tail
         # A stream that ends early looks like any other end of a body: only
         # the last line tells a truncated answer from a whole one.
         if is_events and not tail.rstrip().endswith(_DONE_LINE):
-            return self.ended(Outcome.MAY_HAVE_RUN, Reason.TRUNCATED)
-        return self._whole(head)
+            return self.incomplete_result(
+                Outcome.MAY_HAVE_RUN, Reason.TRUNCATED
+            )
+        return self._complete_result(head)
 
-    def _take_now(self, chunk: bytes) -> bool:
+    def _forward_now(self, chunk: bytes) -> bool:
         """Relays a part from within the parser, if the caller is not slow."""
         if not self._has_started or not self._sink.write_now(chunk):
             return False
-        self._note(chunk)
+        self._count_chunk(chunk)
         return True
 
-    async def _take(self, chunk: bytes) -> None:
+    async def _forward(self, chunk: bytes) -> None:
         """Relays a part and waits for the caller."""
         watched = self._watched
         watched.progress_at = self._clock()
@@ -322,9 +342,9 @@
             await self._sink.start(self._head)
         await self._sink.write(chunk)
         watched.phase = Phase.NEXT_BYTES
-        self._note(chunk)
+        self._count_chunk(chunk)
 
-    def _note(self, chunk: bytes) -> None:
+    def _count_chunk(self, chunk: bytes) -> None:
         size = len(chunk)
         self._watched.progress_at = self._clock()
         self._size += size
@@ -350,22 +370,24 @@
                 await self._write(chunk)
                 continue
             parts.append(chunk)
-            if self._size > BUFFERED_ANSWER_BYTES:
+            if self._size > MAX_BUFFERED_ANSWER_BYTES:
                 self._has_started = True
                 await self._sink.start(head)
                 await self._write(b"".join(parts))
         self._first_byte_at = self._first_byte_at or clock()
         if self._has_started:
-            return self._whole(head)
+            return self._complete_result(head)
         body = b"".join(parts)
-        return self._whole(UpstreamAnswer(head.status, head.headers, body))
+        return self._complete_result(
+            UpstreamAnswer(head.status, head.headers, body)
+        )
 
     async def _write(self, chunk: bytes) -> None:
         self._watched.phase = Phase.CALLER
         await self._sink.write(chunk)
         self._watched.phase = Phase.NEXT_BYTES
 
-    def _whole(self, answer: UpstreamAnswer) -> Result:
+    def _complete_result(self, answer: UpstreamAnswer) -> Result:
         outcome, reason = Outcome.COMPLETE, Reason.NONE
         if answer.status >= _SERVER_ERROR:
             outcome, reason = Outcome.FAILED, Reason.UPSTREAM_ERROR
@@ -380,7 +402,7 @@
         )
 
 
-def _kept_headers(response: aiohttp.ClientResponse) -> dict[str, str]:
+def _forwarded_headers(response: aiohttp.ClientResponse) -> dict[str, str]:
     headers = {}
     for name in (*_FORWARDED_ANSWER_HEADERS, _ENCODING):
         value = response.headers.get(name)
@@ -389,5 +411,5 @@
     return headers
 
 
-def _seconds(text: str) -> float:
+def _retry_after_s(text: str) -> float:
     return float(text) if text.isdigit() else 0.0
--- a/packages/transport/src/hollyknot_transport/_links.py
+++ b/packages/transport/src/hollyknot_transport/_links.py
@@ -113,8 +113,8 @@
 
     max_frame_bytes: int = MAX_FRAME_BYTES
     max_handshake_frame_bytes: int = MAX_HANDSHAKE_FRAME_BYTES
-    max_unproved: int = 512
-    max_unproved_per_ip: int = 16
+    max_pending_handshakes: int = 512
+    max_pending_handshakes_per_ip: int = 16
     handshake_s: float = 2.0
     connect_s: float = 1.0
     queue_messages: int = 1024
--- a/packages/transport/src/hollyknot_transport/_links_dial.py
+++ b/packages/transport/src/hollyknot_transport/_links_dial.py
@@ -12,8 +12,8 @@
     LinkLimits,
 )
 from hollyknot_transport._links_handshake import (
-    NotProvedError,
-    shake_as_dialler,
+    PeerAuthenticationError,
+    handshake_as_dialler,
 )
 from hollyknot_transport._links_link import Link, LinkParts
 from hollyknot_transport._links_stream import (
@@ -59,19 +59,19 @@
             stream = await dial_stream(address, options)
     except (OSError, TimeoutError) as error:
         return _dial_error(LinkErrorReason.REFUSED, error)
-    return await _shake(stream, credentials, parts)
+    return await _handshake(stream, credentials, parts)
 
 
-async def _shake(
+async def _handshake(
     stream: FrameStream, credentials: LinkCredentials, parts: LinkParts
 ) -> Link | LinkError:
     try:
         async with asyncio.timeout(parts.limits.handshake_s):
-            identity = await shake_as_dialler(
+            identity = await handshake_as_dialler(
                 stream, credentials, parts.counters
             )
     except (
-        NotProvedError,
+        PeerAuthenticationError,
         StreamEndedError,
         FrameError,
         MalformedMessageError,
--- a/packages/transport/src/hollyknot_transport/_links_handshake.py
+++ b/packages/transport/src/hollyknot_transport/_links_handshake.py
@@ -22,7 +22,7 @@
 from hollyknot_transport._links_stream import FrameStream
 
 
-class NotProvedError(Exception):
+class PeerAuthenticationError(Exception):
     """The peer knows none of this host's keys."""
 
 
@@ -34,7 +34,7 @@
     accepter: bytes
 
 
-async def shake_as_dialler(
+async def handshake_as_dialler(
     stream: FrameStream, credentials: LinkCredentials, counters: LinkCounters
 ) -> PeerIdentity:
     """Proves this host to the accepting side, then checks that side.
@@ -49,17 +49,17 @@
         FrameError: The accepter sent no handshake.
         MalformedMessageError: Likewise.
     """
-    mine = _make_hello(credentials)
-    await _send(stream, counters, "Hello", mine)
-    theirs = await _receive(stream, counters, "Hello")
-    identity = _read_hello(theirs, stream.ip)
-    hellos = _Hellos(dialler=mine, accepter=theirs)
+    own_hello = _make_hello(credentials)
+    await _send(stream, counters, "Hello", own_hello)
+    peer_hello = await _receive(stream, counters, "Hello")
+    identity = _read_hello(peer_hello, stream.ip)
+    hellos = _Hellos(dialler=own_hello, accepter=peer_hello)
     await _send_proof(stream, credentials, counters, Side.DIALLER, hellos)
     await _check_proof(stream, credentials, counters, Side.ACCEPTER, hellos)
     return identity
 
 
-async def shake_as_accepter(
+async def handshake_as_accepter(
     stream: FrameStream, credentials: LinkCredentials, counters: LinkCounters
 ) -> PeerIdentity:
     """Checks the dialling side, then proves this host to it.
@@ -76,11 +76,11 @@
         FrameError: The dialler sent no handshake.
         MalformedMessageError: Likewise.
     """
-    theirs = await _receive(stream, counters, "Hello")
-    identity = _read_hello(theirs, stream.ip)
-    mine = _make_hello(credentials)
-    await _send(stream, counters, "Hello", mine)
-    hellos = _Hellos(dialler=theirs, accepter=mine)
+    peer_hello = await _receive(stream, counters, "Hello")
+    identity = _read_hello(peer_hello, stream.ip)
+    own_hello = _make_hello(credentials)
+    await _send(stream, counters, "Hello", own_hello)
+    hellos = _Hellos(dialler=peer_hello, accepter=own_hello)
     await _check_proof(stream, credentials, counters, Side.DIALLER, hellos)
     await _send_proof(stream, credentials, counters, Side.ACCEPTER, hellos)
     return identity
@@ -122,7 +122,7 @@
     if not is_proved(
         credentials.keys, proof.mac, side, hellos.dialler, hellos.accepter
     ):
-        raise NotProvedError(
+        raise PeerAuthenticationError(
             "the peer's proof was made with none of this host's link_keys;"
             " give both hosts a common key"
         )
--- a/packages/transport/src/hollyknot_transport/_links_link.py
+++ b/packages/transport/src/hollyknot_transport/_links_link.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class _Waiter:
+class _PendingCall:
     """A call that waits for its reply."""
 
     item: Outgoing
@@ -83,11 +83,11 @@
         limits = parts.limits
         self._outbox = Outbox(limits.queue_messages, limits.queue_bytes)
         self._liveness = Liveness(limits, parts.idle_s, parts.clock())
-        self._waiters: dict[int, _Waiter] = {}
+        self._pending_calls: dict[int, _PendingCall] = {}
         self._last_call_id = 0
-        self._handling: set[asyncio.Task[None]] = set()
+        self._handler_tasks: set[asyncio.Task[None]] = set()
         self._is_retired = False
-        self._end: LinkErrorReason | None = None
+        self._end_reason: LinkErrorReason | None = None
 
     @property
     def peer(self) -> PeerIdentity:
@@ -97,7 +97,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether new messages may be sent on it."""
-        return self._end is None and not self._is_retired
+        return self._end_reason is None and not self._is_retired
 
     async def run(self) -> None:
         """Carries messages until the link ends; then resolves all waiters."""
@@ -112,19 +112,19 @@
             for task in tasks:
                 task.cancel()
             results = await asyncio.gather(*tasks, return_exceptions=True)
-            self._log_faults(results)
-        await self._end_handlers()
+            self._log_failures(results)
+        await self._finish_handlers()
 
     def abort(self, reason: LinkErrorReason, detail: str = "") -> None:
         """Ends the link at once; calls without reply get the reason."""
-        if self._end is not None:
+        if self._end_reason is not None:
             return
-        self._end = reason
+        self._end_reason = reason
         self._stream.abort()
-        for waiter in self._waiters.values():
-            if not waiter.reply.done():
-                error = LinkError(reason, waiter.item.is_written, detail)
-                waiter.reply.set_result(error)
+        for pending_call in self._pending_calls.values():
+            if not pending_call.reply.done():
+                error = LinkError(reason, pending_call.item.is_written, detail)
+                pending_call.reply.set_result(error)
 
     async def call(
         self, message: Any, timeout_s: float, traceparent: str
@@ -140,12 +140,12 @@
         self._last_call_id += 1
         call_id = self._last_call_id
         item = pack(message, traceparent, call_id=call_id)
-        if self._end is not None:
-            return LinkError(self._end, may_have_arrived=False)
-        if not self._put(item):
+        if self._end_reason is not None:
+            return LinkError(self._end_reason, may_have_arrived=False)
+        if not self._enqueue(item):
             return LinkError(LinkErrorReason.QUEUE_FULL, may_have_arrived=False)
         reply = asyncio.get_running_loop().create_future()
-        self._waiters[call_id] = _Waiter(item, reply)
+        self._pending_calls[call_id] = _PendingCall(item, reply)
         sent_s = self._parts.clock()
         try:
             async with asyncio.timeout(timeout_s):
@@ -153,31 +153,33 @@
         except TimeoutError:
             return self._on_timeout(item, sent_s)
         finally:
-            item.is_withdrawn = True
-            del self._waiters[call_id]
+            item.is_cancelled = True
+            del self._pending_calls[call_id]
             self._close_if_done()
 
     def post(self, item: Outgoing) -> bool:
         """Sends a frame; False if the queue is full or the link has ended."""
-        if not self._put(item):
+        if not self._enqueue(item):
             return False
         self._liveness.on_message_sent(self._parts.clock())
         return True
 
     def check(self, now_s: float) -> None:
         """Pings, or ends, a link that has been silent or idle for long."""
-        action = self._liveness.check(now_s, is_reply_due=bool(self._waiters))
+        action = self._liveness.check(
+            now_s, is_reply_due=bool(self._pending_calls)
+        )
         if action is LivenessAction.PING:
-            self._put(pack(Ping(), ""))
+            self._enqueue(pack(Ping(), ""))
         elif action is LivenessAction.LOST:
             self._parts.counters.stalled += 1
             _log.warning("link_stalled", ip=self._peer.ip, peer=self._peer.host)
             self.abort(LinkErrorReason.LOST, "silent, also after a ping")
-        elif action is LivenessAction.IDLE and not self._handling:
+        elif action is LivenessAction.IDLE and not self._handler_tasks:
             self.abort(LinkErrorReason.LOST, "idle")
 
     def _on_timeout(self, item: Outgoing, sent_s: float) -> LinkError:
-        if item.is_written and self._liveness.heard_s < sent_s:
+        if item.is_written and self._liveness.last_received_s < sent_s:
             # Not a byte came since the call. If the connection has gone
             # silent for good, the next call on it would be lost as well: it
             # gets a new connection, while calls that still wait keep this.
@@ -185,13 +187,13 @@
         return LinkError(LinkErrorReason.TIMEOUT, item.is_written)
 
     def _close_if_done(self) -> None:
-        if self._is_retired and not self._waiters:
+        if self._is_retired and not self._pending_calls:
             self.abort(LinkErrorReason.LOST, "retired after a timeout")
 
-    def _put(self, item: Outgoing) -> bool:
-        return self._end is None and self._outbox.put(item)
+    def _enqueue(self, item: Outgoing) -> bool:
+        return self._end_reason is None and self._outbox.put(item)
 
-    def _log_faults(self, results: list[BaseException | None]) -> None:
+    def _log_failures(self, results: list[BaseException | None]) -> None:
         # A fault of this program in one of the tasks ends the link like any
         # loss; without a line nobody would learn of it.
         for result in results:
@@ -203,22 +205,22 @@
                     exc_info=result,
                 )
 
-    async def _end_handlers(self) -> None:
+    async def _finish_handlers(self) -> None:
         # What a peer asked for is done to its end, also when its link is
         # lost: a handler stopped between two steps could leave a half of
         # them done. Only the end of the whole server stops them.
-        handling = tuple(self._handling)
+        handler_tasks = tuple(self._handler_tasks)
         try:
-            await asyncio.gather(*handling, return_exceptions=True)
+            await asyncio.gather(*handler_tasks, return_exceptions=True)
         except asyncio.CancelledError:
-            for task in handling:
+            for task in handler_tasks:
                 task.cancel()
             raise
 
     async def _write(self) -> None:
         counters = self._parts.counters
         while True:
-            batch = await self._outbox.take()
+            batch = await self._outbox.next_batch()
             for item in batch:
                 counters.count_sent(item.kind, len(item.frame))
             try:
@@ -259,18 +261,18 @@
 
     def _on_reply(self, call_id: int, message: Any) -> None:
         self._liveness.on_use(self._parts.clock())
-        waiter = self._waiters.get(call_id)
+        pending_call = self._pending_calls.get(call_id)
         # A reply may come after its call timed out.
-        if waiter is not None and not waiter.reply.done():
-            waiter.reply.set_result(read_reply(message))
+        if pending_call is not None and not pending_call.reply.done():
+            pending_call.reply.set_result(read_reply(message))
 
     def _on_message(self, envelope: Envelope, message: Any) -> None:
         self._liveness.on_use(self._parts.clock())
         refusal = self._refusal_of(message)
         if refusal is None:
             task = asyncio.ensure_future(self._handle(envelope, message))
-            self._handling.add(task)
-            task.add_done_callback(self._handling.discard)
+            self._handler_tasks.add(task)
+            task.add_done_callback(self._handler_tasks.discard)
         elif envelope.call_id:
             self._refuse(envelope.call_id, refusal)
 
@@ -279,7 +281,7 @@
             return CallRefusalReason.UNKNOWN_KIND
         if self._parts.handler is None:
             return CallRefusalReason.NOT_SERVED
-        if len(self._handling) >= self._parts.limits.max_running:
+        if len(self._handler_tasks) >= self._parts.limits.max_running:
             return CallRefusalReason.OVERLOADED
         return None
 
@@ -301,5 +303,5 @@
         self._reply(pack(CallRefusal(reason), "", reply_to=call_id))
 
     def _reply(self, item: Outgoing) -> None:
-        if not self._put(item):
+        if not self._enqueue(item):
             self._parts.counters.dropped += 1
--- a/packages/transport/src/hollyknot_transport/_links_outbox.py
+++ b/packages/transport/src/hollyknot_transport/_links_outbox.py
@@ -23,7 +23,7 @@
     kind: str
     frame: bytes
     is_written: bool = False
-    is_withdrawn: bool = False
+    is_cancelled: bool = False
 
 
 class Outbox:
@@ -34,7 +34,7 @@
         self._max_bytes = max_bytes
         self._items: collections.deque[Outgoing] = collections.deque()
         self._bytes = 0
-        self._filled = asyncio.Event()
+        self._has_items = asyncio.Event()
 
     def put(self, item: Outgoing) -> bool:
         """Adds a frame; False if there is no room."""
@@ -43,28 +43,28 @@
             return False
         self._items.append(item)
         self._bytes = size
-        self._filled.set()
+        self._has_items.set()
         return True
 
-    async def take(self) -> list[Outgoing]:
+    async def next_batch(self) -> list[Outgoing]:
         """Returns the next frames, one at least; marks them as written."""
         while True:
-            await self._filled.wait()
-            batch = self._take_batch()
+            await self._has_items.wait()
+            batch = self._pop_batch()
             if batch:
                 return batch
 
-    def _take_batch(self) -> list[Outgoing]:
+    def _pop_batch(self) -> list[Outgoing]:
         batch: list[Outgoing] = []
         size = 0
         while self._items and size < _BATCH_BYTES:
             item = self._items.popleft()
             self._bytes -= len(item.frame)
-            if item.is_withdrawn:
+            if item.is_cancelled:
                 continue
             item.is_written = True
             size += len(item.frame)
             batch.append(item)
         if not self._items:
-            self._filled.clear()
+            self._has_items.clear()
         return batch
--- a/packages/transport/src/hollyknot_transport/_links_server.py
+++ b/packages/transport/src/hollyknot_transport/_links_server.py
@@ -21,8 +21,8 @@
 )
 from hollyknot_transport._links_counters import LinkCounters
 from hollyknot_transport._links_handshake import (
-    NotProvedError,
-    shake_as_accepter,
+    PeerAuthenticationError,
+    handshake_as_accepter,
 )
 from hollyknot_transport._links_link import Clock, Link, LinkParts
 from hollyknot_transport._links_stream import (
@@ -149,8 +149,8 @@
     def _on_connection(self, connection: socket.socket, ip: str) -> None:
         limits = self._limits
         if (
-            self._unproved.total() >= limits.max_unproved
-            or self._unproved[ip] >= limits.max_unproved_per_ip
+            self._unproved.total() >= limits.max_pending_handshakes
+            or self._unproved[ip] >= limits.max_pending_handshakes_per_ip
         ):
             self._reject(ip, "too many connections without a handshake")
             connection.close()
@@ -183,14 +183,14 @@
             async with asyncio.timeout(self._limits.handshake_s):
                 stream = await self._open(connection, ip)
                 stack.callback(stream.abort)
-                peer = await shake_as_accepter(
+                peer = await handshake_as_accepter(
                     stream, self._credentials, self._counters
                 )
         except TimeoutError:
             self._reject(ip, "no handshake in time")
             return None
         except (
-            NotProvedError,
+            PeerAuthenticationError,
             StreamEndedError,
             FrameError,
             MalformedMessageError,
--- a/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
@@ -9,7 +9,7 @@
 import pytest
 from aiohttp import web
 
-from hollyknot_transport._aiohttp_relay import TakeNow, relay
+from hollyknot_transport._aiohttp_relay import ForwardNow, relay
 
 Send = Callable[[web.StreamResponse], Awaitable[None]]
 
@@ -36,20 +36,22 @@
 
 
 async def relayed(
-    send: Send, take_now: TakeNow, on_part: Callable[[], None] = lambda: None
+    send: Send,
+    forward_now: ForwardNow,
+    on_part: Callable[[], None] = lambda: None,
 ) -> tuple[list[bytes], int]:
     """Returns the parts in the order they were taken, and those by task."""
     parts: list[bytes] = []
     by_task = 0
 
     def note(part: bytes) -> bool:
-        is_taken = take_now(part)
+        is_taken = forward_now(part)
         if is_taken:
             parts.append(part)
             on_part()
         return is_taken
 
-    async def take(part: bytes) -> None:
+    async def forward(part: bytes) -> None:
         nonlocal by_task
         by_task += 1
         parts.append(part)
@@ -57,7 +59,7 @@
 
     # A stall must fail the test, not hang it.
     async with asyncio.timeout(20), answered_by(send) as response:
-        await relay(response.content, note, take)
+        await relay(response.content, note, forward)
     return parts, by_task
 
 
@@ -113,10 +115,10 @@
                 if number < 3000:
                     await asyncio.sleep(0)
 
-        def take_now(part: bytes) -> bool:
+        def forward_now(part: bytes) -> bool:
             return is_taken(int(part[:-1]), rng)
 
-        parts, _ = asyncio.run(relayed(send, take_now))
+        parts, _ = asyncio.run(relayed(send, forward_now))
         assert b"".join(parts) == b"".join(body)
 
     def test_body_that_ends_early_is_an_error(self) -> None:
--- a/packages/transport/src/hollyknot_transport/tests/test_exchange.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_exchange.py
@@ -17,15 +17,15 @@
 from hollyknot_transport import (
     CallerResponse,
     CallerServer,
-    Exchanges,
     Refusal,
     Result,
     StallGuard,
+    UpstreamClient,
     UpstreamRequest,
     _exchange,
     start_server,
 )
-from hollyknot_transport._aiohttp_relay import Take, TakeNow, relay
+from hollyknot_transport._aiohttp_relay import Forward, ForwardNow, relay
 
 PATH = "/v1/chat/completions"
 BODY = orjson.dumps(
@@ -67,7 +67,7 @@
         return f"http://127.0.0.1:{self.port}{PATH}"
 
     async def relay(
-        self, content: StreamReader, take_now: TakeNow, take: Take
+        self, content: StreamReader, forward_now: ForwardNow, forward: Forward
     ) -> None:
         """Relays, and notes what lies between the two sockets."""
         taken = 0
@@ -80,7 +80,7 @@
             self.held = max(self.held, content.total_bytes - taken + kept)
 
         def now(data: bytes) -> bool:
-            is_taken = take_now(data)
+            is_taken = forward_now(data)
             if is_taken:
                 # The reader counts a part when it was taken.
                 note(0)
@@ -89,13 +89,13 @@
             return is_taken
 
         async def slowly(data: bytes) -> None:
-            await take(data)
+            await forward(data)
             note(len(data))
 
         await relay(content, now, slowly)
 
     async def handle(
-        self, exchanges: Exchanges, request: web.BaseRequest
+        self, exchanges: UpstreamClient, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Answers a caller."""
         self.requests.append(request)
@@ -127,7 +127,7 @@
         address = engine.address
         found = Relay(engine.control, f"http://{address.ip}:{address.port}")
         monkeypatch.setattr(_exchange, "relay", found.relay)
-        exchanges = Exchanges(StallGuard())
+        exchanges = UpstreamClient(StallGuard())
         stack.push_async_callback(exchanges.close)
         handle = functools.partial(found.handle, exchanges)
         runner, found.port = await start_server(
--- a/packages/transport/src/hollyknot_transport/tests/test_links_liveness.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links_liveness.py
@@ -115,7 +115,7 @@
         items = [Outgoing("x", b"1"), Outgoing("x", b"2")]
         for item in items:
             outbox.put(item)
-        items[0].is_withdrawn = True
-        assert asyncio.run(outbox.take()) == items[1:]
+        items[0].is_cancelled = True
+        assert asyncio.run(outbox.next_batch()) == items[1:]
         assert [item.is_written for item in items] == [False, True]
         assert outbox.put(Outgoing("x", bytes(100)))
--- a/packages/transport/src/hollyknot_transport/tests/test_links_strangers.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links_strangers.py
@@ -24,7 +24,7 @@
     LinkErrorReason,
     make_link_credentials,
 )
-from hollyknot_transport._links_handshake import shake_as_dialler
+from hollyknot_transport._links_handshake import handshake_as_dialler
 from hollyknot_transport._links_stream import (
     FrameStream,
     StreamOptions,
@@ -190,7 +190,7 @@
         """
 
         async def test() -> None:
-            limits = attrs.evolve(QUIET, max_unproved=2)
+            limits = attrs.evolve(QUIET, max_pending_handshakes=2)
             async with hosts(limits=limits) as host:
                 held = [
                     await asyncio.open_connection(IP, host.server.port)
@@ -263,6 +263,6 @@
     options = StreamOptions(None, 1.0, 2048)
     stream = await dial_stream(Address(IP, host.server.port), options)
     credentials = credentials_of("rubbish")
-    await shake_as_dialler(stream, credentials, host.pool.counters)
+    await handshake_as_dialler(stream, credentials, host.pool.counters)
     yield stream
     stream.abort()
--- a/packages/transport/src/hollyknot_transport/tests/test_upstream_requests.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_upstream_requests.py
@@ -10,10 +10,10 @@
 from hollyknot_state import Address, Nature, Outcome
 from hollyknot_transport import (
     IDLE_CONNECTION_S,
-    Exchanges,
     Sink,
     StallGuard,
     UpstreamAnswer,
+    UpstreamClient,
     UpstreamRequest,
     start_server,
 )
@@ -47,7 +47,7 @@
         return web.Response(body=b"{}")
 
     runner, port = await start_server(web.Server(answer), Address(_IP, 0))
-    exchanges = Exchanges(StallGuard())
+    exchanges = UpstreamClient(StallGuard())
     request = UpstreamRequest(
         url=f"http://{_IP}:{port}/a%2Fb?q=%20x",
         method="POST",
