--- a/packages/transport/src/hollyknot_transport/__init__.py
+++ b/packages/transport/src/hollyknot_transport/__init__.py
@@ -1,4 +1,8 @@
-"""Servers, clients, links between hosts, platform watches, traces, metrics."""
+"""Network I/O of a host.
+
+Holds the HTTP servers, the client towards upstreams, the links between hosts,
+the platform watches, and the export of traces and metrics.
+"""
 
 from hollyknot_transport._answers import Refusal, bad_request
 from hollyknot_transport._caller_response import CallerResponse
--- a/packages/transport/src/hollyknot_transport/_aiohttp_relay.py
+++ b/packages/transport/src/hollyknot_transport/_aiohttp_relay.py
@@ -1,14 +1,14 @@
-"""Hands a body's parts on as the client library parses them.
+"""Relays the chunks of an HTTP body as soon as aiohttp has parsed them.
 
-The one module that reaches into private parts of aiohttp. Its public way to
-read a body costs, for each token, a future, a turn of the event loop and a
-step of the task that waits; that is more than all else that a host does for a
-token. So the body's reader is given a class of ours, of the same layout, whose
-`feed_data` calls back, and its `_waiter`, which the library would wake, is an
-object of ours that keeps the callback.
+This is the only module that uses private parts of aiohttp. Reading a body
+through the public interface costs a future, a turn of the event loop and a
+step of the waiting task for each token, which is more than all other work of a
+host for a token. Instead, the reader of the body is switched to a subclass of
+the same memory layout, whose `feed_data` calls a callback, and its `_waiter`,
+normally the future that aiohttp wakes, is an object that holds the callback.
 
-`tests/test_aiohttp_relay.py` fails if a new version of the library changes
-what is relied on here.
+`tests/test_aiohttp_relay.py` fails if a new version of aiohttp changes
+anything that this module relies on.
 """
 
 import asyncio
@@ -18,14 +18,14 @@
 from aiohttp import StreamReader
 
 ForwardNow = Callable[[bytes], bool]
-"""Takes a part at once; False if it can't, and then it took nothing."""
+"""Forwards a chunk without waiting; returns False if it forwarded nothing."""
 
 Forward = Callable[[bytes], Awaitable[None]]
-"""Takes a part and waits while its receiver is slow."""
+"""Forwards a chunk and waits while the receiver is slow."""
 
 
 class _Forwarder:
-    """Stands in the place of the future that the reader would wake."""
+    """Replaces the future that the reader wakes, and holds the callback."""
 
     __slots__ = ("_ended", "forward_now")
 
@@ -36,40 +36,41 @@
         self._ended = ended
 
     def done(self) -> bool:
-        """Tells the reader whether it still has to wake anybody."""
+        """Returns whether the reader has no waiting task left to wake."""
         return self._ended.done()
 
     def set_result(self, _: None) -> None:
-        """Wakes the task: the body's end, or parts that it has to take."""
+        """Wakes the task at the end of the body or when chunks are buffered."""
         if not self._ended.done():
             self._ended.set_result(None)
 
     def set_exception(self, error: BaseException) -> None:
-        """Wakes the task, which finds the error at the reader."""
+        """Wakes the task, which then gets the error from the reader."""
         del error
         self.set_result(None)
 
 
 class _ForwardingReader(StreamReader):
-    """A reader that keeps nothing while its parts are taken at once."""
+    """A reader that buffers only the chunks that can't be forwarded at once."""
 
     __slots__ = ()
 
     def feed_data(self, data: bytes, size: int = 0) -> bool:
-        """Called by the library's parser with each part of the body."""
+        """Forwards or buffers a chunk; called by the parser of aiohttp."""
         forwarder: Any = self._waiter
         if type(forwarder) is not _Forwarder or not _try_forward(
             forwarder, data
         ):
             return super().feed_data(data, size)
-        # Both positions move on: the reader drops its notes of chunks that
-        # lie before the cursor, and pauses for good if they pile up.
+        # Both positions advance: the reader drops the recorded ends of HTTP
+        # chunks that lie before the cursor, and would stop reading for good
+        # if these ends accumulated.
         self.total_bytes += len(data)
         self._cursor += len(data)
         return False
 
     def end_http_chunk_receiving(self) -> None:
-        """Called at the end of each chunk; only kept parts need a note."""
+        """Records the end of an HTTP chunk, which only buffered data needs."""
         waiter: Any = self._waiter
         if type(waiter) is not _Forwarder:
             super().end_http_chunk_receiving()
@@ -79,23 +80,23 @@
     try:
         return forwarder.forward_now(data)
     except Exception:
-        # It would come up in the parser, which would report a bad body. The
-        # task takes the part again and meets the error itself.
+        # Raised inside the parser, the error would be reported as a malformed
+        # body. The task forwards the chunk again and raises the error itself.
         return False
 
 
 async def relay(
     content: StreamReader, forward_now: ForwardNow, forward: Forward
 ) -> None:
-    """Hands all parts of a body on, in order, until it ends.
+    """Forwards all chunks of a body, in order, until it ends.
 
-    Backpressure: while a receiver takes nothing at once, parts are kept by the
-    reader, which stops reading from the connection beyond its limit.
+    Backpressure: while the receiver is slow, the reader buffers the chunks and,
+    beyond its limit, stops reading from the connection.
 
     Args:
-        content: The body; nobody else may read it.
-        forward_now: Asked first, from within the parser: it must not wait.
-        forward: Takes what `forward_now` did not.
+        content: The body, which has no other reader.
+        forward_now: Called first, inside the parser, so it must not wait.
+        forward: Called with the chunks that `forward_now` did not forward.
 
     Raises:
         aiohttp.ClientPayloadError: The body ended early.
@@ -117,7 +118,7 @@
 
 
 async def _relay_from_parser(content: Any, forward_now: ForwardNow) -> None:
-    """Returns at the end, at an error, or when a part was not taken."""
+    """Waits for the body's end, an error or a chunk that was not forwarded."""
     ended = asyncio.get_running_loop().create_future()
     forwarder = _Forwarder(forward_now, ended)
     content._waiter = forwarder
--- a/packages/transport/src/hollyknot_transport/_answers.py
+++ b/packages/transport/src/hollyknot_transport/_answers.py
@@ -1,4 +1,4 @@
-"""What callers are told: refusals, and the headers of every answer."""
+"""Renders refusals and the headers that answers to callers carry."""
 
 import math
 
@@ -34,11 +34,11 @@
 
 @attrs.frozen
 class Refusal:
-    """An answer that hollyknot gives in the upstream's place.
+    """An error answer that the router sends instead of an upstream's answer.
 
     Attributes:
         status: The HTTP status.
-        verdict: Says whether the request may have run, and why it ended.
+        verdict: Whether the request may have run, and why it ended.
     """
 
     status: int
@@ -46,7 +46,7 @@
 
 
 def refusal_headers(request_id: str, verdict: Verdict) -> dict[str, str]:
-    """Returns the headers by which a program can act on a refusal."""
+    """Returns the headers of a refusal, which client programs evaluate."""
     headers = {
         REQUEST_ID: request_id,
         VERDICT: verdict.outcome.value,
@@ -104,7 +104,7 @@
 
 
 def describe(verdict: Verdict) -> str:
-    """Returns a sentence: why, whether it may have run, when to come back."""
+    """Describes why a request ended, whether it may have run, when to retry."""
     text = verdict.detail or verdict.reason.value
     text = f"{text.rstrip('.')}. {_TITLES[verdict.outcome]}."
     if verdict.retry_after_s > 0:
@@ -113,5 +113,5 @@
 
 
 def bad_request(detail: str, status: int = 400) -> Refusal:
-    """Returns a refusal of a request that can't be read."""
+    """Returns the refusal of a malformed request."""
     return Refusal(status, Verdict(Outcome.NOT_RUN, Reason.BAD_REQUEST, detail))
--- a/packages/transport/src/hollyknot_transport/_bounded.py
+++ b/packages/transport/src/hollyknot_transport/_bounded.py
@@ -1,4 +1,4 @@
-"""Reads a body whole, within a bound on its size."""
+"""Reads a whole body up to a maximum size."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class TooLarge(enum.Enum):
-    """A sentinel: the body is larger than its bound."""
+    """The sentinel that stands for a body above the maximum size."""
 
     TOO_LARGE = "too-large"
 
@@ -16,15 +16,15 @@
 ) -> bytes | TooLarge:
     """Reads a stream to its end.
 
-    A body sent in chunks states no length. Without a bound, one sender could
-    take all of a host's memory; the host would be seen to be killed.
+    A chunked body states no length. Without a maximum, one sender could use up
+    the memory of a host until the operating system kills the process.
 
     Args:
         stream: The body.
-        max_bytes: The most that is read.
+        max_bytes: Maximum size of the body in bytes.
 
     Returns:
-        The bytes, or the sentinel as soon as the bound is passed.
+        The bytes, or the sentinel as soon as the maximum is exceeded.
     """
     parts: list[bytes] = []
     size = 0
--- a/packages/transport/src/hollyknot_transport/_caller_response.py
+++ b/packages/transport/src/hollyknot_transport/_caller_response.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: relayed as it comes, or refused, never both."""
+"""Answers one caller with a relayed answer, a buffered one or a refusal."""
 
 import contextlib
 
@@ -20,17 +20,20 @@
 
 
 class CallerResponse:
-    """Builds the one response of a request."""
+    """Builds the response to a request.
+
+    A request gets either a relayed answer or a refusal, never both.
+    """
 
     def __init__(
         self, request: web.BaseRequest, request_id: str, is_model: bool
     ) -> None:
-        """Prepares to answer; sends nothing yet.
+        """Prepares the response and sends nothing yet.
 
         Args:
             request: The caller's request.
-            request_id: Given back in a header.
-            is_model: Whether refusals take the OpenAI form.
+            request_id: Request id, returned in a header.
+            is_model: Whether refusals are rendered as OpenAI error objects.
         """
         self._request = request
         self._request_id = request_id
@@ -40,18 +43,18 @@
         self._is_chunked = False
 
     def sink(self) -> Sink:
-        """Returns the closures by which an answer is relayed."""
+        """Returns the callbacks that relay an answer to the caller."""
         return Sink(
             start=self._start, write=self._write, write_now=self._write_now
         )
 
     def refuse(self, refusal: Refusal) -> web.Response:
-        """Returns the response of a request that is refused."""
+        """Returns the response to a refused request."""
         render = openai_refusal if self._is_model else problem_refusal
         return render(self._request_id, refusal)
 
     def respond(self, answer: UpstreamAnswer, verdict: Verdict) -> web.Response:
-        """Returns the response that carries an upstream's whole answer."""
+        """Returns the response that carries an upstream's buffered answer."""
         headers = dict(answer.headers)
         headers[REQUEST_ID] = self._request_id
         headers[VERDICT] = verdict.outcome.value
@@ -62,16 +65,17 @@
     async def finish(
         self, verdict: Verdict, refusal: Refusal
     ) -> web.StreamResponse:
-        """Ends an answer that was relayed.
+        """Ends a relayed answer.
 
-        A body that just stops looks whole to a caller that reads until the
-        end. So an answer that is not complete ends with an error event, if it
-        is a stream of events, and by closing the connection before the body's
-        last chunk: the caller's library then reports an incomplete read.
+        A truncated body looks complete to a caller that reads to the end of
+        the connection. An incomplete answer therefore ends with an error event
+        if it is a stream of server-sent events, and the connection is closed
+        before the last chunk of the body, so that the caller's HTTP library
+        reports an incomplete read.
 
         Args:
             verdict: How the request ended.
-            refusal: What to tell if it isn't complete.
+            refusal: The error for the final event of an incomplete stream.
         """
         response = self._response
         if response is None:
@@ -113,10 +117,10 @@
             raise CallerGoneError(str(error)) from error
 
     def _write_now(self, data: bytes) -> bool:
-        """Sends a part, unless that needs waiting.
+        """Sends a chunk if this needs no waiting, and returns whether it did.
 
-        It goes to the transport and not by the response, whose `write` is a
-        coroutine and costs as much as the rest of relaying a token.
+        The chunk is written to the transport directly: `write` of the response
+        is a coroutine and costs as much as the rest of relaying a token.
         """
         request = self._request
         transport = request.transport
--- a/packages/transport/src/hollyknot_transport/_caller_server.py
+++ b/packages/transport/src/hollyknot_transport/_caller_server.py
@@ -1,7 +1,8 @@
-"""The HTTP server towards callers.
+"""Serves HTTP to callers.
 
-It is the library's low-level server: the routes are few, and the layers of an
-application cost more time than a short request.
+The server is built on the low-level server of aiohttp: there are few routes,
+and the layers of an `aiohttp.web.Application` cost more time than a short
+request.
 """
 
 import asyncio
@@ -15,12 +16,14 @@
 from hollyknot_transport._named_request import named_request
 
 HEAD_TIMEOUT_S = 30.0
-"""Seconds that a connection may be without a request in work."""
+"""Maximum time in seconds that a connection may have no request in progress."""
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""Seconds that requests get to end once a server is closed. A planned stop has
-waited for them before; the library's minute would make a process that is to
-end at once wait for its slowest request."""
+"""Time in seconds that requests have to end once the server is closed.
+
+A planned stop has waited for them before that. With the default of aiohttp, a
+minute, a process that is to exit at once would wait for its slowest request.
+"""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -33,14 +36,14 @@
 
 
 class CallerServer(web.Server):
-    """Counts requests in work by connection and closes idle connections."""
+    """Tracks the requests of each connection and closes idle connections."""
 
     def __init__(self, handler: Handler) -> None:
-        """Wraps a handler.
+        """Builds a server around a handler.
 
         Args:
-            handler: Answers each request; it is cancelled when the caller's
-                connection is lost.
+            handler: Answers each request. It is cancelled when the connection
+                of the caller is lost.
         """
         super().__init__(
             self._handle,
@@ -60,24 +63,24 @@
 
     @property
     def in_work(self) -> int:
-        """Requests that have not been answered in full."""
+        """Number of requests whose answer is not yet fully written."""
         return self._in_work
 
     def stop_keeping_alive(self) -> None:
-        """Closes each connection after the answer it is busy with."""
+        """Closes idle connections now and others after their current answer."""
         self._is_stopping = True
         for connection in list(self._open_connections.values()):
             if not connection.in_work:
                 connection.transport.close()
 
     async def idle(self) -> None:
-        """Waits until no request is in work."""
+        """Waits until no request is in progress."""
         await self._idle.wait()
 
     def connection_made(
         self, handler: RequestHandler, transport: asyncio.Transport
     ) -> None:
-        """Notes a new connection."""
+        """Registers a new connection."""
         super().connection_made(handler, transport)
         now = asyncio.get_running_loop().time()
         self._open_connections[handler] = _Connection(transport, now)
@@ -85,22 +88,22 @@
     def connection_lost(
         self, handler: RequestHandler, exc: BaseException | None = None
     ) -> None:
-        """Forgets a connection."""
+        """Removes a closed connection."""
         super().connection_lost(handler, exc)
         self._open_connections.pop(handler, None)
 
     def sweep(self, now_s: float) -> int:
-        """Closes connections that are too long without a request in work.
+        """Closes connections that had no request in progress for too long.
 
-        A caller that sends its head a byte a second never reaches the handler,
-        so that no timeout there would end it: such connections would pile up
-        until no file descriptor is left.
+        A caller that sends its request head one byte a second never reaches
+        the handler, so no timeout of the handler applies to it. Such
+        connections would accumulate until no file descriptor is left.
 
         Args:
-            now_s: The loop's clock.
+            now_s: Current time of the event loop's clock in seconds.
 
         Returns:
-            How many were closed.
+            The number of connections that were closed.
         """
         stale = [
             c
@@ -145,17 +148,17 @@
 async def start_server(
     server: web.Server, address: Address
 ) -> tuple[web.ServerRunner, int]:
-    """Starts to listen.
+    """Starts a server at an address.
 
     Args:
-        server: What to serve.
-        address: Where; port 0 takes a free one.
+        server: The server to start.
+        address: Address to listen at; port 0 selects a free port.
 
     Returns:
         The runner, whose `cleanup` stops the server, and the port.
 
     Raises:
-        OSError: The address can't be listened on.
+        OSError: Listening at the address failed.
     """
     runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
--- a/packages/transport/src/hollyknot_transport/_calls.py
+++ b/packages/transport/src/hollyknot_transport/_calls.py
@@ -1,7 +1,7 @@
-"""Reads a caller's HTTP request into a typed call, within bounds.
+"""Parses a caller's HTTP request into a typed call.
 
-Nothing here trusts the caller: each mistake ends in a `Refusal` that says what
-is wrong, in bounded time and memory.
+The input is untrusted: each malformed request ends in a `Refusal` that names
+the problem, and parsing takes bounded time and memory.
 """
 
 import asyncio
@@ -20,7 +20,10 @@
 MODEL_PATHS = frozenset({"/v1/chat/completions", "/v1/completions"})
 SERVICE_PREFIX = "/v1/services/"
 BODY_TIMEOUT_S = 30.0
-"""Seconds for a whole body; a caller that sends a byte a second is cut off."""
+"""Maximum time in seconds to receive a body.
+
+It ends requests of callers that send one byte a second.
+"""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _MAX_PREFIX_CHARS = 2048
@@ -35,7 +38,7 @@
 
 @attrs.frozen
 class _Target:
-    """What a call is for, with what only a model's body tells."""
+    """The model or service of a call, with the fields of a model's body."""
 
     call: ModelCall | ServiceCall
     is_streamed: bool = False
@@ -44,22 +47,22 @@
 
 @attrs.frozen
 class CallerCall:
-    """One request of a caller, read whole.
+    """One request of a caller with its whole body.
 
     Attributes:
-        request_id: Given by hollyknot.
+        request_id: Request id that the router generated.
         method: The HTTP method.
-        upstream_path: The path and query to ask the upstream for.
-        headers: Those that are forwarded.
+        upstream_path: Path and query of the request to the upstream.
+        headers: Request headers that are forwarded.
         body: The body, unchanged.
-        target: The model or the service it is for.
-        is_streamed: Whether the answer is asked for as server-sent events.
-        prefix: A hash of the prompt's head, for prefix locality; 0 if none.
-        authorization: The header as sent, empty if none.
-        request_class: The class that the caller names, empty if none.
-        idempotency_key: As sent, empty if none.
-        traceparent: As sent, empty if none.
-        fingerprint: A hash of the path and the body.
+        target: The model or service that is called.
+        is_streamed: Whether the caller requests server-sent events.
+        prefix: Hash of the start of the prompt, for prefix locality; 0 if none.
+        authorization: The `Authorization` header as sent; empty if none.
+        request_class: Request class that the caller names; empty if none.
+        idempotency_key: The `Idempotency-Key` header as sent; empty if none.
+        traceparent: The `traceparent` header as sent; empty if none.
+        fingerprint: Hash of the path and the body.
     """
 
     request_id: str
@@ -78,22 +81,22 @@
 
 
 def new_request_id() -> str:
-    """Returns a request id that no other host gives."""
+    """Returns a request id that is unique among all hosts."""
     return "req-" + secrets.token_hex(12)
 
 
 async def read_call(
     request: web.BaseRequest, request_id: str, max_body_bytes: int
 ) -> CallerCall | Refusal:
-    """Reads a request to a model or a service.
+    """Reads and parses a request to a model or a service.
 
     Args:
         request: The request, its body not yet read.
-        request_id: The id given to it.
-        max_body_bytes: The largest body that is read.
+        request_id: Request id of the call.
+        max_body_bytes: Maximum size of the body in bytes.
 
     Returns:
-        The call, or what to answer instead.
+        The call, or the refusal to answer with.
     """
     body = await _read_body(request, max_body_bytes)
     if isinstance(body, Refusal):
@@ -122,15 +125,15 @@
 
 
 async def _ask_for_body(request: web.BaseRequest) -> None:
-    """Answers a caller that waits to be asked before it sends its body.
+    """Sends `100 Continue` to a caller that waits for it.
 
-    The low-level server leaves this to us. Unasked, such callers send the body
-    after a second or so, or never.
+    The low-level server does not send it. Without it, such callers send the
+    body about a second later, or never.
     """
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(_CONTINUE)
-        # The library counts this as a part of the answer, whose head would
-        # then look as if it had been sent.
+        # aiohttp counts these bytes as part of the answer, and would then
+        # assume that the head of the answer has been sent.
         request.writer.output_size = 0
 
 
@@ -142,7 +145,7 @@
     await _ask_for_body(request)
     content = request.content
     try:
-        # A body mostly comes with its head, and needs no timer then.
+        # Most bodies arrive together with the head and need no timer.
         if content.is_eof():
             body = await read_bounded(content, max_body_bytes)
         else:
