--- a/packages/transport/src/hollyknot_transport/_exchange.py
+++ b/packages/transport/src/hollyknot_transport/_exchange.py
@@ -1,8 +1,8 @@
-"""One try of a call at one upstream, ended by a verdict.
+"""Sends one try of a call to one upstream and determines its verdict.
 
-Whether the request may have run is decided here and nowhere else: a failure to
-connect proves that it did not, a published refusal proves that it did not, and
-anything else after the connection was made does not.
+Only this module decides whether the request may have run. A failure to connect
+and an explicit refusal by the upstream prove that it did not run; any other
+failure after the connection was made proves nothing.
 """
 
 import asyncio
@@ -17,20 +17,27 @@
 from hollyknot_transport._stall_guard import Phase, StallGuard, Watched
 
 MAX_BUFFERED_ANSWER_BYTES = 262_144
-"""A whole answer up to this size is read before the caller gets any of it, so
-that a truncated one can be tried elsewhere."""
+"""Maximum size in bytes up to which an answer is buffered.
+
+The caller gets no part of a buffered answer before its end, so that a
+truncated one can be tried at another upstream.
+"""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Until a connection counts as failed: a lost first packet is sent again by the
-system after a second, and another upstream answers sooner than that."""
+"""Maximum time in seconds to open a connection.
+
+The operating system retransmits a lost first packet after a second, and another
+upstream answers sooner than that.
+"""
 
 IDLE_CONNECTION_S = 1.0
-"""The longest time without use after which a kept connection is used again.
+"""Maximum idle time in seconds after which a kept connection is reused.
 
-Something between may have forgotten a connection, and a request on it finds
-out by silence: a whole answer waits for minutes. One silent connection is
-noticed after two seconds or more, and by then all the others that went silent
-with it are too old to be used. A new one costs a round trip.
+A device on the path, such as a firewall, may have dropped the state of a
+connection. A request on it then gets no answer, and the wait for an unstreamed
+answer lasts minutes. One such connection is noticed after two seconds or more,
+and by then all others that failed with it are too old to be reused. A new
+connection costs a round trip.
 """
 _READ_BUFFER_BYTES = 16_384
 _DONE_LINE = b"data: [DONE]"
@@ -42,18 +49,19 @@
 
 @attrs.frozen
 class UpstreamRequest:
-    """What is sent to an upstream.
+    """A request to an upstream.
 
     Attributes:
-        url: With the upstream's address.
+        url: URL, with the address of the upstream.
         method: The HTTP method.
-        headers: All headers but those of the connection.
-        body: The body.
-        request_id: Checked against the answer's, if it has one.
-        nature: Non-idempotent requests go over a connection of their own.
-        is_streamed: Whether server-sent events are expected.
-        first_byte_s: The longest wait for the first byte of the answer.
-        next_bytes_s: The longest silence after that.
+        headers: All headers except those of the connection.
+        body: Body of the request; empty for none.
+        request_id: Request id; an answer that names another one is rejected.
+        nature: Whether the request is idempotent; a non-idempotent one is sent
+            over a new connection.
+        is_streamed: Whether the caller requested server-sent events.
+        first_byte_s: Maximum wait in seconds for the first byte of the answer.
+        next_bytes_s: Maximum gap in seconds between bytes after the first.
     """
 
     url: str
@@ -69,12 +77,12 @@
 
 @attrs.frozen
 class UpstreamAnswer:
-    """A whole answer, or its head if it is relayed as it comes.
+    """A buffered answer, or the head of a relayed one.
 
     Attributes:
         status: The HTTP status.
-        headers: Those that the caller gets.
-        body: The whole body, empty if it is relayed.
+        headers: Headers that are forwarded to the caller.
+        body: Body of a buffered answer; empty for a relayed one.
     """
 
     status: int
@@ -84,12 +92,12 @@
 
 @attrs.frozen
 class Sink:
-    """Where a relayed answer goes; closures over the caller's response.
+    """Callbacks that send a relayed answer to the caller.
 
     Attributes:
         start: Sends the head to the caller.
-        write: Sends bytes to the caller and waits while it is slow.
-        write_now: Sends bytes if that needs no waiting, and tells whether it
+        write: Sends bytes to the caller and waits while the caller is slow.
+        write_now: Sends bytes if this needs no waiting, and returns whether it
             did.
     """
 
@@ -100,16 +108,18 @@
 
 @attrs.frozen
 class Result:
-    """What became of a try.
+    """The result of one try.
 
     Attributes:
-        verdict: Whether it ran.
-        answer: The upstream's answer, if there is one to hand on.
-        has_started: Whether the caller has got part of it.
-        first_byte_at: When the first byte came, on the loop's clock; 0 if none.
-        size: Bytes of the answer that were read.
-        parts: How many parts the answer came in; of a stream, about its
-            tokens.
+        verdict: How the try ended and whether the request may have run.
+        answer: The upstream's complete answer, without body if it was relayed;
+            None if the try has no complete answer.
+        has_started: Whether a part of the answer was relayed to the caller.
+        first_byte_at: Time of the first byte in seconds on the event loop's
+            clock; 0 if none arrived.
+        size: Number of bytes of the answer that were read.
+        parts: Number of chunks in which the answer arrived; for a stream,
+            approximately its number of tokens.
     """
 
     verdict: Verdict
@@ -121,24 +131,25 @@
 
 
 class CallerGoneError(Exception):
-    """The caller's connection failed while the answer was relayed."""
+    """Raised if the caller's connection fails while an answer is relayed."""
 
 
 class UpstreamClient:
-    """The host's client towards upstreams."""
+    """The HTTP client of a host towards its upstreams."""
 
     def __init__(self, guard: StallGuard) -> None:
-        """Opens the sessions; they are closed by `close`.
+        """Opens the HTTP sessions, which `close` closes.
 
         Args:
-            guard: Watches each exchange; swept by the host's timer.
+            guard: Expires requests that make no progress; the host's timer
+                sweeps it.
         """
         self._guard = guard
         self._pooled_session = _session(force_close=False)
-        # A kept connection may be closed by the upstream just as a request is
-        # written to it, and the client library then sends an idempotent
-        # method again by itself. On a new connection it never does, and a
-        # refused connection is proof that the request was not run.
+        # The upstream may close a kept connection just as a request is written
+        # to it, and aiohttp then resends a request with an idempotent method
+        # by itself. On a new connection it never does, and a refused
+        # connection proves that the request did not run.
         self._single_use_session = _session(force_close=True)
 
     async def close(self) -> None:
@@ -147,16 +158,15 @@
         await self._single_use_session.close()
 
     async def run(self, request: UpstreamRequest, sink: Sink) -> Result:
-        """Sends a request and reads, or relays, its answer.
+        """Sends a request and buffers or relays its answer.
 
         Args:
-            request: What to send and where.
-            sink: Takes a streamed or large answer.
+            request: The request, with the URL of the upstream.
+            sink: Receives a streamed or large answer.
 
         Returns:
-            The result. It raises `asyncio.CancelledError` only if it is
-            cancelled, which closes the upstream's connection and so cancels
-            the work there.
+            The result. Cancellation of the task closes the connection to the
+            upstream, which cancels the work there.
         """
         is_single_use = request.nature is Nature.NON_IDEMPOTENT
         session = (
@@ -227,19 +237,19 @@
 
 
 class _MinimalHeadersRequest(aiohttp.ClientRequest):
-    """A request with the caller's headers and no more than the least."""
+    """A request with the given headers and few added ones."""
 
     def update_auto_headers(self, _: Iterable[str] | None) -> None:
-        """Adds none of the library's names and encodings.
+        """Adds no `User-Agent` and no `Accept-Encoding` of aiohttp.
 
-        The session's `skip_auto_headers` does so too, but copies all headers
-        for it at each request.
+        The option `skip_auto_headers` of the session has the same effect, but
+        copies all headers for each request.
         """
         self.headers.setdefault("Accept", "*/*")
 
 
 class _Attempt:
-    """The state of one try."""
+    """The state of one try at an upstream."""
 
     def __init__(
         self,
@@ -262,7 +272,7 @@
     def incomplete_result(
         self, outcome: Outcome, reason: Reason, detail: str = ""
     ) -> Result:
-        """Returns the result of an end with nothing whole to hand on."""
+        """Returns the result of a try that has no complete answer."""
         return Result(
             Verdict(outcome, reason, detail),
             None,
@@ -273,7 +283,10 @@
         )
 
     async def run(self, session: aiohttp.ClientSession) -> Result:
-        """Runs the try; failures of the connection are raised."""
+        """Sends the request and reads its answer.
+
+        Failures of the connection are raised.
+        """
         request = self._request
         async with session.request(
             request.method,
@@ -286,7 +299,7 @@
             self._watched.phase = Phase.NEXT_BYTES
             if response.headers.get(NOT_RUN) == "true":
                 return self._refused_result(response)
-            # An answer to another request must never reach this caller.
+            # The answer to another request must never reach this caller.
             answered_id = response.headers.get(REQUEST_ID, request.request_id)
             if answered_id != request.request_id:
                 return self.incomplete_result(
@@ -316,8 +329,8 @@
         await relay(response.content, self._forward_now, self._forward)
         is_events = response.content_type == "text/event-stream"
         tail = self._tail
-        # A stream that ends early looks like any other end of a body: only
-        # the last line tells a truncated answer from a whole one.
+        # The end of a truncated stream looks like any other end of a body:
+        # only the last line distinguishes it from a complete answer.
         if is_events and not tail.rstrip().endswith(_DONE_LINE):
             return self.incomplete_result(
                 Outcome.MAY_HAVE_RUN, Reason.TRUNCATED
@@ -325,14 +338,14 @@
         return self._complete_result(head)
 
     def _forward_now(self, chunk: bytes) -> bool:
-        """Relays a part from within the parser, if the caller is not slow."""
+        """Relays a chunk from inside the parser unless the caller is slow."""
         if not self._has_started or not self._sink.write_now(chunk):
             return False
         self._count_chunk(chunk)
         return True
 
     async def _forward(self, chunk: bytes) -> None:
-        """Relays a part and waits for the caller."""
+        """Relays a chunk and waits while the caller is slow."""
         watched = self._watched
         watched.progress_at = self._clock()
         watched.phase = Phase.CALLER
