--- a/packages/transport/src/hollyknot_transport/_links.py
+++ b/packages/transport/src/hollyknot_transport/_links.py
@@ -1,4 +1,4 @@
-"""What the users of links between hosts see: results, limits, credentials."""
+"""Public types of the links between hosts: results, limits, credentials."""
 
 import enum
 import ssl
@@ -17,37 +17,38 @@
 
 
 class LinkErrorReason(enum.Enum):
-    """Why a call over a link has no reply."""
+    """The reason why a call over a link has no reply."""
 
     TIMEOUT = "timeout"
-    """No reply in time."""
+    """No reply arrived within the timeout."""
 
     REFUSED = "refused"
-    """No connection; or the last dial failed and the next is not yet due."""
+    """The dial failed, or the last one did and the next is not yet due."""
 
     LOST = "lost"
-    """The connection ended, or was silent for too long."""
+    """The connection ended, or no bytes were received for too long."""
 
     REJECTED = "rejected"
     """The handshake failed, another host answers at the address, or the peer
-    does not serve the call."""
+    does not serve the call.
+    """
 
     QUEUE_FULL = "queue-full"
-    """The peer takes messages more slowly than they are sent."""
+    """The send queue is full: the peer reads more slowly than this host."""
 
     CLOSED = "closed"
-    """This host closed its links."""
+    """This host has closed its links."""
 
 
 @attrs.frozen
 class LinkError:
-    """A call without a reply.
+    """The error of a call without a reply.
 
     Attributes:
-        reason: Why.
+        reason: Why there is no reply.
         may_have_arrived: False only if it is proved that the peer's handler
-            was not given the message.
-        detail: For the log.
+            did not receive the message.
+        detail: Description for the log.
     """
 
     reason: LinkErrorReason
@@ -56,10 +57,10 @@
 
 
 class NoReply(enum.Enum):
-    """What a handler returns if nothing is to be sent back.
+    """The value that a handler returns to send no reply.
 
-    A call is then left to its timeout, and its link is replaced, as it cannot
-    be told from a link that went silent: reply to calls.
+    Handlers should reply to calls: a call without a reply times out, and its
+    link is then replaced because it can't be distinguished from a dead one.
     """
 
     NO_REPLY = "no-reply"
@@ -67,12 +68,12 @@
 
 @attrs.frozen
 class PeerIdentity:
-    """Who is at the other end of a link; proved by the handshake.
+    """The identity of a peer, authenticated by the handshake.
 
     Attributes:
-        host: Its name in the host list.
-        data_centre: Its data centre.
-        ip: The address that it connects from or listens on.
+        host: The peer's name in the host list.
+        data_centre: The peer's data centre.
+        ip: IP address that the peer connects from or listens on.
     """
 
     host: str
@@ -81,34 +82,40 @@
 
 
 Handler = Callable[[PeerIdentity, Any, str], Awaitable[Any | NoReply]]
-"""Serves a message: given the peer, the message and the traceparent."""
+"""Serves a message; called with the peer, the message and the traceparent."""
 
 
 @attrs.frozen
 class LinkLimits:
-    """Bounds of links. Times are in seconds.
+    """The limits of links, with all times in seconds.
 
     Attributes:
-        max_frame_bytes: Of a message after the handshake.
-        max_handshake_frame_bytes: Of a frame before its end.
-        max_unproved: Accepted connections whose handshake has not ended.
-        max_unproved_per_ip: The same, from one address.
-        handshake_s: For a whole handshake, that of TLS included.
-        connect_s: For the connection before it.
-        queue_messages: Messages that wait to be sent on a link.
-        queue_bytes: Their bytes.
-        waiting_messages: One-way messages that wait for a dial to end.
-        max_running: Handlers that run at once for one link.
-        ping_after_s: Silence, while a reply is due, until a ping.
-        one_way_ping_after_s: Silence, after one-way messages alone, until a
-            ping.
-        stall_s: Silence after the ping until the link counts as lost.
-        idle_s: Without use until the dialling side closes a link.
-        accepted_idle_s: Without a byte until the accepting side closes it;
-            above `idle_s`, so that no message meets a closing link.
-        sweep_s: Between two checks of all links.
-        backoff_first_s: Until the dial after the first one that failed.
-        backoff_max_s: Until the dial after many that failed.
+        max_frame_bytes: Maximum size of a frame after the handshake.
+        max_handshake_frame_bytes: Maximum size of a frame of the handshake.
+        max_pending_handshakes: Maximum number of accepted connections whose
+            handshake has not ended.
+        max_pending_handshakes_per_ip: Maximum number of such connections from
+            one IP address.
+        handshake_s: Timeout of the handshake, including that of TLS.
+        connect_s: Timeout for opening the connection.
+        queue_messages: Maximum number of messages in the send queue of a link.
+        queue_bytes: Maximum size in bytes of the send queue of a link.
+        waiting_messages: Maximum number of one-way messages that wait for the
+            same dial.
+        max_running: Maximum number of concurrent handlers of one link.
+        ping_after_s: Time without received bytes, while a reply is due, until
+            a ping is sent.
+        one_way_ping_after_s: Time without received bytes, after one-way
+            messages alone, until a ping is sent.
+        stall_s: Time without received bytes after a ping until the link counts
+            as lost.
+        idle_s: Idle time until the dialling side closes a link.
+        accepted_idle_s: Idle time until the accepting side closes a link;
+            longer than `idle_s`, so that the dialler never sends a message on
+            a link that the accepter is closing.
+        sweep_s: Interval between two checks of all links.
+        backoff_first_s: Maximum pause after the first failed dial.
+        backoff_max_s: Maximum pause after any failed dial.
     """
 
     max_frame_bytes: int = MAX_FRAME_BYTES
@@ -132,7 +139,7 @@
 
 
 DEFAULT_LIMITS = LinkLimits()
-"""The bounds for the fleet sizes of `docs/CAPACITY.md`."""
+"""The limits for the fleet sizes in `docs/CAPACITY.md`."""
 
 
 def _check_keys(
@@ -142,21 +149,22 @@
 ) -> None:
     if not 0 < len(value) <= _MAX_KEYS or not all(value):
         raise ValueError(
-            f"{field.name}: {len(value)} given; set link_keys to one key, or"
-            " to two while it is changed, none of them empty"
+            f"{field.name}: {len(value)} given; set link_keys to one non-empty"
+            " key, or to two while the key is being changed"
         )
 
 
 @attrs.frozen
 class LinkCredentials:
-    """How this host shows who it is, and checks its peers.
+    """The credentials that authenticate this host and its peers.
 
     Attributes:
-        host: This host's name.
+        host: This host's name in the host list.
         data_centre: This host's data centre.
-        keys: The shared keys; the first signs, each is accepted.
-        accept_tls: The TLS of accepted links; None for none.
-        dial_tls: The TLS of dialled links; None for none.
+        keys: One or two shared keys; the first signs this host's proof, and a
+            peer's proof may be signed by any.
+        accept_tls: TLS context of accepted links; None without TLS.
+        dial_tls: TLS context of dialled links; None without TLS.
     """
 
     host: str
@@ -167,11 +175,11 @@
 
 
 def make_link_credentials(settings: Settings) -> LinkCredentials:
-    """Returns the credentials that the settings name.
+    """Loads the credentials that the settings name.
 
     Raises:
-        ValueError: The number of keys is not one or two.
-        OSError: A file of the TLS cannot be read, or is none.
+        ValueError: There are not one or two keys, or one is empty.
+        OSError: A certificate or key file is unreadable or invalid.
     """
     return LinkCredentials(
         settings.host,
@@ -188,8 +196,8 @@
         return None
     context = ssl.SSLContext(side)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
-    # Peers are known by IP and prove their names in the handshake of the
-    # link; the certificate shows that the authority knows them.
+    # Peers are dialled by IP address and prove their names in the handshake of
+    # the link. The certificate only proves that the authority issued it.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_cert_chain(tls.certificate, tls.key)
--- a/packages/transport/src/hollyknot_transport/_links_counters.py
+++ b/packages/transport/src/hollyknot_transport/_links_counters.py
@@ -1,20 +1,20 @@
-"""Bytes and messages of links, counted for each kind of message."""
+"""Counts the messages and bytes of links by kind of message."""
 
 import attrs
 
 
 @attrs.frozen
 class KindTraffic:
-    """What was sent and received of one kind.
+    """The traffic of one kind of message.
 
-    Bytes are those of whole frames, without TLS and TCP.
+    Bytes are those of whole frames, without the overhead of TLS and TCP.
 
     Attributes:
-        kind: The message's name.
-        sent_messages: Messages handed to the kernel.
-        sent_bytes: Their bytes.
-        received_messages: Messages read.
-        received_bytes: Their bytes.
+        kind: Name of the kind of message.
+        sent_messages: Number of messages handed to the kernel.
+        sent_bytes: Number of bytes of the sent messages.
+        received_messages: Number of messages read.
+        received_bytes: Number of bytes of the received messages.
     """
 
     kind: str
@@ -33,15 +33,17 @@
 
 
 class LinkCounters:
-    """Counts the traffic of all links that share it; it only rises.
+    """Monotonic counters of all links of a server or a pool.
 
     Attributes:
-        dropped: One-way messages and replies that were not sent, since a queue
-            was full or the peer could not be reached.
-        accepted: Links accepted whose handshake succeeded.
-        dialled: Links dialled whose handshake succeeded.
-        rejected: Accepted connections that were closed before that.
-        stalled: Links closed since they were silent.
+        dropped: Number of one-way messages and replies that were not sent
+            because a queue was full or the peer could not be reached.
+        accepted: Number of accepted links whose handshake succeeded.
+        dialled: Number of dialled links whose handshake succeeded.
+        rejected: Number of accepted connections that were closed before the
+            handshake succeeded.
+        stalled: Number of links closed because nothing was received, not even
+            after a ping.
     """
 
     def __init__(self) -> None:
@@ -53,19 +55,19 @@
         self._kinds: dict[str, _Count] = {}
 
     def count_sent(self, kind: str, size: int) -> None:
-        """Counts one message and the bytes of its frame."""
+        """Counts one sent message and the bytes of its frame."""
         count = self._count_of(kind)
         count.sent_messages += 1
         count.sent_bytes += size
 
     def count_received(self, kind: str, size: int) -> None:
-        """Counts one message and the bytes of its frame."""
+        """Counts one received message and the bytes of its frame."""
         count = self._count_of(kind)
         count.received_messages += 1
         count.received_bytes += size
 
     def traffic(self) -> tuple[KindTraffic, ...]:
-        """Returns the counts so far, ordered by the kind's name."""
+        """Returns the traffic of each kind, ordered by name."""
         return tuple(
             KindTraffic(kind, *attrs.astuple(count))
             for kind, count in sorted(self._kinds.items())
--- a/packages/transport/src/hollyknot_transport/_links_dial.py
+++ b/packages/transport/src/hollyknot_transport/_links_dial.py
@@ -1,4 +1,4 @@
-"""Dials one host, and says when to try again after a failure."""
+"""Dials one host and computes the pause after a failed dial."""
 
 import asyncio
 import random
@@ -28,13 +28,15 @@
 
 
 def backoff_s(limits: LinkLimits, failures: int, rng: random.Random) -> float:
-    """Returns the seconds from a failed dial to the next.
+    """Returns the pause in seconds between a failed dial and the next.
+
+    Half of each pause is random. Otherwise hosts that lost a peer at the same
+    moment would dial it at the same moments again and again.
 
     Args:
-        limits: Bounds of the pause.
-        failures: How many dials had failed before that one.
-        rng: Hosts that lost a peer at the same moment would dial it together
-            again and again; half of each pause is random to spread them.
+        limits: Limits of links, with the first and the maximum pause.
+        failures: Number of consecutive dials that failed before this one.
+        rng: Source of the random half.
     """
     doublings = min(failures, _MAX_DOUBLINGS)
     pause_s = limits.backoff_first_s * _BACKOFF_FACTOR**doublings
@@ -44,9 +46,9 @@
 async def open_link(
     address: Address, credentials: LinkCredentials, parts: LinkParts
 ) -> Link | LinkError:
-    """Returns a link that the host at the address has accepted.
+    """Dials a host, performs the handshake and returns the link or an error.
 
-    The link carries nothing until its `run` is started.
+    The link sends and receives nothing until its `run` is started.
     """
     limits = parts.limits
     options = StreamOptions(
--- a/packages/transport/src/hollyknot_transport/_links_handshake.py
+++ b/packages/transport/src/hollyknot_transport/_links_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake of a link: both sides prove that they know a shared key."""
+"""Authenticates both sides of a new link by a shared key."""
 
 import secrets
 
@@ -23,12 +23,12 @@
 
 
 class PeerAuthenticationError(Exception):
-    """The peer knows none of this host's keys."""
+    """Raised if the peer's proof matches none of this host's keys."""
 
 
 @attrs.frozen
 class _Hellos:
-    """Both first frames as they were sent."""
+    """The bodies of both `Hello` frames as they were sent."""
 
     dialler: bytes
     accepter: bytes
@@ -40,14 +40,15 @@
     """Proves this host to the accepting side, then checks that side.
 
     Returns:
-        Who accepted. The accepter has by then accepted this host.
+        The identity of the accepter, which has by then accepted this host.
 
     Raises:
-        NotProvedError: The accepter knows none of the keys.
-        StreamEndedError: The connection ended, as it does when the accepter
-            does not know this host's key.
-        FrameError: The accepter sent no handshake.
-        MalformedMessageError: Likewise.
+        PeerAuthenticationError: The accepter's proof matches none of the keys.
+        StreamEndedError: The connection ended, as it does if the accepter
+            doesn't know this host's key.
+        FrameError: The accepter sent an invalid frame.
+        MalformedMessageError: The accepter sent something other than the
+            messages of a handshake.
     """
     own_hello = _make_hello(credentials)
     await _send(stream, counters, "Hello", own_hello)
@@ -64,17 +65,18 @@
 ) -> PeerIdentity:
     """Checks the dialling side, then proves this host to it.
 
-    The dialler proves first: its receipt of this side's proof tells it that it
-    was accepted, so a rejected dialler never takes a message for sent.
+    The dialler sends its proof first. It receives the accepter's proof only if
+    it was accepted, so a rejected dialler never considers a message sent.
 
     Returns:
-        Who dialled.
+        The identity of the dialler.
 
     Raises:
-        NotProvedError: The dialler knows none of the keys.
+        PeerAuthenticationError: The dialler's proof matches none of the keys.
         StreamEndedError: The connection ended.
-        FrameError: The dialler sent no handshake.
-        MalformedMessageError: Likewise.
+        FrameError: The dialler sent an invalid frame.
+        MalformedMessageError: The dialler sent something other than the
+            messages of a handshake.
     """
     peer_hello = await _receive(stream, counters, "Hello")
     identity = _read_hello(peer_hello, stream.ip)
@@ -87,8 +89,8 @@
 
 
 def _make_hello(credentials: LinkCredentials) -> bytes:
-    # A nonce that repeats would let an old proof be sent again, hence the
-    # operating system's generator and not the injected one.
+    # A repeated nonce would allow an old proof to be replayed, so the nonce
+    # comes from the operating system's generator and not the injected one.
     nonce = secrets.token_bytes(NONCE_BYTES)
     return encode(
         Hello(LINK_VERSION, credentials.host, credentials.data_centre, nonce)
--- a/packages/transport/src/hollyknot_transport/_links_link.py
+++ b/packages/transport/src/hollyknot_transport/_links_link.py
@@ -1,4 +1,4 @@
-"""One link between two hosts, after its handshake."""
+"""Carries messages over one link between two hosts after its handshake."""
 
 import asyncio
 from collections.abc import Callable
@@ -38,19 +38,19 @@
 _log = get_logger("links")
 
 Clock = Callable[[], float]
-"""Gives monotonic seconds."""
+"""Returns the current monotonic time in seconds."""
 
 
 @attrs.frozen
 class LinkParts:
-    """What all links of a server or a pool share.
+    """The objects that all links of a server or a pool share.
 
     Attributes:
-        limits: Bounds.
-        counters: Where traffic is counted.
-        clock: Monotonic seconds.
-        handler: Serves the peer's messages; None if this side serves none.
-        idle_s: Seconds without use after which this side closes a link.
+        limits: Limits of the links.
+        counters: Counters of the links' traffic.
+        clock: Source of the monotonic time in seconds.
+        handler: Handler of the peer's messages; None if this side serves none.
+        idle_s: Idle time in seconds after which this side closes a link.
     """
 
     limits: LinkLimits
@@ -62,16 +62,17 @@
 
 @attrs.frozen
 class _PendingCall:
-    """A call that waits for its reply."""
+    """A call whose reply has not arrived."""
 
     item: Outgoing
     reply: "asyncio.Future[Any]"
 
 
 class Link:
-    """Calls, replies and one-way messages over one connection.
+    """Exchanges calls, replies and one-way messages over one connection.
 
-    `run` owns the connection; everything else leaves messages for it.
+    Only `run` reads from and writes to the connection; the other methods put
+    messages in a queue.
     """
 
     def __init__(
@@ -91,16 +92,16 @@
 
     @property
     def peer(self) -> PeerIdentity:
-        """Who is at the other end."""
+        """Identity of the peer."""
         return self._peer
 
     @property
     def is_usable(self) -> bool:
-        """Whether new messages may be sent on it."""
+        """Whether new messages may be sent on the link."""
         return self._end_reason is None and not self._is_retired
 
     async def run(self) -> None:
-        """Carries messages until the link ends; then resolves all waiters."""
+        """Carries messages until the link ends, then ends all pending calls."""
         tasks = {
             asyncio.ensure_future(self._read()),
             asyncio.ensure_future(self._write()),
@@ -116,7 +117,7 @@
         await self._finish_handlers()
 
     def abort(self, reason: LinkErrorReason, detail: str = "") -> None:
-        """Ends the link at once; calls without reply get the reason."""
+        """Closes the link at once; pending calls return the reason."""
         if self._end_reason is not None:
             return
         self._end_reason = reason
@@ -132,7 +133,7 @@
         """Sends a message and waits for its reply.
 
         Returns:
-            The reply, or why there is none.
+            The reply, or the reason why there is none.
 
         Raises:
             UnencodableMessageError: The message cannot be sent.
@@ -158,14 +159,14 @@
             self._close_if_done()
 
     def post(self, item: Outgoing) -> bool:
-        """Sends a frame; False if the queue is full or the link has ended."""
+        """Queues a frame; False if the queue is full or the link has ended."""
         if not self._enqueue(item):
             return False
         self._liveness.on_message_sent(self._parts.clock())
         return True
 
     def check(self, now_s: float) -> None:
-        """Pings, or ends, a link that has been silent or idle for long."""
+        """Pings or closes the link if due; must be called at intervals."""
         action = self._liveness.check(
             now_s, is_reply_due=bool(self._pending_calls)
         )
@@ -174,28 +175,33 @@
         elif action is LivenessAction.LOST:
             self._parts.counters.stalled += 1
             _log.warning("link_stalled", ip=self._peer.ip, peer=self._peer.host)
-            self.abort(LinkErrorReason.LOST, "silent, also after a ping")
+            self.abort(
+                LinkErrorReason.LOST, "no bytes received, also not after a ping"
+            )
         elif action is LivenessAction.IDLE and not self._handler_tasks:
-            self.abort(LinkErrorReason.LOST, "idle")
+            self.abort(LinkErrorReason.LOST, "closed because it was idle")
 
     def _on_timeout(self, item: Outgoing, sent_s: float) -> LinkError:
         if item.is_written and self._liveness.last_received_s < sent_s:
-            # Not a byte came since the call. If the connection has gone
-            # silent for good, the next call on it would be lost as well: it
-            # gets a new connection, while calls that still wait keep this.
+            # No byte was received since the call. If the connection is dead,
+            # the next call on it would be lost as well. New calls get a new
+            # connection, while pending calls keep this one.
             self._is_retired = True
         return LinkError(LinkErrorReason.TIMEOUT, item.is_written)
 
     def _close_if_done(self) -> None:
         if self._is_retired and not self._pending_calls:
-            self.abort(LinkErrorReason.LOST, "retired after a timeout")
+            self.abort(
+                LinkErrorReason.LOST,
+                "closed after a call timed out with no bytes received",
+            )
 
     def _enqueue(self, item: Outgoing) -> bool:
         return self._end_reason is None and self._outbox.put(item)
 
     def _log_failures(self, results: list[BaseException | None]) -> None:
-        # A fault of this program in one of the tasks ends the link like any
-        # loss; without a line nobody would learn of it.
+        # An unexpected exception in one of the tasks ends the link as a lost
+        # connection does; without this log line it would go unnoticed.
         for result in results:
             if isinstance(result, Exception):
                 _log.error(
@@ -206,9 +212,9 @@
                 )
 
     async def _finish_handlers(self) -> None:
-        # What a peer asked for is done to its end, also when its link is
-        # lost: a handler stopped between two steps could leave a half of
-        # them done. Only the end of the whole server stops them.
+        # Handlers run to their end also when the link is lost: a handler that
+        # is stopped between two steps could leave only the first one done.
+        # Handlers are cancelled only when the whole server stops.
         handler_tasks = tuple(self._handler_tasks)
         try:
             await asyncio.gather(*handler_tasks, return_exceptions=True)
@@ -244,7 +250,10 @@
                 peer=self._peer.host,
                 error=str(error),
             )
-            self.abort(LinkErrorReason.LOST, "the peer sent rubbish")
+            self.abort(
+                LinkErrorReason.LOST,
+                "the peer sent a malformed frame or message",
+            )
 
     def _on_frame(self, body: bytes) -> None:
         envelope = decode_as(Envelope, body)
@@ -262,7 +271,7 @@
     def _on_reply(self, call_id: int, message: Any) -> None:
         self._liveness.on_use(self._parts.clock())
         pending_call = self._pending_calls.get(call_id)
-        # A reply may come after its call timed out.
+        # A reply may arrive after its call timed out.
         if pending_call is not None and not pending_call.reply.done():
             pending_call.reply.set_result(read_reply(message))
 
@@ -293,8 +302,8 @@
             if envelope.call_id and reply is not NoReply.NO_REPLY:
                 self._reply(pack(reply, "", reply_to=envelope.call_id))
         except Exception:
-            # A handler's fault would otherwise end the task unseen and leave
-            # the caller to its timeout.
+            # Otherwise the exception would end the task unnoticed, and the
+            # peer's call would wait for its timeout.
             _log.exception("link_handler_failed", peer=self._peer.host)
             if envelope.call_id:
                 self._refuse(envelope.call_id, CallRefusalReason.FAILED)
--- a/packages/transport/src/hollyknot_transport/_links_liveness.py
+++ b/packages/transport/src/hollyknot_transport/_links_liveness.py
@@ -1,4 +1,4 @@
-"""Decides when a link is pinged, lost or idle. No I/O, no clock."""
+"""Decides when a link is pinged, lost or idle, without I/O or a clock."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class LivenessAction(enum.Enum):
-    """What to do with a link."""
+    """The action that a check of a link asks for."""
 
     NONE = "none"
     PING = "ping"
@@ -15,14 +15,16 @@
 
 
 class Liveness:
-    """What a link knows of its silence. Times are in seconds, monotonic.
-
-    A connection can go silent for good: something between the two ends has
-    forgotten it, and drops what either sends. Calls on it would time out one
-    after another while a new connection works. So silence after a message was
-    sent leads to a ping, and silence after the ping ends the link. Nothing is
-    sent on a link that is not used: pings on all links of a host would cost
-    more than all of its control traffic may.
+    """Tracks when a link was last used and when bytes were last received.
+
+    A device on the path may lose the state of a connection and drop all packets
+    of both ends. Calls on it would time out one after another while a new
+    connection works. If nothing is received after a message was sent, the link
+    is therefore pinged, and if nothing is received after the ping, it is lost.
+    An unused link is not pinged: pings on all links of a host would exceed the
+    bandwidth allowed for all of its control traffic.
+
+    Times are monotonic, in seconds.
     """
 
     def __init__(self, limits: LinkLimits, idle_s: float, now_s: float) -> None:
@@ -35,35 +37,35 @@
 
     @property
     def last_received_s(self) -> float:
-        """When bytes last came."""
+        """Time at which bytes were last received."""
         return self._last_received_s
 
     def on_bytes(self, now_s: float) -> None:
-        """Takes note of bytes from the peer, whatever they are."""
+        """Records that bytes were received from the peer."""
         self._last_received_s = now_s
         self._unanswered_since_s = None
         self._last_ping_s = None
 
     def on_use(self, now_s: float) -> None:
-        """Takes note of a message either way, other than ping and pong."""
+        """Records a received message or reply, but no ping or pong."""
         self._last_used_s = now_s
 
     def on_message_sent(self, now_s: float) -> None:
-        """Takes note of a call or a one-way message of this side.
+        """Records that this side sent a call or a one-way message.
 
-        Replies and pongs are not noted here. If they were, each side would
-        ping because of the other's pong, on every link, for ever.
+        Replies and pongs are not recorded here. Otherwise each side would ping
+        in response to the other's pong, on every link, without end.
         """
         self._last_used_s = now_s
         if self._unanswered_since_s is None:
             self._unanswered_since_s = now_s
 
     def check(self, now_s: float, *, is_reply_due: bool) -> LivenessAction:
-        """Returns what to do; takes note of the ping that it asks for.
+        """Returns the action that is due; a ping is recorded as sent.
 
         Args:
-            now_s: The time.
-            is_reply_due: Whether a call waits for its reply.
+            now_s: Current time in seconds.
+            is_reply_due: Whether a call is pending.
         """
         if self._last_ping_s is not None:
             if now_s - self._last_ping_s >= self._limits.stall_s:
--- a/packages/transport/src/hollyknot_transport/_links_outbox.py
+++ b/packages/transport/src/hollyknot_transport/_links_outbox.py
@@ -1,4 +1,4 @@
-"""The bounded queue of frames that wait for a link's writer."""
+"""Holds the frames that a link has yet to send, in a bounded queue."""
 
 import asyncio
 import collections
@@ -10,14 +10,15 @@
 
 @attrs.define(eq=False)
 class Outgoing:
-    """One frame on its way out.
+    """One frame to be sent.
 
     Attributes:
-        kind: The message's name, for the counters.
-        frame: Its bytes.
-        is_written: Whether any byte may have left; set by the writer before
-            it hands the frame to the kernel.
-        is_withdrawn: Whether the sender gave up; the writer skips it.
+        kind: Name of the kind of message, for the counters.
+        frame: Bytes of the frame.
+        is_written: Whether any byte may have been sent; set before the writer
+            hands the frame to the kernel.
+        is_cancelled: Whether the sender no longer waits; the writer skips the
+            frame.
     """
 
     kind: str
@@ -27,7 +28,7 @@
 
 
 class Outbox:
-    """Frames for one writer task, in order."""
+    """A bounded FIFO queue of frames for one writer task."""
 
     def __init__(self, max_messages: int, max_bytes: int) -> None:
         self._max_messages = max_messages
@@ -37,7 +38,7 @@
         self._has_items = asyncio.Event()
 
     def put(self, item: Outgoing) -> bool:
-        """Adds a frame; False if there is no room."""
+        """Adds a frame; returns False if the queue is full."""
         size = self._bytes + len(item.frame)
         if len(self._items) >= self._max_messages or size > self._max_bytes:
             return False
@@ -47,7 +48,7 @@
         return True
 
     async def next_batch(self) -> list[Outgoing]:
-        """Returns the next frames, one at least; marks them as written."""
+        """Waits for the next frames, one at least, and marks them written."""
         while True:
             await self._has_items.wait()
             batch = self._pop_batch()
