--- a/packages/transport/src/hollyknot_transport/_exchange.py
+++ b/packages/transport/src/hollyknot_transport/_exchange.py
@@ -165,8 +165,9 @@
             sink: Receives a streamed or large answer.
 
         Returns:
-            The result. Cancellation of the task closes the connection to the
-            upstream, which cancels the work there.
+            The result, also of a failure. Only cancellation raises
+            `asyncio.CancelledError`; it closes the connection to the upstream,
+            which cancels the work there.
         """
         is_single_use = request.nature is Nature.NON_IDEMPOTENT
         session = (
