--- a/packages/transport/src/hollyknot_transport/__init__.py
+++ b/packages/transport/src/hollyknot_transport/__init__.py
@@ -1,4 +1,8 @@
-"""Servers, clients, links between hosts, platform watches, traces, metrics."""
+"""Network I/O of a host.
+
+Holds the HTTP servers, the client towards upstreams, the links between hosts,
+the platform watches, and the export of traces and metrics.
+"""
 
 from hollyknot_transport._answers import Refusal, bad_request
 from hollyknot_transport._caller_response import CallerResponse
@@ -12,10 +16,10 @@
 )
 from hollyknot_transport._exchange import (
     IDLE_CONNECTION_S,
-    Exchanges,
     Result,
     Sink,
     UpstreamAnswer,
+    UpstreamClient,
     UpstreamRequest,
 )
 from hollyknot_transport._links import (
@@ -49,7 +53,6 @@
     "CallerCall",
     "CallerResponse",
     "CallerServer",
-    "Exchanges",
     "Handler",
     "KindTraffic",
     "LinkCounters",
@@ -71,6 +74,7 @@
     "StallGuard",
     "Tracing",
     "UpstreamAnswer",
+    "UpstreamClient",
     "UpstreamRequest",
     "Waste",
     "bad_request",
--- a/packages/transport/src/hollyknot_transport/_links_dial.py
+++ b/packages/transport/src/hollyknot_transport/_links_dial.py
@@ -1,4 +1,4 @@
-"""Dials one host, and says when to try again after a failure."""
+"""Dials one host and computes the pause after a failed dial."""
 
 import asyncio
 import random
@@ -12,8 +12,8 @@
     LinkLimits,
 )
 from hollyknot_transport._links_handshake import (
-    NotProvedError,
-    shake_as_dialler,
+    PeerAuthenticationError,
+    handshake_as_dialler,
 )
 from hollyknot_transport._links_link import Link, LinkParts
 from hollyknot_transport._links_stream import (
@@ -28,13 +28,15 @@
 
 
 def backoff_s(limits: LinkLimits, failures: int, rng: random.Random) -> float:
-    """Returns the seconds from a failed dial to the next.
+    """Returns the pause in seconds between a failed dial and the next.
+
+    Half of each pause is random. Otherwise hosts that lost a peer at the same
+    moment would dial it at the same moments again and again.
 
     Args:
-        limits: Bounds of the pause.
-        failures: How many dials had failed before that one.
-        rng: Hosts that lost a peer at the same moment would dial it together
-            again and again; half of each pause is random to spread them.
+        limits: Limits of links, with the first and the maximum pause.
+        failures: Number of consecutive dials that failed before this one.
+        rng: Source of the random half.
     """
     doublings = min(failures, _MAX_DOUBLINGS)
     pause_s = limits.backoff_first_s * _BACKOFF_FACTOR**doublings
@@ -44,9 +46,9 @@
 async def open_link(
     address: Address, credentials: LinkCredentials, parts: LinkParts
 ) -> Link | LinkError:
-    """Returns a link that the host at the address has accepted.
+    """Dials a host, performs the handshake and returns the link or an error.
 
-    The link carries nothing until its `run` is started.
+    The link sends and receives nothing until its `run` is started.
     """
     limits = parts.limits
     options = StreamOptions(
@@ -59,19 +61,19 @@
             stream = await dial_stream(address, options)
     except (OSError, TimeoutError) as error:
         return _dial_error(LinkErrorReason.REFUSED, error)
-    return await _shake(stream, credentials, parts)
+    return await _handshake(stream, credentials, parts)
 
 
-async def _shake(
+async def _handshake(
     stream: FrameStream, credentials: LinkCredentials, parts: LinkParts
 ) -> Link | LinkError:
     try:
         async with asyncio.timeout(parts.limits.handshake_s):
-            identity = await shake_as_dialler(
+            identity = await handshake_as_dialler(
                 stream, credentials, parts.counters
             )
     except (
-        NotProvedError,
+        PeerAuthenticationError,
         StreamEndedError,
         FrameError,
         MalformedMessageError,
--- a/packages/transport/src/hollyknot_transport/_links_handshake.py
+++ b/packages/transport/src/hollyknot_transport/_links_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake of a link: both sides prove that they know a shared key."""
+"""Authenticates both sides of a new link by a shared key."""
 
 import secrets
 
@@ -22,73 +22,75 @@
 from hollyknot_transport._links_stream import FrameStream
 
 
-class NotProvedError(Exception):
-    """The peer knows none of this host's keys."""
+class PeerAuthenticationError(Exception):
+    """Raised if the peer's proof matches none of this host's keys."""
 
 
 @attrs.frozen
 class _Hellos:
-    """Both first frames as they were sent."""
+    """The bodies of both `Hello` frames as they were sent."""
 
     dialler: bytes
     accepter: bytes
 
 
-async def shake_as_dialler(
+async def handshake_as_dialler(
     stream: FrameStream, credentials: LinkCredentials, counters: LinkCounters
 ) -> PeerIdentity:
     """Proves this host to the accepting side, then checks that side.
 
     Returns:
-        Who accepted. The accepter has by then accepted this host.
+        The identity of the accepter, which has by then accepted this host.
 
     Raises:
-        NotProvedError: The accepter knows none of the keys.
-        StreamEndedError: The connection ended, as it does when the accepter
-            does not know this host's key.
-        FrameError: The accepter sent no handshake.
-        MalformedMessageError: Likewise.
+        PeerAuthenticationError: The accepter's proof matches none of the keys.
+        StreamEndedError: The connection ended, as it does if the accepter
+            doesn't know this host's key.
+        FrameError: The accepter sent an invalid frame.
+        MalformedMessageError: The accepter sent something other than the
+            messages of a handshake.
     """
-    mine = _make_hello(credentials)
-    await _send(stream, counters, "Hello", mine)
-    theirs = await _receive(stream, counters, "Hello")
-    identity = _read_hello(theirs, stream.ip)
-    hellos = _Hellos(dialler=mine, accepter=theirs)
+    own_hello = _make_hello(credentials)
+    await _send(stream, counters, "Hello", own_hello)
+    peer_hello = await _receive(stream, counters, "Hello")
+    identity = _read_hello(peer_hello, stream.ip)
+    hellos = _Hellos(dialler=own_hello, accepter=peer_hello)
     await _send_proof(stream, credentials, counters, Side.DIALLER, hellos)
     await _check_proof(stream, credentials, counters, Side.ACCEPTER, hellos)
     return identity
 
 
-async def shake_as_accepter(
+async def handshake_as_accepter(
     stream: FrameStream, credentials: LinkCredentials, counters: LinkCounters
 ) -> PeerIdentity:
     """Checks the dialling side, then proves this host to it.
 
-    The dialler proves first: its receipt of this side's proof tells it that it
-    was accepted, so a rejected dialler never takes a message for sent.
+    The dialler sends its proof first. It receives the accepter's proof only if
+    it was accepted, so a rejected dialler never considers a message sent.
 
     Returns:
-        Who dialled.
+        The identity of the dialler.
 
     Raises:
-        NotProvedError: The dialler knows none of the keys.
+        PeerAuthenticationError: The dialler's proof matches none of the keys.
         StreamEndedError: The connection ended.
-        FrameError: The dialler sent no handshake.
-        MalformedMessageError: Likewise.
+        FrameError: The dialler sent an invalid frame.
+        MalformedMessageError: The dialler sent something other than the
+            messages of a handshake.
     """
-    theirs = await _receive(stream, counters, "Hello")
-    identity = _read_hello(theirs, stream.ip)
-    mine = _make_hello(credentials)
-    await _send(stream, counters, "Hello", mine)
-    hellos = _Hellos(dialler=theirs, accepter=mine)
+    peer_hello = await _receive(stream, counters, "Hello")
+    identity = _read_hello(peer_hello, stream.ip)
+    own_hello = _make_hello(credentials)
+    await _send(stream, counters, "Hello", own_hello)
+    hellos = _Hellos(dialler=peer_hello, accepter=own_hello)
     await _check_proof(stream, credentials, counters, Side.DIALLER, hellos)
     await _send_proof(stream, credentials, counters, Side.ACCEPTER, hellos)
     return identity
 
 
 def _make_hello(credentials: LinkCredentials) -> bytes:
-    # A nonce that repeats would let an old proof be sent again, hence the
-    # operating system's generator and not the injected one.
+    # A repeated nonce would allow an old proof to be replayed, so the nonce
+    # comes from the operating system's generator and not the injected one.
     nonce = secrets.token_bytes(NONCE_BYTES)
     return encode(
         Hello(LINK_VERSION, credentials.host, credentials.data_centre, nonce)
@@ -122,7 +124,7 @@
     if not is_proved(
         credentials.keys, proof.mac, side, hellos.dialler, hellos.accepter
     ):
-        raise NotProvedError(
+        raise PeerAuthenticationError(
             "the peer's proof was made with none of this host's link_keys;"
             " give both hosts a common key"
         )
