--- a/packages/daemon/src/hollyknot_daemon/_control_plane.py
+++ b/packages/daemon/src/hollyknot_daemon/_control_plane.py
@@ -216,7 +216,7 @@
                 entry.ip,
                 entry.port,
                 message,
-                traceparent=self._tracing.current(),
+                traceparent=self._tracing.current_traceparent(),
                 expected_host=host,
             )
 
--- a/packages/daemon/src/hollyknot_daemon/_peers_task.py
+++ b/packages/daemon/src/hollyknot_daemon/_peers_task.py
@@ -30,7 +30,7 @@
     PlatformDocument,
     PlatformFailure,
     get_logger,
-    watch,
+    poll_document,
 )
 
 _LOG = get_logger("daemon")
@@ -152,7 +152,7 @@
             DocumentKind.HOSTS: platform.host_list,
         }
         self._polls[document] = asyncio.ensure_future(
-            watch(
+            poll_document(
                 document,
                 addresses[document],
                 lambda: self._state.read_after(document),
--- a/packages/transport/src/hollyknot_transport/__init__.py
+++ b/packages/transport/src/hollyknot_transport/__init__.py
@@ -33,11 +33,11 @@
 from hollyknot_transport._links_server import LinkServer
 from hollyknot_transport._logging import configure_logging, get_logger
 from hollyknot_transport._metrics import Metrics, Waste
-from hollyknot_transport._operators import Readiness, operators_server
+from hollyknot_transport._operators_server import Readiness, operators_server
 from hollyknot_transport._platform import (
     PlatformDocument,
     PlatformFailure,
-    watch,
+    poll_document,
 )
 from hollyknot_transport._stall_guard import StallGuard
 from hollyknot_transport._tracing import Tracing
@@ -79,7 +79,7 @@
     "make_link_credentials",
     "new_request_id",
     "operators_server",
+    "poll_document",
     "read_call",
     "start_server",
-    "watch",
 ]
--- a/packages/transport/src/hollyknot_transport/_caller_server.py
+++ b/packages/transport/src/hollyknot_transport/_caller_server.py
@@ -12,7 +12,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 from hollyknot_state import Address
-from hollyknot_transport._named_request import named_request
+from hollyknot_transport._server_header import make_request
 
 HEAD_TIMEOUT_S = 30.0
 """Seconds that a connection may be without a request in work."""
@@ -45,7 +45,7 @@
         super().__init__(
             self._handle,
             handler_cancellation=True,
-            request_factory=named_request,
+            request_factory=make_request,
             access_log=None,
             keepalive_timeout=HEAD_TIMEOUT_S,
             lingering_time=1.0,
--- a/packages/transport/src/hollyknot_transport/_exchange.py
+++ b/packages/transport/src/hollyknot_transport/_exchange.py
@@ -14,7 +14,7 @@
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 from hollyknot_transport._aiohttp_relay import relay
 from hollyknot_transport._answers import NOT_RUN, REQUEST_ID
-from hollyknot_transport._stall_guard import Phase, StallGuard, Watched
+from hollyknot_transport._stall_guard import Phase, StallGuard, WatchedExchange
 
 BUFFERED_ANSWER_BYTES = 262_144
 """A whole answer up to this size is read before the caller gets any of it, so
@@ -167,7 +167,7 @@
             Phase.CALLER: request.next_bytes_s,
         }
         timeout = asyncio.timeout(None)
-        watched = Watched(timeout, bounds, loop.time())
+        watched = WatchedExchange(timeout, bounds, loop.time())
         attempt = _Attempt(request, sink, watched, loop.time)
         self._guard.add(watched)
         try:
@@ -229,7 +229,7 @@
         self,
         request: UpstreamRequest,
         sink: Sink,
-        watched: Watched,
+        watched: WatchedExchange,
         clock: Callable[[], float],
     ) -> None:
         self._request = request
--- a/packages/transport/src/hollyknot_transport/_links_dial.py
+++ b/packages/transport/src/hollyknot_transport/_links_dial.py
@@ -82,7 +82,7 @@
     except BaseException:
         stream.abort()
         raise
-    stream.set_limit(parts.limits.max_frame_bytes)
+    stream.set_max_frame_bytes(parts.limits.max_frame_bytes)
     return Link(stream, identity, parts)
 
 
--- a/packages/transport/src/hollyknot_transport/_links_pool.py
+++ b/packages/transport/src/hollyknot_transport/_links_pool.py
@@ -26,14 +26,14 @@
 
 _log = get_logger("links")
 
-_FORGET_AFTER_S = 60.0
+_UNUSED_PEER_RETENTION_S = 60.0
 
 
 _NOT_DIALLED = LinkError(LinkErrorReason.REFUSED, may_have_arrived=False)
 
 
 @attrs.frozen
-class _Waiting:
+class _WaitingMessage:
     """A one-way message that waits for a dial to end."""
 
     item: Outgoing
@@ -50,7 +50,9 @@
     failures: int = 0
     retry_s: float = 0.0
     error: LinkError = _NOT_DIALLED
-    waiting: collections.deque[_Waiting] = attrs.Factory(collections.deque)
+    waiting: collections.deque[_WaitingMessage] = attrs.Factory(
+        collections.deque
+    )
 
     @property
     def usable_link(self) -> Link | None:
@@ -168,8 +170,8 @@
                 may_have_arrived=False,
                 detail=f"{link.peer.host} answers there",
             )
-        rest_s = deadline_s - self._clock()
-        return await link.call(message, rest_s, traceparent)
+        remaining_s = deadline_s - self._clock()
+        return await link.call(message, remaining_s, traceparent)
 
     def post(
         self,
@@ -186,11 +188,11 @@
         host cannot be reached. The arguments and errors are those of `call`.
         """
         peer = self._peer_at(Address(ip, port))
-        waiting = _Waiting(pack(message, traceparent), expected_host)
+        waiting = _WaitingMessage(pack(message, traceparent), expected_host)
         link = peer.usable_link
         if link is not None:
             self._send(link, waiting)
-        elif self._may_wait(peer):
+        elif self._may_queue(peer):
             peer.waiting.append(waiting)
             self._start_dial(peer)
         else:
@@ -206,7 +208,7 @@
             await asyncio.sleep(self._limits.sweep_s)
             self.sweep(self._clock())
 
-    def _send(self, link: Link, waiting: _Waiting) -> None:
+    def _send(self, link: Link, waiting: _WaitingMessage) -> None:
         is_sent = waiting.expected_host in ("", link.peer.host) and link.post(
             waiting.item
         )
@@ -242,14 +244,14 @@
     def _may_dial(self, peer: _Peer) -> bool:
         return peer.dial is not None or self._clock() >= peer.retry_s
 
-    def _may_wait(self, peer: _Peer) -> bool:
+    def _may_queue(self, peer: _Peer) -> bool:
         has_room = len(peer.waiting) < self._limits.waiting_messages
         return has_room and not self._is_closed and self._may_dial(peer)
 
     def _start_dial(self, peer: _Peer) -> "asyncio.Task[Link | LinkError]":
         if peer.dial is None:
             peer.dial = asyncio.ensure_future(self._dial(peer))
-            self._forget_unused()
+            self._evict_unused_peers()
         return peer.dial
 
     async def _dial(self, peer: _Peer) -> Link | LinkError:
@@ -297,11 +299,11 @@
         if peer.link is link:
             peer.link = None
 
-    def _forget_unused(self) -> None:
+    def _evict_unused_peers(self) -> None:
         # Hosts are replaced all day; records of those that are gone would
         # pile up.
         now_s = self._clock()
         for address, peer in tuple(self._peers.items()):
             is_unused = peer.link is None and peer.dial is None
-            if is_unused and now_s >= peer.retry_s + _FORGET_AFTER_S:
+            if is_unused and now_s >= peer.retry_s + _UNUSED_PEER_RETENTION_S:
                 del self._peers[address]
--- a/packages/transport/src/hollyknot_transport/_links_server.py
+++ b/packages/transport/src/hollyknot_transport/_links_server.py
@@ -74,7 +74,9 @@
         self._listener: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._links: set[Link] = set()
-        self._unproved: collections.Counter[str] = collections.Counter()
+        self._pending_handshakes: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     @property
     def port(self) -> int:
@@ -99,8 +101,8 @@
         """
         self._listener = _listen(self._address)
         self._port = self._listener.getsockname()[1]
-        self._start(self._accept(self._listener))
-        self._start(self._sweep())
+        self._start_task(self._accept(self._listener))
+        self._start_task(self._sweep())
         return self
 
     async def __aexit__(
@@ -123,7 +125,7 @@
         for link in tuple(self._links):
             link.check(now_s)
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -149,23 +151,23 @@
     def _on_connection(self, connection: socket.socket, ip: str) -> None:
         limits = self._limits
         if (
-            self._unproved.total() >= limits.max_unproved
-            or self._unproved[ip] >= limits.max_unproved_per_ip
+            self._pending_handshakes.total() >= limits.max_unproved
+            or self._pending_handshakes[ip] >= limits.max_unproved_per_ip
         ):
             self._reject(ip, "too many connections without a handshake")
             connection.close()
             return
-        self._unproved[ip] += 1
-        self._start(self._serve(connection, ip))
+        self._pending_handshakes[ip] += 1
+        self._start_task(self._serve(connection, ip))
 
     async def _serve(self, connection: socket.socket, ip: str) -> None:
         async with contextlib.AsyncExitStack() as stack:
             try:
-                link = await self._prove(connection, ip, stack)
+                link = await self._authenticate(connection, ip, stack)
             finally:
-                self._unproved[ip] -= 1
-                if not self._unproved[ip]:
-                    del self._unproved[ip]
+                self._pending_handshakes[ip] -= 1
+                if not self._pending_handshakes[ip]:
+                    del self._pending_handshakes[ip]
             if link is None:
                 return
             self._counters.accepted += 1
@@ -173,7 +175,7 @@
             stack.callback(self._links.discard, link)
             await link.run()
 
-    async def _prove(
+    async def _authenticate(
         self,
         connection: socket.socket,
         ip: str,
@@ -198,7 +200,7 @@
         ) as error:
             self._reject(ip, str(error))
             return None
-        stream.set_limit(self._limits.max_frame_bytes)
+        stream.set_max_frame_bytes(self._limits.max_frame_bytes)
         return Link(stream, peer, self._parts)
 
     async def _open(self, connection: socket.socket, ip: str) -> FrameStream:
--- a/packages/transport/src/hollyknot_transport/_links_stream.py
+++ b/packages/transport/src/hollyknot_transport/_links_stream.py
@@ -42,7 +42,7 @@
         """The peer's IP address."""
         return self._ip
 
-    def set_limit(self, limit: int) -> None:
+    def set_max_frame_bytes(self, limit: int) -> None:
         """Sets the largest frame that is read from now on, in bytes."""
         self._parser.limit = limit
 
--- a/packages/transport/src/hollyknot_transport/_logging.py
+++ b/packages/transport/src/hollyknot_transport/_logging.py
@@ -50,24 +50,30 @@
     One in place of the library's four (level, time, context and logfmt), which
     took most of the time of a line; there is a line for each request.
     """
-    quoted = structlog.processors.LogfmtRenderer(bool_as_flag=False)
-    same = quoted(None, "", {"host": host, "data_centre": data_centre})
+    library_renderer = structlog.processors.LogfmtRenderer(bool_as_flag=False)
+    host_pairs = library_renderer(
+        None, "", {"host": host, "data_centre": data_centre}
+    )
     utc = datetime.UTC
     now = datetime.datetime.now
 
     def render(_: WrappedLogger, level: str, event: EventDict) -> str:
-        name = _pair(quoted, "event", event.pop("event", None))
+        name = _pair(library_renderer, "event", event.pop("event", None))
         stamp = now(utc).replace(tzinfo=None).isoformat()
         pairs = [f"timestamp={stamp}Z level={level} {name}"]
-        pairs += [_pair(quoted, key, value) for key, value in event.items()]
-        pairs.append(same)
+        pairs += [
+            _pair(library_renderer, key, value) for key, value in event.items()
+        ]
+        pairs.append(host_pairs)
         return " ".join(pairs)
 
     return render
 
 
 def _pair(
-    quoted: structlog.processors.LogfmtRenderer, key: str, value: object
+    library_renderer: structlog.processors.LogfmtRenderer,
+    key: str,
+    value: object,
 ) -> str:
     if value is True:
         return f"{key}=true"
@@ -78,4 +84,4 @@
     text = str(value)
     if _NEEDS_QUOTES.isdisjoint(text):
         return f"{key}={text}"
-    return str(quoted(None, "", {key: value}))
+    return str(library_renderer(None, "", {key: value}))
--- a/packages/transport/src/hollyknot_transport/_metrics.py
+++ b/packages/transport/src/hollyknot_transport/_metrics.py
@@ -22,7 +22,7 @@
     LATE = "late"
 
 
-class Count:
+class BufferedCounter:
     """A counter by labels, handed to the registry at a scrape only.
 
     The library's own makes a JSON key of the labels and checks their names at
@@ -44,7 +44,7 @@
         """Counts; the labels' values are in the order of their names."""
         self._values[labels] = self._values.get(labels, 0) + amount
 
-    def fill(self) -> None:
+    def flush(self) -> None:
         """Hands the values to the registry."""
         for labels, value in self._values.items():
             named = dict(zip(self._labels, labels, strict=True))
@@ -56,52 +56,54 @@
 
     def __init__(self) -> None:
         self._registry = Registry()
-        self._counts: list[Count] = []
-        self._first_bytes: dict[str, HistogramData] = {}
-        self.requests = self._count(
+        self._counters: list[BufferedCounter] = []
+        self._first_byte_by_class: dict[str, HistogramData] = {}
+        self.requests = self._make_counter(
             "hollyknot_requests_total",
             "Requests by class and verdict.",
             "class",
             "verdict",
             "reason",
         )
-        self.within_target = self._count(
+        self.within_target = self._make_counter(
             "hollyknot_requests_within_target_total",
             "Complete requests that met their class's target.",
             "class",
         )
-        self.goodput_bytes = self._count(
+        self.goodput_bytes = self._make_counter(
             "hollyknot_goodput_bytes_total",
             "Answer bytes of requests that met their target, by class.",
             "class",
         )
-        self.wasted = self._count(
+        self.wasted = self._make_counter(
             "hollyknot_wasted_total",
             "Tries at upstreams wasted, by kind.",
             "class",
             "kind",
         )
-        self.tries = self._count(
+        self.tries = self._make_counter(
             "hollyknot_upstream_tries_total",
             "Tries at upstreams, by pool.",
             "pool",
         )
-        self.relayed_chunks = self._count(
+        self.relayed_chunks = self._make_counter(
             "hollyknot_relayed_chunks_total",
             "Parts of streams relayed, by pool; counted at a try's end.",
             "pool",
         )
-        self.queued = self._gauge("hollyknot_queued", "Requests that wait.")
-        self.in_flight = self._gauge(
+        self.queued = self._make_gauge(
+            "hollyknot_queued", "Requests that wait."
+        )
+        self.in_flight = self._make_gauge(
             "hollyknot_in_flight", "Requests at upstreams, by upstream."
         )
-        self.limit = self._gauge(
+        self.limit = self._make_gauge(
             "hollyknot_concurrency_limit", "The limit, by upstream."
         )
-        self.version = self._gauge(
+        self.version = self._make_gauge(
             "hollyknot_document_version", "Versions in force, by document."
         )
-        self._first_byte = Histogram(
+        self._first_byte_histogram = Histogram(
             "hollyknot_first_byte_seconds",
             "Arrival to the first byte of the answer, by class.",
             buckets=_LATENCY_BUCKETS,
@@ -110,24 +112,28 @@
 
     def first_byte(self, request_class: str, waited_s: float) -> None:
         """Notes the seconds from a request's arrival to its first byte."""
-        data = self._first_bytes.get(request_class)
+        data = self._first_byte_by_class.get(request_class)
         if data is None:
             data = HistogramData(*_LATENCY_BUCKETS)
-            self._first_byte.set_value({"class": request_class}, data)
-            self._first_bytes[request_class] = data
+            self._first_byte_histogram.set_value({"class": request_class}, data)
+            self._first_byte_by_class[request_class] = data
         data.observe(waited_s)
 
-    def _count(self, name: str, doc: str, *labels: str) -> Count:
-        count = Count(Counter(name, doc, registry=self._registry), labels)
-        self._counts.append(count)
+    def _make_counter(
+        self, name: str, doc: str, *labels: str
+    ) -> BufferedCounter:
+        count = BufferedCounter(
+            Counter(name, doc, registry=self._registry), labels
+        )
+        self._counters.append(count)
         return count
 
-    def _gauge(self, name: str, doc: str) -> Gauge:
+    def _make_gauge(self, name: str, doc: str) -> Gauge:
         return Gauge(name, doc, registry=self._registry)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
         """Returns the text of a scrape and its headers."""
-        for count in self._counts:
-            count.fill()
+        for count in self._counters:
+            count.flush()
         content, headers = render(self._registry, [accept or "text/plain"])
         return content, dict(headers)
--- a/packages/transport/src/hollyknot_transport/_operators.py
+++ b/packages/transport/src/hollyknot_transport/_operators_server.py
@@ -8,7 +8,7 @@
 
 from hollyknot_state import Reason
 from hollyknot_transport._metrics import Metrics
-from hollyknot_transport._named_request import named_request
+from hollyknot_transport._server_header import make_request
 
 _OK = 200
 _UNAVAILABLE = 503
@@ -46,9 +46,9 @@
         return web.Response(text="alive\n")
 
     def ready(_: web.BaseRequest) -> web.Response:
-        now = readiness()
-        code = _OK if now.is_ready else _UNAVAILABLE
-        return web.Response(status=code, text=now.reason + "\n")
+        current = readiness()
+        code = _OK if current.is_ready else _UNAVAILABLE
+        return web.Response(status=code, text=current.reason + "\n")
 
     def scrape(request: web.BaseRequest) -> web.Response:
         body, headers = metrics.render(request.headers.get("Accept", ""))
@@ -75,4 +75,4 @@
             return web.Response(status=404, text=f"Known paths: {known}\n")
         return route(request)
 
-    return web.Server(handle, access_log=None, request_factory=named_request)
+    return web.Server(handle, access_log=None, request_factory=make_request)
--- a/packages/transport/src/hollyknot_transport/_platform.py
+++ b/packages/transport/src/hollyknot_transport/_platform.py
@@ -61,7 +61,7 @@
 Deliver = Callable[[PlatformDocument | PlatformFailure], None]
 
 
-async def watch(
+async def poll_document(
     name: DocumentKind,
     addresses: tuple[Address, ...],
     read_after: Callable[[], int],
@@ -80,22 +80,22 @@
         rng: Spreads the pauses after failures.
     """
     turn = rng.randrange(len(addresses))
-    factor = 1.0
+    pause_factor = 1.0
     timeout = aiohttp.ClientTimeout(total=_READ_TIMEOUT_S, sock_connect=2.0)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
             address = addresses[turn % len(addresses)]
-            found = await _read(session, name, address, read_after())
-            if isinstance(found, PlatformFailure):
+            result = await _read(session, name, address, read_after())
+            if isinstance(result, PlatformFailure):
                 turn += 1
                 # A platform that fails is slow to recover while all readers
                 # ask at their full rate.
-                factor = min(factor * 2, _MAX_PAUSE_FACTOR)
+                pause_factor = min(pause_factor * 2, _MAX_PAUSE_FACTOR)
             else:
-                factor = 1.0
-            if not isinstance(found, _Unchanged):
-                deliver(found)
-            await asyncio.sleep(pause_s * factor * rng.uniform(0.5, 1.5))
+                pause_factor = 1.0
+            if not isinstance(result, _Unchanged):
+                deliver(result)
+            await asyncio.sleep(pause_s * pause_factor * rng.uniform(0.5, 1.5))
 
 
 class _Unchanged(enum.Enum):
--- a/packages/transport/src/hollyknot_transport/_named_request.py
+++ b/packages/transport/src/hollyknot_transport/_server_header.py
@@ -10,7 +10,7 @@
 SERVER = "hollyknot"
 
 
-class _NamedRequest(web.BaseRequest):
+class _ServerHeaderRequest(web.BaseRequest):
     """A request whose answer doesn't tell the library and its version.
 
     The hook is private to the library, and the one place that the answers to
@@ -22,7 +22,7 @@
         response.headers["Server"] = SERVER
 
 
-def named_request(
+def make_request(
     message: RawRequestMessage,
     payload: StreamReader,
     protocol: RequestHandler,
@@ -31,4 +31,4 @@
 ) -> web.BaseRequest:
     """Makes a server's requests; given to it as `request_factory`."""
     loop = asyncio.get_running_loop()
-    return _NamedRequest(message, payload, protocol, writer, task, loop)
+    return _ServerHeaderRequest(message, payload, protocol, writer, task, loop)
--- a/packages/transport/src/hollyknot_transport/_stall_guard.py
+++ b/packages/transport/src/hollyknot_transport/_stall_guard.py
@@ -18,7 +18,7 @@
     CALLER = "caller"
 
 
-class Watched:
+class WatchedExchange:
     """One exchange with an upstream, as the guard sees it."""
 
     __slots__ = ("_bounds", "_timeout", "phase", "progress_at")
@@ -48,13 +48,13 @@
     """All exchanges of a host; swept by the host's timer."""
 
     def __init__(self) -> None:
-        self._watched: set[Watched] = set()
+        self._watched: set[WatchedExchange] = set()
 
-    def add(self, watched: Watched) -> None:
+    def add(self, watched: WatchedExchange) -> None:
         """Watches an exchange until it is discarded."""
         self._watched.add(watched)
 
-    def discard(self, watched: Watched) -> None:
+    def discard(self, watched: WatchedExchange) -> None:
         """Stops watching an exchange."""
         self._watched.discard(watched)
 
--- a/packages/transport/src/hollyknot_transport/_tracing.py
+++ b/packages/transport/src/hollyknot_transport/_tracing.py
@@ -25,7 +25,7 @@
 _HEADER = "traceparent"
 
 
-class _LineExporter(SpanExporter):
+class _JsonLinesExporter(SpanExporter):
     """Writes each span as one JSON object on a line."""
 
     def __init__(self, stream: TextIO) -> None:
@@ -81,7 +81,7 @@
             )
         )
         self._provider.add_span_processor(
-            BatchSpanProcessor(_LineExporter(stream))
+            BatchSpanProcessor(_JsonLinesExporter(stream))
         )
         self._tracer = self._provider.get_tracer("hollyknot")
 
@@ -106,10 +106,10 @@
         """
         if self._provider is None:
             return contextlib.nullcontext(parent)
-        return self._recorded(name, parent, attributes)
+        return self._recorded_span(name, parent, attributes)
 
     @contextlib.contextmanager
-    def _recorded(
+    def _recorded_span(
         self, name: str, parent: str, attributes: dict[str, str | int | float]
     ) -> Iterator[str]:
         context = _PROPAGATOR.extract({_HEADER: parent})
@@ -120,7 +120,7 @@
             _PROPAGATOR.inject(carrier)
             yield carrier.get(_HEADER, parent)
 
-    def current(self) -> str:
+    def current_traceparent(self) -> str:
         """Returns the `traceparent` of the span that runs now, if any."""
         if self._provider is None:
             return ""
