--- a/packages/transport/src/hollyknot_transport/_links_packing.py
+++ b/packages/transport/src/hollyknot_transport/_links_packing.py
@@ -1,4 +1,4 @@
-"""Messages to frames of a link, and replies to results of a call."""
+"""Packs messages into frames of a link and reads the replies to calls."""
 
 from typing import Any
 
@@ -23,12 +23,16 @@
     """Returns the frame of a message.
 
     Raises:
-        UnencodableMessageError: Its class is not registered for links, a field
-            does not fit its thrift type, or it is too large.
+        UnencodableMessageError: The message's class is not registered for
+            links, a field does not fit its thrift type, or the message is too
+            large.
     """
     kind = kind_of(message)
     if not kind.number:
-        raise UnencodableMessageError(f"{kind.name} is not sent in a link")
+        raise UnencodableMessageError(
+            f"{kind.name} has kind number 0, which a link cannot carry; give"
+            " it a number of its own in the registry of message kinds"
+        )
     envelope = Envelope(
         call_id, reply_to, traceparent, kind.number, encode(message)
     )
@@ -40,12 +44,12 @@
 
 
 def read_reply(message: Any) -> Any | LinkError:
-    """Returns the result of a call from the message that came back."""
+    """Returns the result of a call, given the message that answered it."""
     if isinstance(message, Unknown):
         return LinkError(
             LinkErrorReason.REJECTED,
             may_have_arrived=True,
-            detail=f"a reply that is not known here: {message}",
+            detail=f"this host does not know the kind of the reply: {message}",
         )
     if isinstance(message, CallRefusal):
         return LinkError(
--- a/packages/transport/src/hollyknot_transport/_links_pool.py
+++ b/packages/transport/src/hollyknot_transport/_links_pool.py
@@ -1,4 +1,4 @@
-"""Dials links to other hosts on demand."""
+"""Sends messages to other hosts over links that are dialled on demand."""
 
 import asyncio
 import collections
@@ -27,14 +27,22 @@
 _log = get_logger("links")
 
 _UNUSED_PEER_RETENTION_S = 60.0
-
+"""Seconds for which the record of a peer without a link or a dial is kept,
+counted from the time at which the peer may be dialled again."""
 
 _NOT_DIALLED = LinkError(LinkErrorReason.REFUSED, may_have_arrived=False)
+"""The error of a peer whose last dial did not fail."""
 
 
 @attrs.frozen
 class _WaitingMessage:
-    """A one-way message that waits for a dial to end."""
+    """A one-way message that waits for a dial to end.
+
+    Attributes:
+        item: The message as a frame.
+        expected_host: Name of the host that the message is meant for; empty
+            if any host at the address may receive it.
+    """
 
     item: Outgoing
     expected_host: str
@@ -42,7 +50,17 @@
 
 @attrs.define(eq=False)
 class _Peer:
-    """What the pool knows of one address."""
+    """The pool's record of one address.
+
+    Attributes:
+        address: The address of the peer's link server.
+        link: The newest link, until it ends.
+        dial: The dial that is in progress.
+        failures: Dials that failed since the last one that succeeded.
+        retry_s: When the peer may be dialled again, in monotonic seconds.
+        error: Why the last dial failed, for calls before `retry_s`.
+        waiting: One-way messages that are sent once the dial succeeds.
+    """
 
     address: Address
     link: Link | None = None
@@ -56,16 +74,16 @@
 
     @property
     def usable_link(self) -> Link | None:
-        """The link, if new messages may be sent on it."""
+        """The link if new messages may be sent on it, else None."""
         if self.link is not None and self.link.is_usable:
             return self.link
         return None
 
 
 class LinkPool:
-    """Calls and one-way messages to hosts, over one link to each.
+    """Sends calls and one-way messages to hosts over one link to each.
 
-    An async context manager; leaving it closes all links.
+    The pool is an async context manager; leaving it closes all links.
     """
 
     def __init__(
@@ -77,14 +95,14 @@
         counters: LinkCounters | None = None,
         clock: Clock = time.monotonic,
     ) -> None:
-        """Dials nothing yet.
+        """Creates a pool that has no links yet.
 
         Args:
-            credentials: How this host and its peers prove themselves.
-            rng: Spreads the dials that follow failed ones.
-            limits: Bounds.
-            counters: Where traffic is counted; a new one by default.
-            clock: Monotonic seconds.
+            credentials: Keys and TLS with which hosts authenticate.
+            rng: Source of the jitter of backoffs after failed dials.
+            limits: Sizes, counts and times that bound the links.
+            counters: Counters of the traffic; new ones by default.
+            clock: Returns monotonic seconds.
         """
         self._credentials = credentials
         self._rng = rng
@@ -101,16 +119,16 @@
 
     @property
     def counters(self) -> LinkCounters:
-        """Traffic and events so far."""
+        """Counters of the traffic, the dials and the lost links."""
         return self._counters
 
     @property
     def open_links(self) -> int:
-        """Links that are open."""
+        """The number of open links."""
         return len(self._links)
 
     async def __aenter__(self) -> Self:
-        """Starts to watch the links for silence."""
+        """Starts the periodic check for silent and idle links."""
         self._sweeper = asyncio.ensure_future(self._sweep())
         return self
 
@@ -120,7 +138,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Closes all links; calls that wait get `CLOSED`."""
+        """Closes all links; calls that still wait return `CLOSED`."""
         self._is_closed = True
         for link in self._links:
             link.abort(LinkErrorReason.CLOSED)
@@ -145,16 +163,17 @@
         """Sends a message to a host and waits for the reply.
 
         Args:
-            ip: The host's address.
-            port: Its port for links.
-            message: An instance of a registered class.
+            ip: The IP address of the host.
+            port: The port on which the host accepts links.
+            message: An instance of a class that is registered for links.
             timeout_s: Seconds for the dial, if one is needed, and the reply.
             traceparent: The W3C trace context; empty for none.
-            expected_host: The host's name, where the message is meant for
-                that host alone: addresses are used again by other hosts.
+            expected_host: The name of the only host that may receive the
+                message, as another host may take over its address; empty if
+                any host may receive it.
 
         Returns:
-            The reply, or why there is none.
+            The reply, or an error that says why there is none.
 
         Raises:
             UnencodableMessageError: The message cannot be sent.
@@ -168,7 +187,8 @@
             return LinkError(
                 LinkErrorReason.REJECTED,
                 may_have_arrived=False,
-                detail=f"{link.peer.host} answers there",
+                detail=f"{ip}:{port} belongs to {link.peer.host}, not to"
+                f" {expected_host}",
             )
         remaining_s = deadline_s - self._clock()
         return await link.call(message, remaining_s, traceparent)
@@ -182,10 +202,11 @@
         traceparent: str = "",
         expected_host: str = "",
     ) -> None:
-        """Sends a one-way message, best effort; never waits.
+        """Sends a one-way message on a best-effort basis, without waiting.
 
-        It is dropped, and counted as dropped, if the queue is full or the
-        host cannot be reached. The arguments and errors are those of `call`.
+        The message is dropped, and counted as dropped, if the queue is full,
+        the host cannot be reached or another host answers at its address. The
+        arguments and errors are those of `call`.
         """
         peer = self._peer_at(Address(ip, port))
         waiting = _WaitingMessage(pack(message, traceparent), expected_host)
@@ -199,7 +220,7 @@
             self._counters.dropped += 1
 
     def sweep(self, now_s: float) -> None:
-        """Pings or closes links that have been silent or idle for long."""
+        """Pings or closes the links that were silent or idle for too long."""
         for link in tuple(self._links):
             link.check(now_s)
 
@@ -229,13 +250,14 @@
         if not self._may_dial(peer):
             return peer.error
         dial = self._start_dial(peer)
-        # Others wait for the same dial: one that gives up must not end it.
+        # Other calls may wait for the same dial, so that a timeout of this
+        # call must not cancel it.
         await asyncio.wait({dial}, timeout=timeout_s)
         if not dial.done():
             return LinkError(
                 LinkErrorReason.TIMEOUT,
                 may_have_arrived=False,
-                detail="no connection in time",
+                detail=f"no connection within {timeout_s:.3f} s",
             )
         if dial.cancelled():
             return LinkError(LinkErrorReason.CLOSED, may_have_arrived=False)
@@ -300,8 +322,8 @@
             peer.link = None
 
     def _evict_unused_peers(self) -> None:
-        # Hosts are replaced all day; records of those that are gone would
-        # pile up.
+        # Hosts are replaced continually, so that the records of hosts that
+        # are gone would accumulate.
         now_s = self._clock()
         for address, peer in tuple(self._peers.items()):
             is_unused = peer.link is None and peer.dial is None
--- a/packages/transport/src/hollyknot_transport/_links_server.py
+++ b/packages/transport/src/hollyknot_transport/_links_server.py
@@ -1,4 +1,4 @@
-"""Accepts links from other hosts."""
+"""Listens for links from other hosts and serves them."""
 
 import asyncio
 import collections
@@ -37,10 +37,14 @@
 
 _BACKLOG = 1024
 _ACCEPT_RETRY_S = 0.1
+"""Pause after a failed accept, in seconds."""
 
 
 class LinkServer:
-    """Listens at an address and serves every peer that proves itself."""
+    """Listens at an address and serves every peer that authenticates.
+
+    The server is an async context manager; leaving it closes all links.
+    """
 
     def __init__(
         self,
@@ -52,16 +56,16 @@
         counters: LinkCounters | None = None,
         clock: Clock = time.monotonic,
     ) -> None:
-        """Binds nothing yet; entering the context does.
+        """Creates a server that listens once its context is entered.
 
         Args:
-            address: Where to listen; port 0 for a free one.
-            credentials: How this host and its peers prove themselves.
+            address: The address to listen at; port 0 picks a free port.
+            credentials: Keys and TLS with which hosts authenticate.
             handler: Serves every message. It is called in the order in which
-                messages come and runs beside others of the same link.
-            limits: Bounds.
-            counters: Where traffic is counted; a new one by default.
-            clock: Monotonic seconds.
+                messages arrive, without waiting for earlier calls to return.
+            limits: Sizes, counts and times that bound the links.
+            counters: Counters of the traffic; new ones by default.
+            clock: Returns monotonic seconds.
         """
         self._address = address
         self._credentials = credentials
@@ -80,24 +84,24 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the server listens on."""
         return self._port
 
     @property
     def counters(self) -> LinkCounters:
-        """Traffic and events so far."""
+        """Counters of the traffic and of accepted and rejected links."""
         return self._counters
 
     @property
     def peers(self) -> tuple[PeerIdentity, ...]:
-        """Peers with an open link."""
+        """The peers that have an open link to this server."""
         return tuple(k.peer for k in self._links if k.is_usable)
 
     async def __aenter__(self) -> Self:
-        """Listens.
+        """Starts to listen and to accept links.
 
         Raises:
-            OSError: The address is in use or not this host's.
+            OSError: The address is in use or does not belong to this host.
         """
         self._listener = _listen(self._address)
         self._port = self._listener.getsockname()[1]
@@ -121,7 +125,7 @@
             self._listener.close()
 
     def sweep(self, now_s: float) -> None:
-        """Closes links whose peer has been silent for long."""
+        """Closes the links whose peer was silent for too long."""
         for link in tuple(self._links):
             link.check(now_s)
 
@@ -141,8 +145,9 @@
             try:
                 connection, name = await loop.sock_accept(listener)
             except OSError as error:
-                # Out of file descriptors, most likely. Without the pause the
-                # loop would take a whole core and starve what could free one.
+                # The process has most likely run out of file descriptors.
+                # Without the pause this loop would use a whole core and starve
+                # the tasks that could free a descriptor.
                 _log.error("link_accept_failed", error=str(error))
                 await asyncio.sleep(_ACCEPT_RETRY_S)
                 continue
@@ -154,7 +159,12 @@
             self._pending_handshakes.total() >= limits.max_unproved
             or self._pending_handshakes[ip] >= limits.max_unproved_per_ip
         ):
-            self._reject(ip, "too many connections without a handshake")
+            self._reject(
+                ip,
+                "too many connections with an unfinished handshake:"
+                f" {self._pending_handshakes.total()} in all,"
+                f" {self._pending_handshakes[ip]} from this address",
+            )
             connection.close()
             return
         self._pending_handshakes[ip] += 1
@@ -189,7 +199,9 @@
                     stream, self._credentials, self._counters
                 )
         except TimeoutError:
-            self._reject(ip, "no handshake in time")
+            self._reject(
+                ip, f"no handshake within {self._limits.handshake_s} s"
+            )
             return None
         except (
             NotProvedError,
--- a/packages/transport/src/hollyknot_transport/_links_stream.py
+++ b/packages/transport/src/hollyknot_transport/_links_stream.py
@@ -1,4 +1,4 @@
-"""A TCP or TLS connection that carries frames, owned by one link's tasks."""
+"""Reads and writes the frames of a link over a TCP or TLS connection."""
 
 import asyncio
 import collections
@@ -12,16 +12,19 @@
 
 _READ_BYTES = 65_536
 _TCP_USER_TIMEOUT_MS = 10_000
+"""Time after which the kernel ends a connection whose sent bytes were not
+acknowledged."""
 
 
 class StreamEndedError(Exception):
-    """The peer closed the connection, or it broke."""
+    """The peer closed the connection, or the connection failed."""
 
 
 class FrameStream:
-    """Frames over a connection.
+    """Carries frames over a connection.
 
-    One task may read while another writes.
+    One task may read while another writes, but no two tasks may read, or
+    write, at the same time.
     """
 
     def __init__(
@@ -39,19 +42,21 @@
 
     @property
     def ip(self) -> str:
-        """The peer's IP address."""
+        """The IP address of the peer."""
         return self._ip
 
     def set_max_frame_bytes(self, limit: int) -> None:
-        """Sets the largest frame that is read from now on, in bytes."""
+        """Sets the largest frame body accepted from now on, in bytes."""
         self._parser.limit = limit
 
     async def read_frames(self) -> list[bytes]:
-        """Returns the bodies of the next frames; empty if none is whole yet.
+        """Returns the bodies of the frames that arrived next.
+
+        The list is empty if the bytes that arrived complete no frame.
 
         Raises:
             StreamEndedError: The connection ended.
-            FrameError: The peer claims a length that is not allowed.
+            FrameError: The length of a frame is not allowed.
         """
         if self._bodies:
             bodies = list(self._bodies)
@@ -62,17 +67,20 @@
         except OSError as error:
             raise StreamEndedError(str(error)) from error
         if not data:
-            raise StreamEndedError("closed by the peer")
+            raise StreamEndedError("the peer closed the connection")
         return self._parser.feed(data)
 
     async def read_frame(self) -> bytes:
-        """Returns the body of the next frame; errors as `read_frames`."""
+        """Returns the body of the next frame.
+
+        The errors are those of `read_frames`.
+        """
         while not self._bodies:
             self._bodies.extend(await self.read_frames())
         return self._bodies.popleft()
 
     async def write(self, data: bytes) -> None:
-        """Writes whole frames; waits while the peer does not take them.
+        """Writes whole frames; waits while the send buffer is full.
 
         Raises:
             StreamEndedError: The connection ended.
@@ -84,18 +92,19 @@
             raise StreamEndedError(str(error)) from error
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection at once and discards unsent bytes."""
         self._writer.transport.abort()
 
 
 @attrs.frozen
 class StreamOptions:
-    """How a connection is set up.
+    """Options of a new connection.
 
     Attributes:
-        tls: None for plain TCP.
-        tls_handshake_s: Seconds for the handshake of TLS.
-        limit: The largest frame that is read at first, in bytes.
+        tls: The TLS context; None for plain TCP.
+        tls_handshake_s: Longest TLS handshake, in seconds.
+        limit: Largest frame body accepted until `set_max_frame_bytes` is
+            called, in bytes.
     """
 
     tls: ssl.SSLContext | None
@@ -104,10 +113,10 @@
 
 
 async def dial_stream(address: Address, options: StreamOptions) -> FrameStream:
-    """Returns a new connection.
+    """Opens a connection to an address and returns its stream.
 
     Raises:
-        OSError: It failed; TLS that failed is one of these too.
+        OSError: The connection or its TLS handshake failed.
     """
     family = socket.AF_INET6 if ":" in address.ip else socket.AF_INET
     connection = socket.socket(family, socket.SOCK_STREAM)
@@ -124,10 +133,10 @@
 async def accept_stream(
     connection: socket.socket, ip: str, options: StreamOptions
 ) -> FrameStream:
-    """Returns the stream of a connection that was accepted.
+    """Returns the stream of an accepted connection.
 
     Raises:
-        OSError: The handshake of TLS failed.
+        OSError: The TLS handshake failed.
     """
     return await _make_stream(connection, ip, options, Side.ACCEPTER)
 
@@ -135,15 +144,16 @@
 async def _make_stream(
     connection: socket.socket, ip: str, options: StreamOptions, side: Side
 ) -> FrameStream:
-    """Takes the connection over: closes it if it raises."""
+    """Wraps a connection in a stream; closes the connection on failure."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=_READ_BYTES, loop=loop)
     protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
     tls_handshake_s = None if options.tls is None else options.tls_handshake_s
     try:
-        # Bytes that are never acknowledged would keep a link of one-way
-        # messages alive for a quarter of an hour; the kernel ends it sooner,
-        # without a byte of ours.
+        # By default the kernel resends unacknowledged bytes for about 15
+        # minutes, during which a link with only one-way messages to send
+        # would seem alive. With this option the kernel ends the connection
+        # sooner, and the link needs no messages of its own to find out.
         connection.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS
         )
