--- a/packages/transport/src/hollyknot_transport/_links_pool.py
+++ b/packages/transport/src/hollyknot_transport/_links_pool.py
@@ -119,7 +119,7 @@
 
     @property
     def counters(self) -> LinkCounters:
-        """Counters of the traffic, the dials and the lost links."""
+        """Counters of traffic, links and dropped messages."""
         return self._counters
 
     @property
--- a/packages/transport/src/hollyknot_transport/_links_server.py
+++ b/packages/transport/src/hollyknot_transport/_links_server.py
@@ -89,7 +89,7 @@
 
     @property
     def counters(self) -> LinkCounters:
-        """Counters of the traffic and of accepted and rejected links."""
+        """Counters of traffic, links and dropped messages."""
         return self._counters
 
     @property
--- a/packages/transport/src/hollyknot_transport/_links_stream.py
+++ b/packages/transport/src/hollyknot_transport/_links_stream.py
@@ -23,8 +23,7 @@
 class FrameStream:
     """Carries frames over a connection.
 
-    One task may read while another writes, but no two tasks may read, or
-    write, at the same time.
+    One task may read while another writes.
     """
 
     def __init__(
--- a/packages/transport/src/hollyknot_transport/_logging.py
+++ b/packages/transport/src/hollyknot_transport/_logging.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, on standard error."""
+"""Writes logs to standard error, as a line of key=value pairs per event."""
 
 import datetime
 import logging
@@ -12,18 +12,20 @@
 Renderer = Callable[[WrappedLogger, str, EventDict], str]
 
 _NEEDS_QUOTES = frozenset(' ="\\\n')
-"""Characters for which a value is left to the library's renderer."""
+"""Characters that make a value need the quoting of structlog's renderer."""
 
 
 def configure_logging(
     host: str, data_centre: str, stream: TextIO | None = None
 ) -> None:
-    """Sets the process's logs up, once, before anything is logged.
+    """Configures the logs of the process.
+
+    Must be called once, before anything is logged.
 
     Args:
-        host: On each line.
-        data_centre: On each line.
-        stream: Where lines go; standard error by default.
+        host: The name of this host, written on each line.
+        data_centre: The data centre of this host, written on each line.
+        stream: The stream to write to; standard error by default.
     """
     structlog.configure(
         processors=[
@@ -31,24 +33,24 @@
             _line_renderer(host, data_centre),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        # In one write: a line's text and its end are two system calls else,
-        # if the stream isn't buffered.
+        # This logger writes a line and its newline in one call. Two calls
+        # would be two system calls if the stream is not buffered.
         logger_factory=structlog.WriteLoggerFactory(stream or sys.stderr),
         cache_logger_on_first_use=True,
     )
 
 
 def get_logger(layer: str) -> FilteringBoundLogger:
-    """Returns a logger whose lines carry the name of a layer."""
+    """Returns a logger that writes the name of a layer on each line."""
     logger: FilteringBoundLogger = structlog.get_logger(layer=layer)
     return logger
 
 
 def _line_renderer(host: str, data_centre: str) -> Renderer:
-    """Returns the processor that makes an event's line.
+    """Returns the processor that formats an event as a line.
 
-    One in place of the library's four (level, time, context and logfmt), which
-    took most of the time of a line; there is a line for each request.
+    It replaces four processors of structlog (level, time, context and logfmt)
+    that took most of the time spent on a line. Every request logs a line.
     """
     library_renderer = structlog.processors.LogfmtRenderer(bool_as_flag=False)
     host_pairs = library_renderer(
--- a/packages/transport/src/hollyknot_transport/_metrics.py
+++ b/packages/transport/src/hollyknot_transport/_metrics.py
@@ -1,8 +1,9 @@
-"""Metrics of a host, in the Prometheus text format.
+"""Metrics of a host, rendered in the Prometheus text format.
 
-Names follow Prometheus: base units, `_total` for counters. Labels are bounded
-by the declarations (classes, pools) and the host's subset of upstreams, never
-by customers, so that a scrape's size does not grow with 18,000 customers.
+Names follow the conventions of Prometheus: base units, `_total` for counters.
+Label values are the classes and pools of the declarations and the host's
+subset of upstreams. No label holds a customer, so that the size of a scrape
+does not grow with the number of customers, which reaches 18,000.
 """
 
 import enum
@@ -15,25 +16,30 @@
 
 
 class Waste(enum.Enum):
-    """Kinds of wasted work."""
+    """How the work of a try at an upstream was wasted."""
 
     DISCARDED = "discarded"
+    """The answer was not complete."""
+
     DUPLICATED = "duplicated"
+    """The try may have run, and another try followed it."""
+
     LATE = "late"
+    """The answer was complete but missed the target of its class."""
 
 
 class BufferedCounter:
-    """A counter by labels, handed to the registry at a scrape only.
+    """A labelled counter that is copied to the registry at each scrape.
 
-    The library's own makes a JSON key of the labels and checks their names at
-    each addition, several times a request.
+    The counter of aioprometheus encodes the labels as a JSON key and checks
+    their names at each addition, of which a request causes several.
     """
 
     def __init__(self, counter: Counter, labels: tuple[str, ...]) -> None:
-        """Starts at nothing.
+        """Creates a counter without any values.
 
         Args:
-            counter: Filled at a scrape.
+            counter: The counter of the registry that receives the values.
             labels: The names of the labels.
         """
         self._counter = counter
@@ -41,18 +47,18 @@
         self._values: dict[tuple[str, ...], int] = {}
 
     def add(self, *labels: str, amount: int = 1) -> None:
-        """Counts; the labels' values are in the order of their names."""
+        """Adds to the value for these labels, given in the names' order."""
         self._values[labels] = self._values.get(labels, 0) + amount
 
     def flush(self) -> None:
-        """Hands the values to the registry."""
+        """Copies the values to the counter of the registry."""
         for labels, value in self._values.items():
             named = dict(zip(self._labels, labels, strict=True))
             self._counter.set(named, value)
 
 
 class Metrics:
-    """All metrics of one host, with their registry."""
+    """Holds all metrics of one host and their registry."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -111,7 +117,7 @@
         )
 
     def first_byte(self, request_class: str, waited_s: float) -> None:
-        """Notes the seconds from a request's arrival to its first byte."""
+        """Records the seconds from arrival to the first byte of the answer."""
         data = self._first_byte_by_class.get(request_class)
         if data is None:
             data = HistogramData(*_LATENCY_BUCKETS)
@@ -132,7 +138,11 @@
         return Gauge(name, doc, registry=self._registry)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Returns the text of a scrape and its headers."""
+        """Returns the body of a scrape and its HTTP headers.
+
+        Args:
+            accept: The `Accept` header of the scrape; may be empty.
+        """
         for count in self._counters:
             count.flush()
         content, headers = render(self._registry, [accept or "text/plain"])
--- a/packages/transport/src/hollyknot_transport/_operators_server.py
+++ b/packages/transport/src/hollyknot_transport/_operators_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards operators: health, readiness, metrics, status."""
+"""Serves health, readiness, metrics and status to operators over HTTP."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,13 @@
 
 @attrs.frozen
 class Readiness:
-    """Whether a host takes new work, and why not.
+    """Whether a host accepts new requests, and why not.
 
     Attributes:
-        is_ready: True if the balancer may send callers here.
-        reason: A sentence.
-        refusal: The reason that callers are given meanwhile.
+        is_ready: Whether the load balancer may send callers to this host.
+        reason: Explanation for `/readyz` and for callers that are refused.
+        refusal: Reason in the verdict of callers that are refused while the
+            host is not ready.
     """
 
     is_ready: bool
@@ -37,9 +38,10 @@
     """Returns the server of `/healthz`, `/readyz`, `/metrics`, `/status`.
 
     Args:
-        metrics: What `/metrics` renders.
-        readiness: Asked at each `/readyz`.
-        status: Asked at each `/status`; a document that JSON can hold.
+        metrics: The metrics that `/metrics` renders.
+        readiness: Returns the readiness; called for each `/readyz`.
+        status: Returns a document that can be encoded as JSON; called for
+            each `/status`.
     """
 
     def health(_: web.BaseRequest) -> web.Response:
--- a/packages/transport/src/hollyknot_transport/_platform.py
+++ b/packages/transport/src/hollyknot_transport/_platform.py
@@ -1,8 +1,9 @@
-"""Reads the platform's documents again and again; counted, never trusted.
+"""Polls the platform for the declarations and the host list.
 
-Each call, a waiting watch too, counts against the platform's limit on reads,
-so that a failing platform is asked with growing pauses, and only by the few
-hosts whose turn it is.
+Each read counts against the platform's rate limit, even a long poll that waits
+for a change. So only the few hosts whose turn it is poll, and they pause for
+longer after each failure. What the platform returns is not trusted: its size
+is bounded and its version is checked here.
 """
 
 import asyncio
@@ -18,6 +19,8 @@
 from hollyknot_transport._bounded import TooLarge, read_bounded
 
 _MAX_PAUSE_FACTOR = 8.0
+"""Longest pause after failures, as a multiple of the usual pause."""
+
 _READ_TIMEOUT_S = 5.0
 _MAX_DOCUMENT_BYTES = 16_777_216
 _NOT_MODIFIED = 304
@@ -32,12 +35,12 @@
 
 @attrs.frozen
 class PlatformDocument:
-    """A version of a document as the platform gave it.
+    """A version of a document as the platform returned it.
 
     Attributes:
-        name: Which document.
-        version: Its version or revision.
-        body: The value as JSON.
+        name: The document.
+        version: The version of the declarations or revision of the host list.
+        body: The value of the document as JSON.
     """
 
     name: DocumentKind
@@ -47,11 +50,11 @@
 
 @attrs.frozen
 class PlatformFailure:
-    """A read that gave no document.
+    """A read that returned no document.
 
     Attributes:
-        name: Which document.
-        detail: What went wrong.
+        name: The document.
+        detail: The cause, for the log.
     """
 
     name: DocumentKind
@@ -69,15 +72,16 @@
     deliver: Deliver,
     rng: random.Random,
 ) -> None:
-    """Reads one document again and again until it is cancelled.
+    """Polls one document until the task is cancelled.
 
     Args:
-        name: Which document.
-        addresses: Where the platform answers; taken in turn after a failure.
-        read_after: Returns the version after which to ask.
-        pause_s: Mean seconds between two reads.
-        deliver: Takes each newer document and each failure.
-        rng: Spreads the pauses after failures.
+        name: The document.
+        addresses: The addresses of the platform; each failure moves on to the
+            next address.
+        read_after: Returns the version after which a document is newer.
+        pause_s: Mean pause between two reads that succeed, in seconds.
+        deliver: Receives each newer document and each failure.
+        rng: Source of the first address and of the jitter of the pauses.
     """
     turn = rng.randrange(len(addresses))
     pause_factor = 1.0
@@ -88,8 +92,8 @@
             result = await _read(session, name, address, read_after())
             if isinstance(result, PlatformFailure):
                 turn += 1
-                # A platform that fails is slow to recover while all readers
-                # ask at their full rate.
+                # A failing platform would recover slowly if all hosts went on
+                # polling at their full rate.
                 pause_factor = min(pause_factor * 2, _MAX_PAUSE_FACTOR)
             else:
                 pause_factor = 1.0
@@ -115,10 +119,14 @@
             if response.status == _NOT_MODIFIED:
                 return _Unchanged.UNCHANGED
             if response.status != _OK:
-                return PlatformFailure(name, f"status {response.status}")
+                return PlatformFailure(
+                    name, f"HTTP status {response.status} from {url}"
+                )
             body = await read_bounded(response.content, _MAX_DOCUMENT_BYTES)
             if isinstance(body, TooLarge):
-                return PlatformFailure(name, "the document is too large")
+                return PlatformFailure(
+                    name, f"the body exceeds {_MAX_DOCUMENT_BYTES} bytes"
+                )
             return _parse(name, body)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         return PlatformFailure(name, f"{type(error).__name__}: {error}")
@@ -130,9 +138,9 @@
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        return PlatformFailure(name, f"not JSON: {error}")
+        return PlatformFailure(name, f"the body is not JSON: {error}")
     if not isinstance(document, dict):
-        return PlatformFailure(name, "not a JSON object")
+        return PlatformFailure(name, "the body is not a JSON object")
     if name is DocumentKind.HOSTS:
         version = document.get("revision")
         value = body
@@ -140,5 +148,9 @@
         version = document.get("version")
         value = orjson.dumps(document.get("value"))
     if not isinstance(version, int) or isinstance(version, bool):
-        return PlatformFailure(name, "no version")
+        return PlatformFailure(
+            name,
+            "the document's version must be an integer, not"
+            f" {type(version).__name__}",
+        )
     return PlatformDocument(name, version, value)
--- a/packages/transport/src/hollyknot_transport/_server_header.py
+++ b/packages/transport/src/hollyknot_transport/_server_header.py
@@ -1,4 +1,4 @@
-"""Names the server on every answer, those of the library's own included."""
+"""Sets the `Server` header on every answer, including aiohttp's own."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 
 
 class _ServerHeaderRequest(web.BaseRequest):
-    """A request whose answer doesn't tell the library and its version.
+    """A request whose answer does not reveal aiohttp and its version.
 
-    The hook is private to the library, and the one place that the answers to
-    requests it can't parse pass too. Were it gone, its test would find the
-    library's name.
+    `_prepare_hook` is private to aiohttp, but it is the only place that also
+    handles answers to requests that aiohttp cannot parse. If aiohttp drops
+    the hook, the test of this header fails, as it finds aiohttp's name.
     """
 
     async def _prepare_hook(self, response: web.StreamResponse) -> None:
@@ -29,6 +29,6 @@
     writer: AbstractStreamWriter,
     task: asyncio.Task[None],
 ) -> web.BaseRequest:
-    """Makes a server's requests; given to it as `request_factory`."""
+    """Creates a request; pass it to a server as `request_factory`."""
     loop = asyncio.get_running_loop()
     return _ServerHeaderRequest(message, payload, protocol, writer, task, loop)
--- a/packages/transport/src/hollyknot_transport/_stall_guard.py
+++ b/packages/transport/src/hollyknot_transport/_stall_guard.py
@@ -1,9 +1,9 @@
-"""Bounds on how long an upstream or a caller may stay silent.
+"""Ends exchanges whose upstream or caller has been silent for too long.
 
-A connection can be silent for good while new ones work. A timer for each read
-would cost as much as relaying a token, so that one sweep a second looks at all
-exchanges instead and expires those that made no progress; a bound is kept to
-within one sweep.
+A connection can hang forever while new ones work. A timer for each read would
+cost as much as relaying a token. Instead, one sweep per second checks all
+exchanges and expires those that made no progress, so that an exchange ends up
+to one sweep interval after its bound.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 
 class Phase(enum.Enum):
-    """What an exchange waits for."""
+    """What an exchange with an upstream waits for."""
 
     FIRST_BYTE = "first-byte"
     NEXT_BYTES = "next-bytes"
@@ -19,7 +19,12 @@
 
 
 class WatchedExchange:
-    """One exchange with an upstream, as the guard sees it."""
+    """The progress and the time-outs of one exchange with an upstream.
+
+    Attributes:
+        phase: What the exchange waits for; selects the bound that applies.
+        progress_at: Time of the last progress, in monotonic seconds.
+    """
 
     __slots__ = ("_bounds", "_timeout", "phase", "progress_at")
 
@@ -29,13 +34,24 @@
         bounds: dict[Phase, float],
         now_s: float,
     ) -> None:
+        """Creates the state of an exchange that starts now.
+
+        Args:
+            timeout: The timeout context in which the exchange runs.
+            bounds: Longest time without progress in each phase, in seconds.
+            now_s: The current time, in monotonic seconds.
+        """
         self._timeout = timeout
         self._bounds = bounds
         self.phase = Phase.FIRST_BYTE
         self.progress_at = now_s
 
     def expire_if_stalled(self, now_s: float) -> bool:
-        """Ends the exchange if it made no progress within its bound."""
+        """Ends the exchange if it made no progress within its bound.
+
+        Returns:
+            Whether this call ended the exchange.
+        """
         if now_s - self.progress_at <= self._bounds[self.phase]:
             return False
         if self._timeout.expired():
@@ -45,13 +61,13 @@
 
 
 class StallGuard:
-    """All exchanges of a host; swept by the host's timer."""
+    """Watches all exchanges of a host, whose timer calls `sweep`."""
 
     def __init__(self) -> None:
         self._watched: set[WatchedExchange] = set()
 
     def add(self, watched: WatchedExchange) -> None:
-        """Watches an exchange until it is discarded."""
+        """Starts to watch an exchange, until it is discarded."""
         self._watched.add(watched)
 
     def discard(self, watched: WatchedExchange) -> None:
--- a/packages/transport/src/hollyknot_transport/_tracing.py
+++ b/packages/transport/src/hollyknot_transport/_tracing.py
@@ -1,7 +1,8 @@
-"""Traces: a span for each hop, passed on by `traceparent` (W3C).
+"""Records a trace span for each hop and passes on the W3C `traceparent`.
 
 Without a trace file no span is recorded, but the caller's `traceparent` is
-still passed on, so that the ends of a trace can be joined by others.
+still passed on, so that other systems can join the spans before and after
+this host into one trace.
 """
 
 import contextlib
@@ -26,7 +27,7 @@
 
 
 class _JsonLinesExporter(SpanExporter):
-    """Writes each span as one JSON object on a line."""
+    """Writes each span as a JSON object on a line of its own."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
@@ -57,18 +58,18 @@
 
 
 class Tracing:
-    """The host's tracer; closed with the host."""
+    """Records the spans of a host; close it when the host stops."""
 
     def __init__(self, host: str, data_centre: str, trace_file: str) -> None:
-        """Opens the trace file.
+        """Creates a tracer and opens its trace file.
 
         Args:
-            host: The host's name, on each span.
-            data_centre: Its data centre, on each span.
-            trace_file: Where spans go; empty for none.
+            host: The name of this host, written on each span.
+            data_centre: The data centre of this host, written on each span.
+            trace_file: The file to which spans are appended; empty for none.
 
         Raises:
-            OSError: The file can't be written.
+            OSError: The trace file cannot be opened for writing.
         """
         self._provider: TracerProvider | None = None
         self._tracer: trace.Tracer = trace.NoOpTracer()
@@ -87,22 +88,22 @@
 
     @property
     def is_recording(self) -> bool:
-        """Whether spans are written anywhere."""
+        """Whether spans are written to a trace file."""
         return self._provider is not None
 
     def span(
         self, name: str, parent: str, **attributes: str | int | float
     ) -> contextlib.AbstractContextManager[str]:
-        """Records one hop.
+        """Records one hop as a span.
 
         Args:
-            name: The hop.
-            parent: The `traceparent` of the hop before; may be empty.
-            **attributes: What to note on the span.
+            name: The name of the hop.
+            parent: The `traceparent` of the previous hop; may be empty.
+            **attributes: The attributes of the span.
 
         Returns:
-            A context manager of the hop; it gives the `traceparent` to hand
-            to the next hop.
+            A context manager that spans the hop and yields the `traceparent`
+            for the next hop.
         """
         if self._provider is None:
             return contextlib.nullcontext(parent)
@@ -121,7 +122,7 @@
             yield carrier.get(_HEADER, parent)
 
     def current_traceparent(self) -> str:
-        """Returns the `traceparent` of the span that runs now, if any."""
+        """Returns the `traceparent` of the active span; empty for none."""
         if self._provider is None:
             return ""
         carrier: dict[str, str] = {}
@@ -129,6 +130,6 @@
         return carrier.get(_HEADER, "")
 
     def close(self) -> None:
-        """Writes what is buffered and closes the file."""
+        """Writes the buffered spans and closes the trace file."""
         if self._provider is not None:
             self._provider.shutdown()
