--- a/packages/transport/src/hollyknot_transport/_exchange.py
+++ b/packages/transport/src/hollyknot_transport/_exchange.py
@@ -14,7 +14,7 @@
 from hollyknot_state import Nature, Outcome, Reason, Verdict
 from hollyknot_transport._aiohttp_relay import relay
 from hollyknot_transport._answers import NOT_RUN, REQUEST_ID
-from hollyknot_transport._stall_guard import Phase, StallGuard, Watched
+from hollyknot_transport._stall_guard import Phase, StallGuard, WatchedExchange
 
 MAX_BUFFERED_ANSWER_BYTES = 262_144
 """Maximum size in bytes up to which an answer is buffered.
@@ -180,7 +180,7 @@
             Phase.CALLER: request.next_bytes_s,
         }
         timeout = asyncio.timeout(None)
-        watched = Watched(timeout, bounds, loop.time())
+        watched = WatchedExchange(timeout, bounds, loop.time())
         attempt = _Attempt(request, sink, watched, loop.time)
         self._guard.add(watched)
         try:
@@ -256,7 +256,7 @@
         self,
         request: UpstreamRequest,
         sink: Sink,
-        watched: Watched,
+        watched: WatchedExchange,
         clock: Callable[[], float],
     ) -> None:
         self._request = request
--- a/packages/transport/src/hollyknot_transport/_links_dial.py
+++ b/packages/transport/src/hollyknot_transport/_links_dial.py
@@ -84,7 +84,7 @@
     except BaseException:
         stream.abort()
         raise
-    stream.set_limit(parts.limits.max_frame_bytes)
+    stream.set_max_frame_bytes(parts.limits.max_frame_bytes)
     return Link(stream, identity, parts)
 
 
--- a/packages/transport/src/hollyknot_transport/_operators.py
+++ b/packages/transport/src/hollyknot_transport/_operators_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards operators: health, readiness, metrics, status."""
+"""Serves health, readiness, metrics and status to operators over HTTP."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 from hollyknot_state import Reason
 from hollyknot_transport._metrics import Metrics
-from hollyknot_transport._named_request import named_request
+from hollyknot_transport._server_header import make_request
 
 _OK = 200
 _UNAVAILABLE = 503
@@ -16,12 +16,13 @@
 
 @attrs.frozen
 class Readiness:
-    """Whether a host takes new work, and why not.
+    """Whether a host accepts new requests, and why not.
 
     Attributes:
-        is_ready: True if the balancer may send callers here.
-        reason: A sentence.
-        refusal: The reason that callers are given meanwhile.
+        is_ready: Whether the load balancer may send callers to this host.
+        reason: Explanation for `/readyz` and for callers that are refused.
+        refusal: Reason in the verdict of callers that are refused while the
+            host is not ready.
     """
 
     is_ready: bool
@@ -37,18 +38,19 @@
     """Returns the server of `/healthz`, `/readyz`, `/metrics`, `/status`.
 
     Args:
-        metrics: What `/metrics` renders.
-        readiness: Asked at each `/readyz`.
-        status: Asked at each `/status`; a document that JSON can hold.
+        metrics: The metrics that `/metrics` renders.
+        readiness: Returns the readiness; called for each `/readyz`.
+        status: Returns a document that can be encoded as JSON; called for
+            each `/status`.
     """
 
     def health(_: web.BaseRequest) -> web.Response:
         return web.Response(text="alive\n")
 
     def ready(_: web.BaseRequest) -> web.Response:
-        now = readiness()
-        code = _OK if now.is_ready else _UNAVAILABLE
-        return web.Response(status=code, text=now.reason + "\n")
+        current = readiness()
+        code = _OK if current.is_ready else _UNAVAILABLE
+        return web.Response(status=code, text=current.reason + "\n")
 
     def scrape(request: web.BaseRequest) -> web.Response:
         body, headers = metrics.render(request.headers.get("Accept", ""))
@@ -75,4 +77,4 @@
             return web.Response(status=404, text=f"Known paths: {known}\n")
         return route(request)
 
-    return web.Server(handle, access_log=None, request_factory=named_request)
+    return web.Server(handle, access_log=None, request_factory=make_request)
