--- a/packages/daemon/src/hollyknot_daemon/tests/faults/ledger.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/answer_checker.py
@@ -54,7 +54,7 @@
         return self.verdict == COMPLETE
 
 
-class Ledger:
+class AnswerChecker:
     """Answers so far; what they promise must hold for ever."""
 
     def __init__(
@@ -74,9 +74,9 @@
         self._services = list(services)
         self._tokens = tokens
         self._answers: list[Answer] = []
-        self._told: set[str] = set()
+        self._reported: set[str] = set()
 
-    def note(self, answer: Answer) -> Answer:
+    def add_answer(self, answer: Answer) -> Answer:
         """Adds an answer."""
         self._answers.append(answer)
         return answer
@@ -87,8 +87,8 @@
 
     def new_violations(self) -> list[str]:
         """Returns promises so far that are broken and weren't told yet."""
-        found = [v for v in self._violations() if v not in self._told]
-        self._told.update(found)
+        found = [v for v in self._violations() if v not in self._reported]
+        self._reported.update(found)
         return found
 
     def _violations(self) -> list[str]:
@@ -104,11 +104,11 @@
                 found.append(f"told not run, ran {runs} times: {answer}")
             if answer.is_complete and not runs:
                 found.append(f"told complete, never ran: {answer}")
-            if not self._is_sound(answer):
+            if not self._is_consistent(answer):
                 found.append(f"not its own whole answer: {answer}")
         return found
 
-    def _is_sound(self, answer: Answer) -> bool:
+    def _is_consistent(self, answer: Answer) -> bool:
         """Whether the body is what the verdict says, to the last byte."""
         if not answer.status:
             return True
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
@@ -14,10 +14,10 @@
     running_fault_fleet,
 )
 
-_LIMIT_S = 90.0
-_KEPT_LINES = 12
-_STATUS_LIMIT_S = 2.0
-_STATUS_PARTS = (
+_TEST_TIMEOUT_S = 90.0
+_SHOWN_LINES = 12
+_STATUS_TIMEOUT_S = 2.0
+_STATUS_KEYS = (
     "ready",
     "versions",
     "peers",
@@ -38,20 +38,20 @@
             test: Test,
         ) -> None:
             try:
-                async with asyncio.timeout(_LIMIT_S):
+                async with asyncio.timeout(_TEST_TIMEOUT_S):
                     await fleet.heal()
                     await test(fleet)
                     await fleet.heal()
             except TimeoutError as error:
                 raise TimeoutError(await _describe(fleet)) from error
             finally:
-                broken = fleet.ledger.new_violations()
+                broken = fleet.answer_checker.new_violations()
             assert broken == []
 
         try:
             yield lambda test: runner.run(bounded(test))
             # What a host did late is held against the answers before it.
-            assert fleet.ledger.new_violations() == []
+            assert fleet.answer_checker.new_violations() == []
         finally:
             runner.run(stack.aclose())
 
@@ -61,12 +61,12 @@
     parts = []
     for host in fleet.hosts.values():
         try:
-            async with asyncio.timeout(_STATUS_LIMIT_S):
+            async with asyncio.timeout(_STATUS_TIMEOUT_S):
                 status = await fleet.status(host)
         except (aiohttp.ClientError, TimeoutError) as error:
             status = {"status": repr(error)}
-        kept = {key: status.get(key) for key in _STATUS_PARTS}
+        kept = {key: status.get(key) for key in _STATUS_KEYS}
         parts.append(f"{host.name}: {kept}")
         if host.process is not None:
-            parts += host.process.lines[-_KEPT_LINES:]
+            parts += host.process.lines[-_SHOWN_LINES:]
     return "\n".join(parts)
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/fleet.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/fleet.py
@@ -31,7 +31,7 @@
 from hollyknot_bench._processes import Child, child
 from hollyknot_bench.demo import new_idempotency_key
 from hollyknot_coordination.claims import claim_key, home, slot_of
-from hollyknot_daemon.tests.faults.ledger import Answer, Ledger
+from hollyknot_daemon.tests.faults.answer_checker import Answer, AnswerChecker
 from hollyknot_daemon.tests.faults.relay import IP, Flow, Relay
 from hollyknot_standins import (
     ConfigurationControl,
@@ -52,7 +52,7 @@
 A, B = DATA_CENTRES
 TOKENS = 12
 _INTERVAL_S = 0.005
-SLOW = 50.0
+SLOW_FACTOR = 50.0
 """Makes an engine's answer take three seconds."""
 
 CUSTOMER = "caseworkers"
@@ -60,11 +60,11 @@
 _OK = 200
 _USABLE = ("live", "recovering")
 _HOSTS = 3
-_ROOM = 2
+_STREAMS_PER_HOST = 2
 """Streams that each test begins at once by one host."""
 _POLL_S = 0.05
-_CALL_LIMIT_S = 60.0
-_HANDOVER_S = 60.0
+_CALL_TIMEOUT_S = 60.0
+_HANDOVER_TIMEOUT_S = 60.0
 """Beyond any test's limit: a stop ends by its handover, not by this."""
 
 
@@ -76,11 +76,11 @@
     """Returns a new idempotency key whose home is a data centre."""
     while True:
         key = new_idempotency_key()
-        if home(slot_of(claimed(key)), DATA_CENTRES) == data_centre:
+        if home(slot_of(claim_key_of(key)), DATA_CENTRES) == data_centre:
             return key
 
 
-def claimed(key: str) -> bytes:
+def claim_key_of(key: str) -> bytes:
     """Returns the claim key, as it travels between hosts."""
     found = claim_key(CUSTOMER, SERVICE, key)
     assert isinstance(found, bytes)
@@ -121,7 +121,7 @@
         assert self.process is not None
         return self.process.port(field)
 
-    def forget_lines(self) -> None:
+    def clear_lines(self) -> None:
         """Forgets what it has logged."""
         assert self.process is not None
         self.process.lines.clear()
@@ -141,7 +141,7 @@
         self.send(signal.SIGSTOP)
         self.is_paused = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Lets it go on, with an old view of the world."""
         self.send(signal.SIGCONT)
         self.is_paused = False
@@ -175,11 +175,11 @@
     engines: dict[str, Standin[EngineControl]]
     services: dict[str, Standin[ServiceControl]]
     relays: dict[str, Relay]
-    ledger: Ledger
+    answer_checker: AnswerChecker
     session: aiohttp.ClientSession
     directory: pathlib.Path
     hosts: dict[str, HostProcess] = attrs.Factory(dict)
-    begun: set[str] = attrs.Factory(set)
+    answers_begun: set[str] = attrs.Factory(set)
     _numbers: Any = attrs.Factory(lambda: itertools.count(1))
     _names: list[str] = attrs.Factory(list)
 
@@ -191,7 +191,7 @@
         """Returns the service of a data centre."""
         return self.services[f"{data_centre}-service"]
 
-    async def order(self, host: HostProcess, key: str) -> Answer:
+    async def call_service(self, host: HostProcess, key: str) -> Answer:
         """Sends a non-idempotent call, whose body is its key."""
         return await self._send(
             Answer(host.name, f"order {key}", key),
@@ -200,7 +200,7 @@
             f"order {key}".encode(),
         )
 
-    async def warm(self, host: HostProcess) -> None:
+    async def open_links(self, host: HostProcess) -> None:
         """Has links made between a host and all others, both ways."""
         others = [h for h in self.hosts.values() if h is not host]
 
@@ -210,7 +210,7 @@
 
         while not is_linked():
             for data_centre in DATA_CENTRES:
-                await self.order(host, key_at(data_centre))
+                await self.call_service(host, key_at(data_centre))
             await asyncio.sleep(_POLL_S)
 
     async def chat(
@@ -251,7 +251,7 @@
             while not condition(await self.status(host)):
                 await asyncio.sleep(_POLL_S)
 
-    def cut(
+    def partition_hosts(
         self,
         some: Iterable[HostProcess],
         others: Iterable[HostProcess],
@@ -263,7 +263,7 @@
             for host in here:
                 host.links.set(flow, *(h.name for h in there))
 
-    def cut_platform(
+    def partition_platform(
         self, hosts: Iterable[HostProcess], flow: Flow = Flow.CUT
     ) -> None:
         """Cuts hosts off from the platform."""
@@ -287,10 +287,10 @@
                     load = orjson.loads(await response.read())
                 await asyncio.sleep(_POLL_S)
 
-    async def until_platform_is_missed(self) -> None:
+    async def until_platform_loss_noticed(self) -> None:
         """Waits until each host has noticed that its platform is cut off."""
         for host in self.hosts.values():
-            host.forget_lines()
+            host.clear_lines()
         await self.until(
             lambda: all(
                 h.has_logged("platform-read-failed")
@@ -400,17 +400,17 @@
             await service.restart()
         for host in self.hosts.values():
             if host.is_paused:
-                host.wake()
+                host.resume()
             for relay in (host.links, *host.platform):
                 relay.heal()
         for relay in self.relays.values():
             relay.heal()
             await relay.listen()
         await self.replace_lost()
-        await self.settled()
-        await asyncio.gather(*map(self._regrow, self.hosts.values()))
+        await self.until_settled()
+        await asyncio.gather(*map(self._restore_limit, self.hosts.values()))
 
-    async def _regrow(self, host: HostProcess) -> None:
+    async def _restore_limit(self, host: HostProcess) -> None:
         """Sends requests until a host trusts its engine as much as at first.
 
         After an ejection a host sends its engine one request at a time. The
@@ -421,12 +421,17 @@
         while True:
             status = await self.status(host)
             (engine,) = (u for u in status["upstreams"] if u["name"] == name)
-            if engine["state"] == "live" and engine["limit"] >= _ROOM:
+            if (
+                engine["state"] == "live"
+                and engine["limit"] >= _STREAMS_PER_HOST
+            ):
                 return
-            texts = (f"regrow {n} {host.name}" for n in range(_ROOM))
+            texts = (
+                f"regrow {n} {host.name}" for n in range(_STREAMS_PER_HOST)
+            )
             await asyncio.gather(*(self.chat(host, text) for text in texts))
 
-    async def settled(self) -> None:
+    async def until_settled(self) -> None:
         """Waits until each host knows the newest, all others and its slots."""
         revision = self.host_list.control.published.number
 
@@ -454,19 +459,19 @@
             async with self.session.post(
                 url, data=body, headers=headers
             ) as response:
-                told = response.headers
+                answer_headers = response.headers
                 answer = attrs.evolve(
                     blank,
                     status=response.status,
-                    verdict=told.get("X-Verdict", ""),
-                    reason=told.get("X-Reason", ""),
-                    request_id=told.get("X-Request-Id", ""),
-                    retry_after=told.get("Retry-After", ""),
+                    verdict=answer_headers.get("X-Verdict", ""),
+                    reason=answer_headers.get("X-Reason", ""),
+                    request_id=answer_headers.get("X-Request-Id", ""),
+                    retry_after=answer_headers.get("Retry-After", ""),
                 )
                 async for part in response.content.iter_any():
                     parts.append(part)
                     if answer.status == _OK:
-                        self.begun.add(blank.sent)
+                        self.answers_begun.add(blank.sent)
                 is_whole = True
         except TimeoutError:
             # An answer that takes so long is no end that a host gave it.
@@ -475,14 +480,14 @@
             pass
         raw = b"".join(parts)
         if answer.is_streamed and answer.status and not answer.verdict:
-            answer = attrs.evolve(answer, verdict=_told_at_end(raw))
+            answer = attrs.evolve(answer, verdict=_final_verdict(raw))
             raw = raw.partition(b": verdict=")[0]
-        return self.ledger.note(
+        return self.answer_checker.add_answer(
             attrs.evolve(answer, body=raw, is_whole=is_whole)
         )
 
 
-def _told_at_end(raw: bytes) -> str:
+def _final_verdict(raw: bytes) -> str:
     """Returns the verdict that ends a stream; of a broken one "broken"."""
     _, mark, verdict = raw.rpartition(b": verdict=")
     return verdict.decode().strip() if mark else "broken"
@@ -501,7 +506,7 @@
         "operators": any_port,
         "platform": {"configuration": configuration, "host_list": host_list},
         "link_keys": [LINK_KEY],
-        "handover_s": _HANDOVER_S,
+        "handover_s": _HANDOVER_TIMEOUT_S,
     }
 
 
@@ -536,7 +541,7 @@
         session = await enter(
             aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(force_close=True, limit=0),
-                timeout=aiohttp.ClientTimeout(total=_CALL_LIMIT_S),
+                timeout=aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S),
             )
         )
         directory = stack.enter_context(tempfile.TemporaryDirectory())
@@ -546,7 +551,7 @@
             engines,
             services,
             relays,
-            Ledger(engines.values(), services.values(), TOKENS),
+            AnswerChecker(engines.values(), services.values(), TOKENS),
             session,
             pathlib.Path(directory),
         )
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
@@ -39,9 +39,9 @@
         self._names = names
         self._flows: dict[str, Flow] = defaultdict(lambda: Flow.FORWARD)
         self._seen: dict[str, bytearray] = defaultdict(bytearray)
-        self._hold_from: dict[str, bytes] = {}
+        self._hold_after: dict[str, bytes] = {}
         self._open: dict[asyncio.Task[None], str] = {}
-        self._cuts: Counter[str] = Counter()
+        self._reset_counts: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._port = 0
         self._server: asyncio.Server | None = None
@@ -64,22 +64,22 @@
             for task, source in self._open.items():
                 if self._flows[source] is Flow.CUT:
                     task.cancel()
-        self._wake()
+        self._notify()
 
-    def hold_from(self, pattern: bytes, source: str) -> None:
+    def hold_after(self, pattern: bytes, source: str) -> None:
         """Holds what a source sends as soon as it sends some bytes."""
-        self._hold_from[source] = pattern
+        self._hold_after[source] = pattern
 
     def heal(self) -> None:
         """Forwards all again; forgets what was seen."""
         self._flows.clear()
-        self._hold_from.clear()
+        self._hold_after.clear()
         self._seen.clear()
-        self._wake()
+        self._notify()
 
-    def cuts(self, source: str = "") -> int:
+    def reset_count(self, source: str = "") -> int:
         """Returns how often a source was cut off when it sent something."""
-        return self._cuts[source]
+        return self._reset_counts[source]
 
     def has_seen(self, pattern: bytes, source: str = "") -> bool:
         """Tells whether a source has sent some bytes, held or not."""
@@ -139,41 +139,45 @@
         head = await reader.read(_CHUNK_BYTES)
         source = next((n for n in self._names if n.encode() in head), "")
         self._open[task] = source
-        self._note(source, head)
+        self._record(source, head)
         await self._until_forward(source)
-        near = await asyncio.open_connection(IP, self.target)
+        target_streams = await asyncio.open_connection(IP, self.target)
         try:
-            near[1].write(head)
+            target_streams[1].write(head)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(source, reader, near[1], True))
-                group.create_task(self._pump(source, near[0], writer, False))
+                group.create_task(
+                    self._pump(source, reader, target_streams[1], True)
+                )
+                group.create_task(
+                    self._pump(source, target_streams[0], writer, False)
+                )
         except* OSError:
             pass
         finally:
-            near[1].transport.abort()
+            target_streams[1].transport.abort()
 
     async def _pump(
         self,
         source: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        is_noted: bool,
+        is_recorded: bool,
     ) -> None:
         """Carries one direction; reads on while it holds."""
-        taken: asyncio.Queue[bytes] = asyncio.Queue()
+        buffered: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def read() -> None:
             try:
                 while data := await reader.read(_CHUNK_BYTES):
-                    if is_noted:
-                        self._note(source, data)
-                    taken.put_nowait(data)
+                    if is_recorded:
+                        self._record(source, data)
+                    buffered.put_nowait(data)
             finally:
-                taken.put_nowait(b"")
+                buffered.put_nowait(b"")
 
         reading = asyncio.ensure_future(read())
         try:
-            while data := await taken.get():
+            while data := await buffered.get():
                 await self._until_forward(source)
                 writer.write(data)
                 await writer.drain()
@@ -187,16 +191,16 @@
         while (flow := self._flows[source]) is Flow.HOLD:
             await self._changed.wait()
         if flow is Flow.CUT:
-            self._cuts[source] += 1
+            self._reset_counts[source] += 1
             raise ConnectionResetError
 
-    def _note(self, source: str, data: bytes) -> None:
+    def _record(self, source: str, data: bytes) -> None:
         self._seen[source] += data
-        pattern = self._hold_from.get(source)
+        pattern = self._hold_after.get(source)
         if pattern and pattern in self._seen[source]:
             self._flows[source] = Flow.HOLD
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_at_most_once.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_at_most_once.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from hollyknot_daemon.tests.faults.answer_checker import Answer
 from hollyknot_daemon.tests.faults.fleet import (
     A,
     B,
     Drive,
     FaultFleet,
     HostProcess,
-    claimed,
+    claim_key_of,
     key_at,
 )
-from hollyknot_daemon.tests.faults.ledger import Answer
 from hollyknot_daemon.tests.faults.relay import Flow
 
 _ONCE = "a non-idempotent request runs at most once"
@@ -24,20 +24,20 @@
     return [key_at(A), key_at(B)]
 
 
-def _begin(
+def _start_calls(
     fleet: FaultFleet, host: HostProcess, keys: list[str]
 ) -> list[asyncio.Task[Answer]]:
     """Sends each key by a host and doesn't wait for the answers."""
-    return [asyncio.create_task(fleet.order(host, key)) for key in keys]
+    return [asyncio.create_task(fleet.call_service(host, key)) for key in keys]
 
 
-async def _again(
+async def _resend(
     fleet: FaultFleet, keys: list[str], *hosts: HostProcess
 ) -> list[Answer]:
     """Sends all keys again by each host in turn."""
     answers = []
     for host in hosts:
-        answers += await asyncio.gather(*_begin(fleet, host, keys))
+        answers += await asyncio.gather(*_start_calls(fleet, host, keys))
     return answers
 
 
@@ -46,7 +46,7 @@
 ) -> list[tuple[HostProcess, bytes]]:
     """Returns all holders other than a host, each with its claim."""
     return [
-        (holder, claimed(key))
+        (holder, claim_key_of(key))
         for key, data_centre in zip(keys, (A, B), strict=True)
         for holder in fleet.at(data_centre)
         if holder is not host
@@ -60,7 +60,7 @@
     the host is slow then, and none would be sent.
     """
     for holder, claim in _holders(fleet, host, keys):
-        host.links.hold_from(claim, holder.name)
+        host.links.hold_after(claim, holder.name)
 
 
 async def _until_granted(
@@ -80,7 +80,7 @@
 
 
 def _runs(fleet: FaultFleet, keys: list[str]) -> list[int]:
-    return [fleet.ledger.runs(key) for key in keys]
+    return [fleet.answer_checker.runs(key) for key in keys]
 
 
 class TestHostKilled:
@@ -92,9 +92,7 @@
         rule=_ONCE,
         seen_failing="a holder grants a key that another attempt holds",
     )
-    def test_after_the_grants_before_it_hears_of_them(
-        self, drive: Drive
-    ) -> None:
+    def test_killed_before_it_receives_its_grants(self, drive: Drive) -> None:
         """Grants of a dead host never lead to two runs.
 
         Symptom: a decision is posted twice.
@@ -106,15 +104,15 @@
         async def test(fleet: FaultFleet) -> None:
             keys = _keys()
             first, second, _ = fleet.at(A)
-            await fleet.warm(first)
+            await fleet.open_links(first)
             _hold_grants(fleet, first, keys)
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             await _until_granted(fleet, first, keys)
             await first.kill()
             await asyncio.gather(*calls)
-            await _again(fleet, keys, second, fleet.at(B)[0])
+            await _resend(fleet, keys, second, fleet.at(B)[0])
             await fleet.heal()
-            await _again(fleet, keys, *fleet.hosts.values())
+            await _resend(fleet, keys, *fleet.hosts.values())
             assert max(_runs(fleet, keys)) <= 1
 
         drive(test)
@@ -125,7 +123,7 @@
         rule=_ONCE,
         seen_failing="a holder grants a key that another attempt holds",
     )
-    def test_call_is_under_way_to_the_service(self, drive: Drive) -> None:
+    def test_killed_while_its_call_is_in_flight(self, drive: Drive) -> None:
         """A call that arrives after its host died is not run again.
 
         Symptom: a crew is ordered twice.
@@ -138,17 +136,17 @@
             keys = _keys()
             first, second, _ = fleet.at(A)
             _hold_services(fleet, Flow.HOLD)
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             for key in keys:
                 await _until_sent(fleet, key)
             await first.kill()
             lost = await asyncio.gather(*calls)
             assert [a.status for a in lost] == [0, 0]
             _hold_services(fleet, Flow.FORWARD)
-            await _again(fleet, keys, second, fleet.at(B)[0])
+            await _resend(fleet, keys, second, fleet.at(B)[0])
             await fleet.until(lambda: min(_runs(fleet, keys)) >= 1)
             await fleet.heal()
-            answers = await _again(fleet, keys, *fleet.hosts.values())
+            answers = await _resend(fleet, keys, *fleet.hosts.values())
             assert {a.verdict for a in answers} == {"may-have-run"}
             assert _runs(fleet, keys) == [1, 1]
 
@@ -175,15 +173,15 @@
             first, second, _ = fleet.at(A)
             for service in fleet.services.values():
                 service.control.slow_s = 600.0
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             await fleet.until(lambda: min(_runs(fleet, keys)) >= 1)
             await first.kill()
             await asyncio.gather(*calls)
             for service in fleet.services.values():
                 service.control.slow_s = 0.0
-            answers = await _again(fleet, keys, second, fleet.at(B)[0])
+            answers = await _resend(fleet, keys, second, fleet.at(B)[0])
             await fleet.heal()
-            answers += await _again(fleet, keys, *fleet.hosts.values())
+            answers += await _resend(fleet, keys, *fleet.hosts.values())
             assert {a.verdict for a in answers} == {"may-have-run"}
             assert _runs(fleet, keys) == [1, 1]
 
@@ -222,14 +220,14 @@
         async def test(fleet: FaultFleet) -> None:
             keys = _keys()
             first, second, _ = fleet.at(A)
-            await fleet.warm(first)
+            await fleet.open_links(first)
             _hold_grants(fleet, first, keys)
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             await _until_granted(fleet, first, keys)
             first.pause()
             first.links.heal()
-            await _again(fleet, keys, second, fleet.at(B)[0])
-            first.wake()
+            await _resend(fleet, keys, second, fleet.at(B)[0])
+            first.resume()
             await asyncio.gather(*calls)
             assert max(_runs(fleet, keys)) <= 1
 
@@ -241,7 +239,7 @@
         rule=_ONCE,
         seen_failing="a holder grants a key that another attempt holds",
     )
-    def test_its_questions_come_late(self, drive: Drive) -> None:
+    def test_claim_requests_arrive_late(self, drive: Drive) -> None:
         """Late questions get no grant of a key that another has.
 
         Symptom: a decision is posted twice.
@@ -253,22 +251,22 @@
         async def test(fleet: FaultFleet) -> None:
             keys = _keys()
             first, second, third = fleet.at(A)
-            await fleet.warm(first)
+            await fleet.open_links(first)
             others = [h for h in fleet.hosts.values() if h is not first]
             for host in others:
                 host.links.set(Flow.HOLD, first.name)
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             for holder in (second, third):
-                await holder.links.until_seen(claimed(keys[0]), first.name)
+                await holder.links.until_seen(claim_key_of(keys[0]), first.name)
             for holder in fleet.at(B):
-                await holder.links.until_seen(claimed(keys[1]), first.name)
+                await holder.links.until_seen(claim_key_of(keys[1]), first.name)
             first.pause()
-            await _again(fleet, keys, second)
+            await _resend(fleet, keys, second)
             for host in others:
                 host.links.set(Flow.FORWARD, first.name)
-            first.wake()
+            first.resume()
             late = await asyncio.gather(*calls)
-            await _again(fleet, keys, third)
+            await _resend(fleet, keys, third)
             assert _runs(fleet, keys) == [1, 1]
             assert "complete" not in {a.verdict for a in late}
 
@@ -293,15 +291,15 @@
             keys = _keys()
             first, second, _ = fleet.at(A)
             _hold_services(fleet, Flow.HOLD)
-            calls = _begin(fleet, first, keys)
+            calls = _start_calls(fleet, first, keys)
             for key in keys:
                 await _until_sent(fleet, key)
             first.pause()
             _hold_services(fleet, Flow.FORWARD)
             await fleet.until(lambda: min(_runs(fleet, keys)) >= 1)
-            answers = await _again(fleet, keys, second, fleet.at(B)[0])
+            answers = await _resend(fleet, keys, second, fleet.at(B)[0])
             assert {a.verdict for a in answers} == {"may-have-run"}
-            first.wake()
+            first.resume()
             own = await asyncio.gather(*calls)
             # A long pause may exceed the call's own time limit.
             assert {a.verdict for a in own} <= {"complete", "may-have-run"}
@@ -330,15 +328,15 @@
 
         async def test(fleet: FaultFleet) -> None:
             keys = _keys()
-            answers = await _again(fleet, keys, fleet.at(A)[0])
+            answers = await _resend(fleet, keys, fleet.at(A)[0])
             assert {a.verdict for a in answers} == {"complete"}
             for host in fleet.at(A):
                 await host.kill()
-                await _again(fleet, keys, fleet.at(B)[0])
+                await _resend(fleet, keys, fleet.at(B)[0])
                 new = await fleet.replace_lost()
-                await _again(fleet, keys, fleet.at(B)[0])
-                await fleet.settled()
-                answers = await _again(fleet, keys, *new)
+                await _resend(fleet, keys, fleet.at(B)[0])
+                await fleet.until_settled()
+                answers = await _resend(fleet, keys, *new)
                 assert {a.verdict for a in answers} == {"may-have-run"}
             assert _runs(fleet, keys) == [1, 1]
 
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_configuration.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_configuration.py
@@ -21,17 +21,17 @@
 
 
 @contextlib.asynccontextmanager
-async def _never_falling(fleet: FaultFleet) -> AsyncIterator[None]:
+async def _versions_never_decrease(fleet: FaultFleet) -> AsyncIterator[None]:
     """Holds that no host's versions fall while the context lasts."""
     highest: dict[str, dict[str, int]] = {}
-    fallen: list[str] = []
+    decreases: list[str] = []
 
     async def watch() -> None:
         while True:
             for host in list(fleet.hosts.values()):
                 found = (await fleet.status(host))["versions"]
                 before = highest.get(host.name, found)
-                fallen.extend(
+                decreases.extend(
                     f"{host.name}: {before} to {found}"
                     for document, version in found.items()
                     if version < before[document]
@@ -46,7 +46,7 @@
         watching.cancel()
         await asyncio.gather(watching, return_exceptions=True)
     assert watching.cancelled()
-    assert fallen == []
+    assert decreases == []
 
 
 async def _until_read(fleet: FaultFleet, times: int) -> None:
@@ -76,7 +76,7 @@
         async def test(fleet: FaultFleet) -> None:
             version = fleet.publish_model()
             await fleet.until_version(version)
-            async with _never_falling(fleet):
+            async with _versions_never_decrease(fleet):
                 fleet.configuration.control.command("stale", 1)
                 await _until_read(fleet, 12)
                 fleet.configuration.control.command("stale", 0)
@@ -108,7 +108,7 @@
         async def test(fleet: FaultFleet) -> None:
             good = fleet.publish_model()
             await fleet.until_version(good)
-            async with _never_falling(fleet):
+            async with _versions_never_decrease(fleet):
                 fleet.configuration.control.publish_raw(text)
                 await _until_read(fleet, 6)
                 assert await fleet.lists_model(good)
@@ -165,7 +165,7 @@
         async def test(fleet: FaultFleet) -> None:
             version = fleet.publish_model()
             await fleet.until_version(version)
-            async with _never_falling(fleet):
+            async with _versions_never_decrease(fleet):
                 fleet.configuration.control.command("down", True)
                 await _until_read(fleet, 6)
                 fleet.configuration.crash()
@@ -192,7 +192,7 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            async with _never_falling(fleet):
+            async with _versions_never_decrease(fleet):
                 control = fleet.configuration.control
                 for _ in range(3):
                     fleet.publish_model()
@@ -231,7 +231,7 @@
             await fleet.until_version(version)
             await fleet.until_status([new], lambda s: bool(s["ready"]))
             assert (await fleet.chat(new, "learnt")).is_complete
-            assert (await fleet.order(new, key_at(A))).is_complete
+            assert (await fleet.call_service(new, key_at(A))).is_complete
             await _remove(fleet, new)
 
         drive(test)
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from hollyknot_daemon.tests.faults.answer_checker import NOT_RUN, Answer
 from hollyknot_daemon.tests.faults.fleet import (
     A,
     B,
     Drive,
     FaultFleet,
     HostProcess,
-    claimed,
+    claim_key_of,
     key_at,
 )
-from hollyknot_daemon.tests.faults.ledger import NOT_RUN, Answer
 from hollyknot_daemon.tests.faults.relay import Flow
 
 _ONCE = "a non-idempotent request runs at most once"
@@ -25,11 +25,11 @@
     fleet: FaultFleet, host: HostProcess, key: str
 ) -> None:
     """Comes back as callers do, until the call has run."""
-    while not (await fleet.order(host, key)).is_complete:
+    while not (await fleet.call_service(host, key)).is_complete:
         await asyncio.sleep(0)
 
 
-def _tells_to_come_back(answer: Answer) -> bool:
+def _is_retryable_refusal(answer: Answer) -> bool:
     return answer.verdict == NOT_RUN and bool(answer.retry_after)
 
 
@@ -42,7 +42,9 @@
         rule=_NOT_RUN,
         seen_failing="one grant is enough for a claim",
     )
-    def test_lone_host_refuses_and_the_rest_runs(self, drive: Drive) -> None:
+    def test_isolated_host_refuses_and_the_rest_runs(
+        self, drive: Drive
+    ) -> None:
         """A host without a majority refuses; what it refused can run later.
 
         Symptom: a decision is posted twice, or never.
@@ -51,20 +53,20 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            lone, second, third = fleet.at(A)
-            others = [h for h in fleet.hosts.values() if h is not lone]
-            fleet.cut([lone], others)
+            isolated, second, third = fleet.at(A)
+            others = [h for h in fleet.hosts.values() if h is not isolated]
+            fleet.partition_hosts([isolated], others)
             both, late = key_at(A), key_at(A)
             answers = await asyncio.gather(
-                fleet.order(lone, both),
-                fleet.order(second, both),
-                fleet.order(lone, late),
+                fleet.call_service(isolated, both),
+                fleet.call_service(second, both),
+                fleet.call_service(isolated, late),
             )
             assert [a.is_complete for a in answers] == [False, True, False]
-            assert _tells_to_come_back(answers[2])
+            assert _is_retryable_refusal(answers[2])
             await fleet.heal()
             await _until_complete(fleet, third, late)
-            assert fleet.ledger.runs(both) == 1
+            assert fleet.answer_checker.runs(both) == 1
 
         drive(test)
 
@@ -86,26 +88,28 @@
 
         async def test(fleet: FaultFleet) -> None:
             first, second, third = fleet.at(A)
-            await fleet.warm(first)
+            await fleet.open_links(first)
             key = key_at(A)
             names = (second.name, third.name)
             first.links.set(Flow.HOLD, *names)
-            call = asyncio.create_task(fleet.order(first, key))
+            call = asyncio.create_task(fleet.call_service(first, key))
             for name in names:
-                await first.links.until_seen(claimed(key), name)
-            fleet.cut([first], [second, third])
-            assert _tells_to_come_back(await call)
+                await first.links.until_seen(claim_key_of(key), name)
+            fleet.partition_hosts([first], [second, third])
+            assert _is_retryable_refusal(await call)
             # What waited for the first dial is lost with it.
-            lost = [h.links.cuts(first.name) + 2 for h in (second, third)]
+            lost = [
+                h.links.reset_count(first.name) + 2 for h in (second, third)
+            ]
             await fleet.until(
                 lambda: (
-                    second.links.cuts(first.name) >= lost[0]
-                    and third.links.cuts(first.name) >= lost[1]
+                    second.links.reset_count(first.name) >= lost[0]
+                    and third.links.reset_count(first.name) >= lost[1]
                 )
             )
             await fleet.heal()
             await _until_complete(fleet, second, key)
-            assert fleet.ledger.runs(key) == 1
+            assert fleet.answer_checker.runs(key) == 1
 
         drive(test)
 
@@ -115,7 +119,7 @@
         rule=_ONCE,
         seen_failing="a new holder grants before it has learnt",
     )
-    def test_two_halves_go_by_different_lists(self, drive: Drive) -> None:
+    def test_partitions_use_different_host_lists(self, drive: Drive) -> None:
         """Majorities of two host lists never both grant a key.
 
         Symptom: a crew is ordered twice.
@@ -129,10 +133,10 @@
             old, kept, other = fleet.at(A)
             side = [old, kept]
             rest = [h for h in fleet.hosts.values() if h not in side]
-            fleet.cut(side, rest)
-            fleet.cut_platform(side)
+            fleet.partition_hosts(side, rest)
+            fleet.partition_platform(side)
             new = await fleet.prepare(A)
-            fleet.cut(side, [new])
+            fleet.partition_hosts(side, [new])
             del fleet.hosts[old.name]
             await fleet.start(new)
             fleet.list_hosts()
@@ -143,7 +147,7 @@
             )
             keys = [key_at(A) for _ in range(4)]
             calls = [
-                fleet.order(host, key)
+                fleet.call_service(host, key)
                 for key in keys
                 for host in (old, other, new, fleet.at(B)[0])
             ]
@@ -154,8 +158,10 @@
             await old.stack.aclose()
             await fleet.heal()
             for host in fleet.hosts.values():
-                await asyncio.gather(*(fleet.order(host, k) for k in keys))
-            assert {fleet.ledger.runs(key) for key in keys} <= {0, 1}
+                await asyncio.gather(
+                    *(fleet.call_service(host, k) for k in keys)
+                )
+            assert {fleet.answer_checker.runs(key) for key in keys} <= {0, 1}
 
         drive(test)
 
@@ -179,19 +185,22 @@
 
         async def test(fleet: FaultFleet) -> None:
             here, there = fleet.at(A)[0], fleet.at(B)[0]
-            fleet.cut(fleet.at(A), fleet.at(B))
+            fleet.partition_hosts(fleet.at(A), fleet.at(B))
             keys = [key_at(A), key_at(B)]
             far = await asyncio.gather(
-                fleet.order(here, keys[1]), fleet.order(there, keys[0])
+                fleet.call_service(here, keys[1]),
+                fleet.call_service(there, keys[0]),
             )
-            assert all(map(_tells_to_come_back, far))
+            assert all(map(_is_retryable_refusal, far))
             near = await asyncio.gather(
-                fleet.order(here, keys[0]), fleet.order(there, keys[1])
+                fleet.call_service(here, keys[0]),
+                fleet.call_service(there, keys[1]),
             )
             assert all(answer.is_complete for answer in near)
             await fleet.heal()
             again = await asyncio.gather(
-                fleet.order(here, keys[1]), fleet.order(there, keys[0])
+                fleet.call_service(here, keys[1]),
+                fleet.call_service(there, keys[0]),
             )
             assert {a.verdict for a in again} == {"may-have-run"}
 
@@ -215,15 +224,17 @@
         async def test(fleet: FaultFleet) -> None:
             first = fleet.at(A)[0]
             key = key_at(B)
-            await fleet.warm(first)
+            await fleet.open_links(first)
             first.links.set(Flow.HOLD, *(h.name for h in fleet.at(B)))
-            call = asyncio.create_task(fleet.order(first, key))
+            call = asyncio.create_task(fleet.call_service(first, key))
             for holder in fleet.at(B):
-                await first.links.until_seen(claimed(key), holder.name)
-            await asyncio.gather(*(fleet.order(h, key) for h in fleet.at(B)))
+                await first.links.until_seen(claim_key_of(key), holder.name)
+            await asyncio.gather(
+                *(fleet.call_service(h, key) for h in fleet.at(B))
+            )
             first.links.heal()
             await call
-            assert fleet.ledger.runs(key) <= 1
+            assert fleet.answer_checker.runs(key) <= 1
 
         drive(test)
 
@@ -244,20 +255,22 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            fleet.cut(fleet.at(A), fleet.at(B))
-            fleet.cut_platform(fleet.hosts.values())
+            fleet.partition_hosts(fleet.at(A), fleet.at(B))
+            fleet.partition_platform(fleet.hosts.values())
             for name, relay in fleet.relays.items():
                 if not name.startswith(side):
                     relay.set(Flow.CUT)
-            await fleet.until_platform_is_missed()
+            await fleet.until_platform_loss_noticed()
             for host in fleet.at(side):
                 # Its first requests may meet the lost upstreams.
-                await _served(fleet, host, side)
+                await _until_all_kinds_served(fleet, host, side)
 
         drive(test)
 
 
-async def _served(fleet: FaultFleet, host: HostProcess, side: str) -> None:
+async def _until_all_kinds_served(
+    fleet: FaultFleet, host: HostProcess, side: str
+) -> None:
     """Asks each kind of request until it is answered whole."""
     for streamed in (False, True):
         while not (await fleet.chat(host, "alone", streamed)).is_complete:
@@ -285,15 +298,17 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            fleet.cut_platform(fleet.hosts.values(), flow)
+            fleet.partition_platform(fleet.hosts.values(), flow)
             version = fleet.publish_model()
-            await fleet.until_platform_is_missed()
+            await fleet.until_platform_loss_noticed()
             for host in fleet.hosts.values():
                 for streamed in (False, True):
                     assert (
                         await fleet.chat(host, "go on", streamed)
                     ).is_complete
-            assert (await fleet.order(fleet.at(A)[0], key_at(B))).is_complete
+            assert (
+                await fleet.call_service(fleet.at(A)[0], key_at(B))
+            ).is_complete
             for host in fleet.hosts.values():
                 status = await fleet.status(host)
                 assert status["versions"]["declarations"] < version
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_stop.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_stop.py
@@ -5,8 +5,9 @@
 
 import pytest
 
+from hollyknot_daemon.tests.faults.answer_checker import Answer
 from hollyknot_daemon.tests.faults.fleet import (
-    SLOW,
+    SLOW_FACTOR,
     A,
     B,
     Drive,
@@ -14,24 +15,23 @@
     HostProcess,
     key_at,
 )
-from hollyknot_daemon.tests.faults.ledger import Answer
 from hollyknot_daemon.tests.faults.relay import IP
 
 _GRACEFUL = "a planned stop interrupts no request in flight"
 _OK = 200
 
 
-UNENDING = 200 * SLOW
+UNENDING_FACTOR = 200 * SLOW_FACTOR
 """Makes an engine's answer outlast any test. With three seconds an answer was
 complete before the second signal on a busy machine, as it should be."""
 
 
-async def _begin(
+async def _start_calls(
     fleet: FaultFleet,
     host: HostProcess,
     keys: list[str],
     slow_s: float,
-    straggle: float = SLOW,
+    straggle: float = SLOW_FACTOR,
 ) -> list[asyncio.Task[Answer]]:
     """Has calls of each kind in flight at a host."""
     for engine in fleet.engines.values():
@@ -39,7 +39,7 @@
     for service in fleet.services.values():
         service.control.slow_s = slow_s
     before = fleet.ran()
-    calls = [asyncio.create_task(fleet.order(host, key)) for key in keys]
+    calls = [asyncio.create_task(fleet.call_service(host, key)) for key in keys]
     calls += [
         asyncio.create_task(fleet.chat(host, f"in flight {n}", n % 2 == 0))
         for n in range(4)
@@ -75,12 +75,12 @@
         async def test(fleet: FaultFleet) -> None:
             host, second, _ = fleet.at(A)
             keys = [key_at(A), key_at(B)]
-            calls = await _begin(fleet, host, keys, 3.0)
+            calls = await _start_calls(fleet, host, keys, 3.0)
             fleet.list_hosts(leaving=(host.name,))
             host.send(signal.SIGTERM)
             while await _is_ready(fleet, host):
                 await asyncio.sleep(0)
-            refused = await fleet.order(host, key_at(A))
+            refused = await fleet.call_service(host, key_at(A))
             assert (refused.status, refused.verdict) == (503, "not-run")
             assert refused.retry_after
             assert host.is_running
@@ -88,10 +88,12 @@
             assert {a.verdict for a in answers} == {"complete"}
             assert host.process is not None
             assert await host.process.wait() == 0
-            again = [await fleet.order(second, key) for key in keys]
+            again = [await fleet.call_service(second, key) for key in keys]
             assert {a.verdict for a in again} == {"may-have-run"}
             await fleet.heal()
-            again = [await fleet.order(fleet.at(A)[-1], key) for key in keys]
+            again = [
+                await fleet.call_service(fleet.at(A)[-1], key) for key in keys
+            ]
             assert {a.verdict for a in again} == {"may-have-run"}
 
         drive(test)
@@ -115,7 +117,9 @@
         async def test(fleet: FaultFleet) -> None:
             host, second, _ = fleet.at(A)
             keys = [key_at(A), key_at(B)]
-            calls = await _begin(fleet, host, keys, 600.0, UNENDING)
+            calls = await _start_calls(
+                fleet, host, keys, 600.0, UNENDING_FACTOR
+            )
             host.send(signal.SIGTERM)
             while await _is_ready(fleet, host):
                 await asyncio.sleep(0)
@@ -124,7 +128,7 @@
             assert await host.process.wait() != 0
             answers = await asyncio.gather(*calls)
             assert not any(a.is_complete for a in answers)
-            again = [await fleet.order(second, key) for key in keys]
+            again = [await fleet.call_service(second, key) for key in keys]
             assert {a.verdict for a in again} == {"may-have-run"}
 
         drive(test)
@@ -148,7 +152,7 @@
             keys = [key_at(A), key_at(B)]
             first = fleet.at(B)[0]
             assert all(
-                [(await fleet.order(first, k)).is_complete for k in keys]
+                [(await fleet.call_service(first, k)).is_complete for k in keys]
             )
             for host in fleet.at(A):
                 fleet.list_hosts(leaving=(host.name,))
@@ -156,9 +160,11 @@
                 assert host.process is not None
                 assert await host.process.wait() == 0
                 new = await fleet.replace_lost()
-                await fleet.settled()
+                await fleet.until_settled()
                 for sender in (first, *new):
-                    again = [await fleet.order(sender, key) for key in keys]
+                    again = [
+                        await fleet.call_service(sender, key) for key in keys
+                    ]
                     assert {a.verdict for a in again} == {"may-have-run"}
 
         drive(test)
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_upstreams.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_upstreams.py
@@ -5,8 +5,9 @@
 
 import pytest
 
+from hollyknot_daemon.tests.faults.answer_checker import Answer
 from hollyknot_daemon.tests.faults.fleet import (
-    SLOW,
+    SLOW_FACTOR,
     TOKENS,
     A,
     B,
@@ -15,22 +16,21 @@
     HostProcess,
     key_at,
 )
-from hollyknot_daemon.tests.faults.ledger import Answer
 from hollyknot_daemon.tests.faults.relay import Flow
 
 _WHOLE = "every caller gets the whole answer to its own request"
 _ONCE = "a non-idempotent request runs at most once"
 _NOT_RUN = "not run is told only of what did not run"
 _LEAVES = "an upstream that is leaving receives no new work"
-_FEW = 6
-_STUCK = 10_000.0
+_REQUESTS_PER_HOST = 6
+_STUCK_FACTOR = 10_000.0
 """A factor on an engine's times by which a stream stops for a minute."""
 _LAST_TOKEN = TOKENS - 1
 """Where streams wait while others begin: on a busy machine the first would
 else be complete before a fault meets them, and the test would show nothing."""
 
 
-def _ask_all(
+def _send_all(
     fleet: FaultFleet, text: str, streamed: bool
 ) -> list[asyncio.Task[Answer]]:
     """Sends a few requests, each with its own text, by every host."""
@@ -39,11 +39,11 @@
             fleet.chat(host, f"{text} {n} {host.name}", streamed)
         )
         for host in fleet.hosts.values()
-        for n in range(_FEW)
+        for n in range(_REQUESTS_PER_HOST)
     ]
 
 
-async def _stream(
+async def _start_streams(
     fleet: FaultFleet, text: str, hosts: list[HostProcess], factor: float
 ) -> list[asyncio.Task[Answer]]:
     """Begins streams; each caller has got a part of its own by the end.
@@ -55,7 +55,7 @@
         factor: On the engines' times once all have begun.
     """
     for engine in fleet.engines.values():
-        engine.control.straggle = SLOW
+        engine.control.straggle = SLOW_FACTOR
         engine.control.hold = _LAST_TOKEN
     texts = {
         f"{text} {n} {host.name}": host for n in range(2) for host in hosts
@@ -64,15 +64,15 @@
         asyncio.create_task(fleet.chat(host, one, True))
         for one, host in texts.items()
     ]
-    await fleet.until(lambda: fleet.begun >= texts.keys())
+    await fleet.until(lambda: fleet.answers_begun >= texts.keys())
     for engine in fleet.engines.values():
         engine.control.straggle = factor
-        if factor < _STUCK:
+        if factor < _STUCK_FACTOR:
             engine.control.hold = 0
     return calls
 
 
-def _hurry(fleet: FaultFleet) -> None:
+def _restore_speed(fleet: FaultFleet) -> None:
     for engine in fleet.engines.values():
         engine.control.straggle = 1.0
         engine.control.hold = 0
@@ -109,10 +109,10 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            calls = await _stream(
-                fleet, "crash", list(fleet.hosts.values()), _STUCK
+            calls = await _start_streams(
+                fleet, "crash", list(fleet.hosts.values()), _STUCK_FACTOR
             )
-            _hurry(fleet)
+            _restore_speed(fleet)
             fleet.engines[f"{A}-engine"].crash()
             answers = await asyncio.gather(*calls)
             assert any(a.verdict == "broken" for a in answers)
@@ -137,10 +137,10 @@
 
         async def test(fleet: FaultFleet) -> None:
             for engine in fleet.engines.values():
-                engine.control.straggle = SLOW
+                engine.control.straggle = SLOW_FACTOR
             call = asyncio.create_task(fleet.chat(fleet.at(A)[0], "lost"))
             await _until_running(fleet, 1)
-            _hurry(fleet)
+            _restore_speed(fleet)
             fleet.engines[f"{A}-engine"].crash()
             assert (await call).is_complete
 
@@ -164,11 +164,11 @@
 
         async def test(fleet: FaultFleet) -> None:
             fleet.engines[f"{A}-engine"].control.truncate = 4
-            answers = await asyncio.gather(*_ask_all(fleet, "cut", streamed))
-            told = {a.verdict for a in answers}
-            assert told & {"complete", "broken"}
+            answers = await asyncio.gather(*_send_all(fleet, "cut", streamed))
+            verdicts = {a.verdict for a in answers}
+            assert verdicts & {"complete", "broken"}
             if not streamed:
-                assert "complete" in told
+                assert "complete" in verdicts
 
         drive(test)
 
@@ -213,9 +213,11 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            calls = await _stream(fleet, "quiet", fleet.at(A), _STUCK)
+            calls = await _start_streams(
+                fleet, "quiet", fleet.at(A), _STUCK_FACTOR
+            )
             fleet.engines[f"{A}-engine"].silence_open()
-            _hurry(fleet)
+            _restore_speed(fleet)
             answers = await asyncio.gather(*calls)
             assert "broken" in {a.verdict for a in answers}
             for host in fleet.at(A):
@@ -240,8 +242,10 @@
         """
 
         async def test(fleet: FaultFleet) -> None:
-            fleet.engines[f"{B}-engine"].control.straggle = SLOW / 5
-            calls = _ask_all(fleet, "late", True) + _ask_all(fleet, "w", False)
+            fleet.engines[f"{B}-engine"].control.straggle = SLOW_FACTOR / 5
+            calls = _send_all(fleet, "late", True) + _send_all(
+                fleet, "w", False
+            )
             answers = await asyncio.gather(*calls)
             assert "complete" in {a.verdict for a in answers}
             assert {a.verdict for a in answers} <= {"complete", "not-run"}
@@ -274,11 +278,11 @@
                 service.control.crash = crash
             keys = [key_at(A), key_at(B)]
             first = fleet.at(A)[0]
-            answers = [await fleet.order(first, key) for key in keys]
+            answers = [await fleet.call_service(first, key) for key in keys]
             assert answers[0].verdict == "may-have-run"
             for host, key in itertools.product(fleet.hosts.values(), keys):
-                await fleet.order(host, key)
-            ran = [fleet.ledger.runs(key) for key in keys]
+                await fleet.call_service(host, key)
+            ran = [fleet.answer_checker.runs(key) for key in keys]
             assert ran[0] == (crash == "after")
             assert max(ran) <= 1
 
@@ -304,13 +308,13 @@
                 service.crash()
             key = key_at(A)
             for host in fleet.hosts.values():
-                answer = await fleet.order(host, key)
+                answer = await fleet.call_service(host, key)
                 assert answer.verdict == "not-run"
                 assert answer.retry_after
             await fleet.heal()
-            answers = [await fleet.order(h, key) for h in fleet.at(B)]
-            told = [a.verdict for a in answers]
-            assert told == ["complete", "may-have-run", "may-have-run"]
+            answers = [await fleet.call_service(h, key) for h in fleet.at(B)]
+            verdicts = [a.verdict for a in answers]
+            assert verdicts == ["complete", "may-have-run", "may-have-run"]
 
         drive(test)
 
@@ -335,10 +339,12 @@
         async def test(fleet: FaultFleet) -> None:
             name = f"{A}-engine"
             control = fleet.engines[name].control
-            calls = await _stream(fleet, "stay", fleet.at(A), SLOW)
+            calls = await _start_streams(
+                fleet, "stay", fleet.at(A), SLOW_FACTOR
+            )
             fleet.list_hosts(leaving=(name,))
             await _until_listed(fleet)
-            _hurry(fleet)
+            _restore_speed(fleet)
             before = control.ran.total()
             for host in fleet.hosts.values():
                 await _until_complete(fleet, host, f"new {host.name}")
@@ -367,11 +373,11 @@
         async def test(fleet: FaultFleet) -> None:
             engine, service = fleet.engines[f"{A}-engine"], fleet.service(A)
             engine.control.draining = service.control.draining = True
-            answers = await asyncio.gather(*_ask_all(fleet, "drain", False))
+            answers = await asyncio.gather(*_send_all(fleet, "drain", False))
             assert {a.verdict for a in answers} <= {"complete", "not-run"}
             keys = [key_at(A) for _ in fleet.hosts]
             for host, key in zip(fleet.hosts.values(), keys, strict=True):
-                while not (await fleet.order(host, key)).is_complete:
+                while not (await fleet.call_service(host, key)).is_complete:
                     await asyncio.sleep(0)
             await fleet.until_status(
                 fleet.hosts.values(),
@@ -382,7 +388,7 @@
                 ),
             )
             fleet.relays[f"{A}-engine"].heal()
-            answers = await asyncio.gather(*_ask_all(fleet, "moved", False))
+            answers = await asyncio.gather(*_send_all(fleet, "moved", False))
             assert {a.verdict for a in answers} == {"complete"}
             assert not fleet.relays[f"{A}-engine"].has_seen(b"moved")
 
@@ -406,7 +412,7 @@
         rule="other requests survive a request that crashes upstreams",
         seen_failing="an upstream that was lost is never used again",
     )
-    def test_others_are_answered_all_the_same(self, drive: Drive) -> None:
+    def test_other_requests_are_answered(self, drive: Drive) -> None:
         """Requests beside a poisonous one are answered, whole, at last.
 
         Symptom: one request takes the service from everybody.
@@ -421,7 +427,7 @@
                 engine.control.crash_on = "poison"
             is_over = asyncio.Event()
 
-            async def persist() -> None:
+            async def send_repeatedly() -> None:
                 for host in itertools.cycle(list(fleet.hosts.values())):
                     if is_over.is_set():
                         return
@@ -429,15 +435,15 @@
                     assert not answer.is_complete
                     await asyncio.sleep(0.05)
 
-            persisting = asyncio.ensure_future(persist())
-            innocents = [
+            sending = asyncio.ensure_future(send_repeatedly())
+            other_requests = [
                 _until_complete(fleet, host, f"innocent {n} {host.name}")
                 for host in fleet.hosts.values()
-                for n in range(_FEW)
+                for n in range(_REQUESTS_PER_HOST)
             ]
-            await asyncio.gather(*innocents)
+            await asyncio.gather(*other_requests)
             is_over.set()
-            await persisting
+            await sending
 
         drive(test)
 
@@ -456,7 +462,7 @@
 
         async def test(fleet: FaultFleet) -> None:
             host = fleet.at(A)[0]
-            calls = await _stream(fleet, "die", [host], _STUCK)
+            calls = await _start_streams(fleet, "die", [host], _STUCK_FACTOR)
             await host.kill()
             answers = await asyncio.gather(*calls)
             assert not all(a.is_complete for a in answers)
@@ -480,11 +486,11 @@
 
         async def test(fleet: FaultFleet) -> None:
             host = fleet.at(A)[0]
-            calls = await _stream(fleet, "nap", [host], SLOW)
+            calls = await _start_streams(fleet, "nap", [host], SLOW_FACTOR)
             host.pause()
-            _hurry(fleet)
+            _restore_speed(fleet)
             await fleet.until_idle()
-            host.wake()
+            host.resume()
             answers = await asyncio.gather(*calls)
             assert {a.verdict for a in answers} == {"complete"}
 
--- a/packages/daemon/src/hollyknot_daemon/tests/rig.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/rig.py
@@ -31,7 +31,7 @@
 from hollyknot_state import Address, Platform, Settings
 
 IP = "127.0.0.1"
-KEY = "a-bearer-key-of-the-tests"
+API_KEY = "a-bearer-key-of-the-tests"
 _POLL_S = 0.02
 
 
@@ -48,7 +48,7 @@
         },
         "customers": {
             "caseworkers": {
-                "key_sha256": hashlib.sha256(KEY.encode()).hexdigest(),
+                "key_sha256": hashlib.sha256(API_KEY.encode()).hexdigest(),
                 "classes": ["counter"],
                 "default_class": "counter",
             }
@@ -83,8 +83,8 @@
         """Where the host serves callers."""
         return f"http://{IP}:{self.host.callers_port}"
 
-    async def ask(
-        self, path: str, key: str = KEY, **request: Any
+    async def send_request(
+        self, path: str, key: str = API_KEY, **request: Any
     ) -> tuple[aiohttp.ClientResponse, bytes]:
         """Sends a request with a bearer key and reads the answer."""
         headers = {"Authorization": f"Bearer {key}"} if key else {}
@@ -162,7 +162,7 @@
         ahead_s: Of the claims' options.
         is_listed_late: Whether the host sees a list without itself first.
     """
-    quick = ClaimOptions(ahead_s=ahead_s, skew_s=0.01)
+    claim_options = ClaimOptions(ahead_s=ahead_s, skew_s=0.01)
     async with contextlib.AsyncExitStack() as stack:
         enter = stack.enter_async_context
         configuration = await enter(
@@ -173,7 +173,7 @@
         started = [await enter(start_engine(options)) for _ in range(engines)]
         service = await enter(start_service(ServiceStandinOptions()))
         settings = _settings(configuration, host_list, trace_file)
-        host = await enter(Host(settings, random.Random(7), quick))
+        host = await enter(Host(settings, random.Random(7), claim_options))
         entries = [
             entry("host-1", "host", host.links_port),
             entry("service-1", "service", service.address.port, "permits"),
--- a/packages/daemon/src/hollyknot_daemon/tests/test_bounds.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_bounds.py
@@ -21,7 +21,7 @@
     @pytest.mark.parametrize(
         ("target", "nature"), list(itertools.product(_TARGETS, Nature))
     )
-    def test_all_are_given_up_when_one_is_noticed(
+    def test_idle_connections_expire_before_silence_is_noticed(
         self, target: Target, nature: Nature
     ) -> None:
         """Symptom: request after request waits, each on a dead connection.
--- a/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
@@ -14,7 +14,7 @@
 class TestDelisted:
     """Hosts are found while they are gone, the newest for longest."""
 
-    def test_found_while_gone_only(self) -> None:
+    def test_finds_only_delisted_hosts(self) -> None:
         delisted = Delisted()
         delisted.note(_hosts("a", "b"))
         assert delisted.find("b") is None
@@ -23,7 +23,7 @@
         delisted.note(_hosts("a", "b"))
         assert delisted.find("b") is None
 
-    def test_is_bounded(self) -> None:
+    def test_oldest_entry_is_evicted(self) -> None:
         delisted = Delisted()
         names = [f"h{n}" for n in range(_delisted.KEPT + 2)]
         delisted.note(_hosts(*names))
--- a/packages/daemon/src/hollyknot_daemon/tests/test_known_red.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_known_red.py
@@ -27,6 +27,6 @@
         "text",
         ["a::b", "a::b | c | d", "a::b | c | | e", "a | b | c | d\n" * 4],
     )
-    def test_refuses(self, text: str) -> None:
+    def test_refuses_malformed_or_too_many_lines(self, text: str) -> None:
         with pytest.raises(pytest.UsageError):
             _MODULE.read_known_red(text)
--- a/packages/daemon/src/hollyknot_daemon/tests/test_layers.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_layers.py
@@ -17,8 +17,8 @@
     "ctl": {"state", "coordination", "protocol", "transport"},
     "standins": set(),
 }
-_NOT_IN_DECISIONS = {"asyncio", "aiohttp", "time", "socket", "uvloop"}
-_NO_PROCESSES = {"subprocess", "multiprocessing"}
+_NOT_IN_COORDINATION = {"asyncio", "aiohttp", "time", "socket", "uvloop"}
+_PROCESS_MODULES = {"subprocess", "multiprocessing"}
 
 
 def _imports(package: str) -> Iterator[tuple[pathlib.Path, str]]:
@@ -37,31 +37,31 @@
     """Who may import whom."""
 
     @pytest.mark.parametrize("package", sorted(_ALLOWED))
-    def test_direction(self, package: str) -> None:
+    def test_package_imports_allowed_layers_only(self, package: str) -> None:
         allowed = {f"hollyknot_{n}" for n in _ALLOWED[package] | {package}}
         found = list(_imports(package))
         assert found
-        wrong = [
+        violations = [
             (path.name, name)
             for path, name in found
             if name.startswith("hollyknot_")
             and name.split(".")[0] not in allowed
         ]
-        assert wrong == []
+        assert violations == []
 
-    def test_decisions_know_no_loop_socket_or_clock(self) -> None:
-        wrong = [
+    def test_coordination_imports_no_loop_socket_or_clock(self) -> None:
+        violations = [
             (path.name, name)
             for path, name in _imports("coordination")
-            if name.split(".")[0] in _NOT_IN_DECISIONS
+            if name.split(".")[0] in _NOT_IN_COORDINATION
         ]
-        assert wrong == []
+        assert violations == []
 
     @pytest.mark.parametrize("package", sorted(_ALLOWED))
-    def test_no_process_starts_a_process(self, package: str) -> None:
-        wrong = [
+    def test_no_package_starts_a_process(self, package: str) -> None:
+        violations = [
             (path.name, name)
             for path, name in _imports(package)
-            if name.split(".")[0] in _NO_PROCESSES
+            if name.split(".")[0] in _PROCESS_MODULES
         ]
-        assert wrong == []
+        assert violations == []
--- a/packages/daemon/src/hollyknot_daemon/tests/test_path.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_path.py
@@ -12,11 +12,17 @@
 import pytest
 
 from hollyknot_bench.demo import new_idempotency_key
-from hollyknot_daemon.tests.rig import IP, KEY, Rig, declarations, running_rig
+from hollyknot_daemon.tests.rig import (
+    API_KEY,
+    IP,
+    Rig,
+    declarations,
+    running_rig,
+)
 from hollyknot_standins import EngineOptions
 
 _CHAT = "/v1/chat/completions"
-_LIMIT_S = 60.0
+_TEST_TIMEOUT_S = 60.0
 
 Drive = Callable[[Callable[[Rig], Awaitable[None]]], None]
 
@@ -34,7 +40,7 @@
         rig = runner.run(stack.enter_async_context(running_rig(**options)))
 
         async def bounded(test: Callable[[Rig], Awaitable[None]]) -> None:
-            async with asyncio.timeout(_LIMIT_S):
+            async with asyncio.timeout(_TEST_TIMEOUT_S):
                 await test(rig)
 
         try:
@@ -55,7 +61,7 @@
     def test_openai_client_works_unchanged(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
             async with openai.AsyncOpenAI(
-                base_url=rig.url + "/v1", api_key=KEY, max_retries=0
+                base_url=rig.url + "/v1", api_key=API_KEY, max_retries=0
             ) as client:
                 models = [m.id async for m in client.models.list()]
                 whole = await client.chat.completions.create(**_body("whole"))
@@ -80,13 +86,15 @@
 
     def test_every_answer_has_its_id_and_verdict(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
-            response, _ = await rig.ask(_CHAT, json=_body())
+            response, _ = await rig.send_request(_CHAT, json=_body())
             assert response.headers["X-Verdict"] == "complete"
             request_id = response.headers["X-Request-Id"]
             ran = [e.control.ran[request_id] for e in rig.engines]
             assert sum(ran) == 1
             assert response.headers.getall("Server") == ["hollyknot"]
-            response, raw = await rig.ask(_CHAT, json=_body(stream=True))
+            response, raw = await rig.send_request(
+                _CHAT, json=_body(stream=True)
+            )
             assert raw.endswith(b": verdict=complete\n\n")
             assert response.headers.getall("Server") == ["hollyknot"]
 
@@ -94,19 +102,19 @@
 
     def test_tries_and_parts_are_counted(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
-            before = await _counted(rig)
-            await rig.ask(_CHAT, json=_body())
-            whole = await _counted(rig)
+            before = await _read_counters(rig)
+            await rig.send_request(_CHAT, json=_body())
+            whole = await _read_counters(rig)
             assert whole == (before[0] + 1, before[1])
-            await rig.ask(_CHAT, json=_body(stream=True))
-            streamed = await _counted(rig)
+            await rig.send_request(_CHAT, json=_body(stream=True))
+            streamed = await _read_counters(rig)
             assert streamed[0] == whole[0] + 1
             assert streamed[1] > whole[1]
 
         drive(test)
 
 
-async def _counted(rig: Rig) -> tuple[int, int]:
+async def _read_counters(rig: Rig) -> tuple[int, int]:
     """Returns the tries at the model's upstreams and the parts relayed."""
     url = f"http://{IP}:{rig.host.operators_port}/metrics"
     async with rig.session.get(url) as response:
@@ -162,7 +170,7 @@
 }
 
 
-async def _endless() -> AsyncIterator[bytes]:
+async def _endless_body() -> AsyncIterator[bytes]:
     for _ in range(1_000):
         yield b"x" * 4_096
 
@@ -173,7 +181,7 @@
     @pytest.mark.parametrize(
         ("request_", "status", "reason"), _REFUSALS.values(), ids=_REFUSALS
     )
-    def test_table(
+    def test_refusal_has_status_verdict_and_reason(
         self,
         drive: Drive,
         request_: dict[str, Any],
@@ -181,7 +189,7 @@
         reason: str,
     ) -> None:
         async def test(rig: Rig) -> None:
-            response, raw = await rig.ask(_CHAT, **request_)
+            response, raw = await rig.send_request(_CHAT, **request_)
             assert response.status == status
             assert response.headers["X-Verdict"] == "not-run"
             assert response.headers["X-Reason"] == reason
@@ -202,7 +210,7 @@
         """
 
         async def test(rig: Rig) -> None:
-            response, _ = await rig.ask(_CHAT, data=_endless())
+            response, _ = await rig.send_request(_CHAT, data=_endless_body())
             assert response.status == 413
 
         drive(test)
@@ -210,7 +218,7 @@
     def test_services_answer_in_problem_details(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
             path = "/v1/services/unheard-of/x"
-            response, raw = await rig.ask(path, method="GET")
+            response, raw = await rig.send_request(path, method="GET")
             assert response.status == 404
             assert response.content_type == "application/problem+json"
             problem = orjson.loads(raw)
@@ -236,7 +244,7 @@
             writer.write(
                 b"GET /v1/services/permits/x/%2e%2e/orders HTTP/1.1\r\n"
                 b"Host: h\r\nAuthorization: Bearer "
-                + KEY.encode()
+                + API_KEY.encode()
                 + b"\r\nConnection: close\r\n\r\n"
             )
             answer = await reader.read()
@@ -256,7 +264,7 @@
     def test_needs_a_key_with_a_time(self, drive: Drive, key: str) -> None:
         async def test(rig: Rig) -> None:
             headers = {"Idempotency-Key": key} if key else {}
-            response, _ = await rig.ask(
+            response, _ = await rig.send_request(
                 "/v1/services/permits/decisions", headers=headers
             )
             assert response.status == 400
@@ -278,7 +286,7 @@
 
             async def test(rig: Rig) -> None:
                 key = new_idempotency_key()
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={"Idempotency-Key": key},
                 )
@@ -291,18 +299,18 @@
             key = new_idempotency_key()
             statuses = []
             for _ in range(3):
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={"Idempotency-Key": key},
                     json={"household": 7},
                 )
                 statuses.append(response.status)
             assert statuses == [200, 409, 409]
-            assert _times(rig, key) == 1
+            assert _run_count(rig, key) == 1
 
         drive(test)
 
-    def test_refused_by_the_upstream_it_may_come_back(
+    def test_call_that_a_service_refused_runs_when_resent(
         self, drive: Drive
     ) -> None:
         """A call that a service refused runs when it is sent again.
@@ -318,20 +326,20 @@
             path = "/v1/services/permits/decisions"
             headers = {"Idempotency-Key": key}
             rig.service.control.draining = True
-            response, _ = await rig.ask(path, headers=headers)
+            response, _ = await rig.send_request(path, headers=headers)
             assert response.status == 503
             assert response.headers["X-Verdict"] == "not-run"
             assert "Retry-After" in response.headers
             rig.service.control.draining = False
             while response.status == 503:
-                response, _ = await rig.ask(path, headers=headers)
+                response, _ = await rig.send_request(path, headers=headers)
             assert response.status == 200
-            assert _times(rig, key) == 1
+            assert _run_count(rig, key) == 1
 
         drive(test)
 
 
-def _times(rig: Rig, key: str) -> int:
+def _run_count(rig: Rig, key: str) -> int:
     calls = rig.service.control.calls
     return sum(call.idempotency_key == key for call in calls)
 
@@ -351,7 +359,7 @@
             async def test(rig: Rig) -> None:
                 rig.engines[0].control.truncate = 3
                 for number in range(8):
-                    response, raw = await rig.ask(
+                    response, raw = await rig.send_request(
                         _CHAT, json=_body(f"n{number}")
                     )
                     assert response.status == 200
@@ -376,13 +384,13 @@
                 key = new_idempotency_key()
                 path = "/v1/services/permits/crews"
                 headers = {"Idempotency-Key": key}
-                response, _ = await rig.ask(path, headers=headers)
+                response, _ = await rig.send_request(path, headers=headers)
                 assert response.headers["X-Verdict"] == "may-have-run"
                 assert "Retry-After" not in response.headers
                 for _ in range(3):
-                    response, _ = await rig.ask(path, headers=headers)
+                    response, _ = await rig.send_request(path, headers=headers)
                     assert response.headers["X-Verdict"] != "complete"
-                assert _times(rig, key) == 1
+                assert _run_count(rig, key) == 1
 
             drive(test)
 
@@ -412,14 +420,20 @@
                     engine.control.restart_after_s = 0.01
                 reason = ""
                 while reason != "quarantined":
-                    response, _ = await rig.ask(_CHAT, json=_body("poison"))
+                    response, _ = await rig.send_request(
+                        _CHAT, json=_body("poison")
+                    )
                     assert response.headers["X-Verdict"] != "complete"
                     reason = response.headers["X-Reason"]
                 crashes = sum(sum(e.control.ran.values()) for e in rig.engines)
                 assert crashes <= 4
-                response = (await rig.ask(_CHAT, json=_body("innocent")))[0]
+                response = (
+                    await rig.send_request(_CHAT, json=_body("innocent"))
+                )[0]
                 while response.status == 503:
-                    response, _ = await rig.ask(_CHAT, json=_body("innocent"))
+                    response, _ = await rig.send_request(
+                        _CHAT, json=_body("innocent")
+                    )
                 assert response.status == 200
 
             drive(test)
@@ -450,7 +464,9 @@
                 control.stale = 1
                 await _until_read(rig)
                 assert rig.version("declarations") == 2
-                response, raw = await rig.ask("/v1/models", method="GET")
+                response, raw = await rig.send_request(
+                    "/v1/models", method="GET"
+                )
                 assert response.status == 200
                 assert b"second" in raw
 
@@ -473,7 +489,7 @@
 
             async def test(rig: Rig) -> None:
                 parent = f"00-{trace_id}-b7ad6b7169203331-01"
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={
                         "traceparent": parent,
@@ -508,12 +524,12 @@
 
             async def test(rig: Rig) -> None:
                 request = asyncio.ensure_future(
-                    rig.ask(_CHAT, json=_body(stream=True))
+                    rig.send_request(_CHAT, json=_body(stream=True))
                 )
-                await rig.until(lambda: sum(_running(rig)) == 1)
+                await rig.until(lambda: sum(_started_counts(rig)) == 1)
                 stopping = asyncio.ensure_future(rig.host.stop())
                 await rig.until(lambda: not rig.host.readiness.is_ready)
-                refused, _ = await rig.ask(_CHAT, json=_body())
+                refused, _ = await rig.send_request(_CHAT, json=_body())
                 assert refused.status == 503
                 assert refused.headers["X-Verdict"] == "not-run"
                 assert refused.headers["X-Reason"] == "stopping"
@@ -527,5 +543,5 @@
             drive(test)
 
 
-def _running(rig: Rig) -> list[int]:
+def _started_counts(rig: Rig) -> list[int]:
     return [len(engine.control.ran) for engine in rig.engines]
--- a/packages/daemon/src/hollyknot_daemon/tests/test_traces_over_links.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_traces_over_links.py
@@ -11,7 +11,7 @@
 from hollyknot_bench.demo import headers, new_idempotency_key, until_ready
 
 _TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736"
-_LIMIT_S = 90.0
+_TEST_TIMEOUT_S = 90.0
 
 
 def _spans(directory: pathlib.Path) -> list[dict[str, Any]]:
@@ -48,7 +48,7 @@
         self, tmp_path: pathlib.Path
     ) -> None:
         async def bounded() -> None:
-            async with asyncio.timeout(_LIMIT_S):
+            async with asyncio.timeout(_TEST_TIMEOUT_S):
                 await _claim_once(tmp_path)
 
         asyncio.run(bounded())
