--- a/packages/daemon/src/hollyknot_daemon/tests/faults/__init__.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults at every step of a request's life, over several real hosts."""
+"""Tests that inject faults at each step of a request into real hosts."""
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/answer_checker.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/answer_checker.py
@@ -1,4 +1,4 @@
-"""Every answer that callers got, held against what the upstreams ran."""
+"""Checks every answer that callers got against what the upstreams ran."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,20 +20,21 @@
 
 @attrs.frozen
 class Answer:
-    """What one send of a request got.
+    """The answer to one request as its caller saw it.
 
     Attributes:
-        host: Where it was sent.
-        sent: The text or the body that was sent, to be found in the answer.
-        key: The idempotency key, if it had one.
-        is_streamed: Whether events were asked for.
-        status: The HTTP status; 0 if the connection was lost before it.
-        verdict: The verdict that the caller was told; empty if none.
-        reason: Of a refusal.
-        request_id: As told; empty if the connection was lost before.
-        retry_after: Seconds, empty if not told.
-        body: What was read of the body.
-        is_whole: Whether the body's end was read.
+        host: Name of the host to which the request was sent.
+        sent: Text or body that was sent; a complete answer contains it.
+        key: Idempotency key; empty if the request had none.
+        is_streamed: Whether a stream of events was requested.
+        status: HTTP status; 0 if the connection was lost before it.
+        verdict: Verdict of the answer; empty if it had none.
+        reason: Reason of a refusal; empty otherwise.
+        request_id: Request id of the answer; empty if the connection was lost
+            before it.
+        retry_after: Value of `Retry-After` in seconds; empty if absent.
+        body: Bytes of the body that were read.
+        is_whole: Whether the end of the body was read.
     """
 
     host: str
@@ -50,12 +51,16 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the caller was told that it has its whole answer."""
+        """Whether the verdict says that the answer is complete."""
         return self.verdict == COMPLETE
 
 
 class AnswerChecker:
-    """Answers so far; what they promise must hold for ever."""
+    """Checks that the verdicts of all answers so far are true.
+
+    Earlier answers are checked again each time, since a request that was
+    answered as not run must not run later either.
+    """
 
     def __init__(
         self,
@@ -63,12 +68,12 @@
         services: Iterable[Standin[ServiceControl]],
         tokens: int,
     ) -> None:
-        """Starts empty.
+        """Builds a checker without answers.
 
         Args:
-            engines: All that may have run a request.
-            services: Likewise.
-            tokens: The length of each engine's answer.
+            engines: All engines that may run a request.
+            services: All services that may run a call.
+            tokens: Length of each engine's answer, in tokens.
         """
         self._engines = list(engines)
         self._services = list(services)
@@ -77,7 +82,7 @@
         self._reported: set[str] = set()
 
     def add_answer(self, answer: Answer) -> Answer:
-        """Adds an answer."""
+        """Adds an answer and returns it."""
         self._answers.append(answer)
         return answer
 
@@ -86,7 +91,7 @@
         return self._runs_by_key()[key]
 
     def new_violations(self) -> list[str]:
-        """Returns promises so far that are broken and weren't told yet."""
+        """Returns the violations that no earlier call has returned."""
         found = [v for v in self._violations() if v not in self._reported]
         self._reported.update(found)
         return found
@@ -101,15 +106,15 @@
         for answer in self._answers:
             runs = by_id[answer.request_id]
             if answer.verdict == NOT_RUN and runs:
-                found.append(f"told not run, ran {runs} times: {answer}")
+                found.append(f"answered not-run but ran {runs} times: {answer}")
             if answer.is_complete and not runs:
-                found.append(f"told complete, never ran: {answer}")
+                found.append(f"answered complete but never ran: {answer}")
             if not self._is_consistent(answer):
-                found.append(f"not its own whole answer: {answer}")
+                found.append(f"body does not match the verdict: {answer}")
         return found
 
     def _is_consistent(self, answer: Answer) -> bool:
-        """Whether the body is what the verdict says, to the last byte."""
+        """Whether the body is, byte for byte, what the verdict promises."""
         if not answer.status:
             return True
         if not answer.request_id or not answer.verdict:
@@ -148,7 +153,7 @@
 
 
 def _text(answer: Answer) -> tuple[str, str]:
-    """Returns the id and the text of an engine's answer."""
+    """Returns the request id and the text of an engine's answer."""
     if not answer.is_streamed:
         document = orjson.loads(answer.body)
         return document["id"], document["choices"][0]["message"]["content"]
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
@@ -1,4 +1,4 @@
-"""One fleet for all tests of faults; each test begins with it healed."""
+"""Fixtures of the fault tests, which share one fleet of hosts."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,10 @@
 
 @pytest.fixture(name="drive", scope="session")
 def _drive() -> Iterator[Drive]:
-    """Runs tests in the loop of one fleet; holds all answers to account."""
+    """Yields a function that runs a test on the fleet and checks all answers.
+
+    Each test starts with all faults of the one before removed.
+    """
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         fleet = runner.run(stack.enter_async_context(running_fault_fleet()))
@@ -50,14 +53,15 @@
 
         try:
             yield lambda test: runner.run(bounded(test))
-            # What a host did late is held against the answers before it.
+            # Work that a host did after the last test can still contradict the
+            # answers that it gave before.
             assert fleet.answer_checker.new_violations() == []
         finally:
             runner.run(stack.aclose())
 
 
 async def _describe(fleet: FaultFleet) -> str:
-    """Returns what each host last knew and logged."""
+    """Returns each host's status and its last log lines."""
     parts = []
     for host in fleet.hosts.values():
         try:
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/fleet.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/fleet.py
@@ -1,4 +1,8 @@
-"""Hosts as processes in two data centres, with relays at every interface."""
+"""Starts hosts as processes in two data centres, with relays in between.
+
+A relay stands before every interface that a test may disturb: the links of a
+host, the platform as each host sees it, and each upstream.
+"""
 
 import asyncio
 import contextlib
@@ -53,7 +57,7 @@
 TOKENS = 12
 _INTERVAL_S = 0.005
 SLOW_FACTOR = 50.0
-"""Makes an engine's answer take three seconds."""
+"""Factor on an engine's times at which an answer takes three seconds."""
 
 CUSTOMER = "caseworkers"
 _AUTHORIZED = {"Authorization": f"Bearer {key_of(CUSTOMER)}"}
@@ -61,11 +65,12 @@
 _USABLE = ("live", "recovering")
 _HOSTS = 3
 _STREAMS_PER_HOST = 2
-"""Streams that each test begins at once by one host."""
+"""Number of streams that a test starts at the same time through one host."""
 _POLL_S = 0.05
 _CALL_TIMEOUT_S = 60.0
 _HANDOVER_TIMEOUT_S = 60.0
-"""Beyond any test's limit: a stop ends by its handover, not by this."""
+"""Longest handover of a stopping host, in seconds. A stop is meant to end
+because its handover is complete, not because of this limit."""
 
 
 def _model(version: int) -> str:
@@ -73,7 +78,7 @@
 
 
 def key_at(data_centre: str) -> str:
-    """Returns a new idempotency key whose home is a data centre."""
+    """Returns a new idempotency key that has its home in a data centre."""
     while True:
         key = new_idempotency_key()
         if home(slot_of(claim_key_of(key)), DATA_CENTRES) == data_centre:
@@ -81,7 +86,7 @@
 
 
 def claim_key_of(key: str) -> bytes:
-    """Returns the claim key, as it travels between hosts."""
+    """Returns the bytes by which hosts name an idempotency key in messages."""
     found = claim_key(CUSTOMER, SERVICE, key)
     assert isinstance(found, bytes)
     return found
@@ -89,16 +94,17 @@
 
 @attrs.define
 class HostProcess:
-    """A host with the relays before its links and before its platform.
+    """A host process with the relays before its links and its platform.
 
     Attributes:
-        name: In the host list.
-        data_centre: Where it runs.
-        links: Where other hosts reach it.
-        platform: Where it reaches configuration service and host list.
-        process: The process, once started.
-        stack: Owns all of these.
-        is_paused: Whether it was stopped by a signal.
+        name: Name in the host list.
+        data_centre: Data centre in which it runs.
+        links: Relay through which other hosts reach it.
+        platform: Relays through which it reaches the configuration service
+            and the host list.
+        process: The process; None until it is started.
+        stack: Closes the relays and the process.
+        is_paused: Whether the process is paused by a signal.
     """
 
     name: str
@@ -111,43 +117,43 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process is there, paused or not."""
+        """Whether the process exists, paused or not."""
         return self.process is not None and (
             self.process.process.returncode is None
         )
 
     def port(self, field: str) -> int:
-        """Returns a port that it listens on."""
+        """Returns the port that the start-up log line has in a field."""
         assert self.process is not None
         return self.process.port(field)
 
     def clear_lines(self) -> None:
-        """Forgets what it has logged."""
+        """Discards the log lines that were read so far."""
         assert self.process is not None
         self.process.lines.clear()
 
     def has_logged(self, event: str) -> bool:
-        """Tells whether an event is among its last lines."""
+        """Tells whether an event is among the log lines that are kept."""
         assert self.process is not None
         return any(f"event={event} " in line for line in self.process.lines)
 
     def send(self, number: signal.Signals) -> None:
-        """Sends it a signal."""
+        """Sends a signal to the process."""
         assert self.process is not None
         self.process.send(number)
 
     def pause(self) -> None:
-        """Stops its process where it stands."""
+        """Pauses the process."""
         self.send(signal.SIGSTOP)
         self.is_paused = True
 
     def resume(self) -> None:
-        """Lets it go on, with an old view of the world."""
+        """Resumes the process, whose view of the fleet may be out of date."""
         self.send(signal.SIGCONT)
         self.is_paused = False
 
     async def kill(self) -> None:
-        """Ends it at once, with all that it knew."""
+        """Kills the process, which loses its state, and waits for its end."""
         self.send(signal.SIGKILL)
         assert self.process is not None
         await self.process.wait()
@@ -155,19 +161,22 @@
 
 @attrs.define
 class FaultFleet:
-    """What a test drives. Upstreams and platform are in this process.
+    """Hosts, upstreams and platform of a fault test.
+
+    Each host is a process; upstreams and platform run in this process.
 
     Attributes:
         configuration: The configuration service.
         host_list: The host list.
-        engines: Engines by name.
-        services: Plain services by name.
-        relays: Before each upstream, by its name.
+        engines: Stand-in engines by name.
+        services: Stand-in services by name.
+        relays: Relay before each upstream, by the upstream's name.
+        answer_checker: Checks all answers that callers got.
+        session: HTTP client that opens a connection for each request.
+        directory: Directory of the hosts' settings files.
         hosts: Live hosts by name.
-        begun: What was sent of answers of which some bytes have come.
-        ledger: All answers.
-        session: Makes a new connection for each request.
-        directory: For settings.
+        answers_begun: Text or body of each request of whose answer some bytes
+            have arrived.
     """
 
     configuration: Standin[ConfigurationControl]
@@ -192,7 +201,7 @@
         return self.services[f"{data_centre}-service"]
 
     async def call_service(self, host: HostProcess, key: str) -> Answer:
-        """Sends a non-idempotent call, whose body is its key."""
+        """Sends a non-idempotent call whose body contains its key."""
         return await self._send(
             Answer(host.name, f"order {key}", key),
             host,
@@ -201,7 +210,7 @@
         )
 
     async def open_links(self, host: HostProcess) -> None:
-        """Has links made between a host and all others, both ways."""
+        """Sends calls until a host has links with all others, both ways."""
         others = [h for h in self.hosts.values() if h is not host]
 
         def is_linked() -> bool:
@@ -216,7 +225,7 @@
     async def chat(
         self, host: HostProcess, text: str, streamed: bool = False
     ) -> Answer:
-        """Asks the model."""
+        """Sends a chat completion request to the model."""
         body = {
             "model": MODEL,
             "stream": streamed,
@@ -230,7 +239,7 @@
         )
 
     async def status(self, host: HostProcess) -> dict[str, Any]:
-        """Returns what a host tells operators."""
+        """Returns the status document that a host serves to operators."""
         url = f"http://{IP}:{host.port('operators_port')}/status"
         async with self.session.get(url) as response:
             found: dict[str, Any] = orjson.loads(await response.read())
@@ -257,7 +266,7 @@
         others: Iterable[HostProcess],
         flow: Flow = Flow.CUT,
     ) -> None:
-        """Cuts the links between two groups of hosts, both ways."""
+        """Partitions two groups of hosts, in both directions."""
         near, far = list(some), list(others)
         for here, there in ((near, far), (far, near)):
             for host in here:
@@ -266,7 +275,7 @@
     def partition_platform(
         self, hosts: Iterable[HostProcess], flow: Flow = Flow.CUT
     ) -> None:
-        """Cuts hosts off from the platform."""
+        """Partitions hosts from the platform."""
         for host in hosts:
             for relay in host.platform:
                 relay.set(flow)
@@ -278,7 +287,7 @@
         return engines + calls
 
     async def until_idle(self) -> None:
-        """Waits until no engine has anything to do."""
+        """Waits until no engine has a request in flight."""
         for engine in self.engines.values():
             load: dict[str, Any] = {"running": 1}
             while load["running"]:
@@ -288,7 +297,7 @@
                 await asyncio.sleep(_POLL_S)
 
     async def until_platform_loss_noticed(self) -> None:
-        """Waits until each host has noticed that its platform is cut off."""
+        """Waits until each host has logged a failed read of the platform."""
         for host in self.hosts.values():
             host.clear_lines()
         await self.until(
@@ -302,7 +311,7 @@
         """Publishes the hosts and all upstreams.
 
         Args:
-            leaving: Names of those that are listed as leaving.
+            leaving: Names of hosts and upstreams to list as leaving.
         """
         entries = [
             entry(h.name, "host", h.data_centre, h.links.port, ())
@@ -318,7 +327,7 @@
         self.host_list.control.set_entries(entries)
 
     def publish_model(self) -> int:
-        """Publishes declarations with one more model; returns the version."""
+        """Publishes declarations with a new model and returns their version."""
         control = self.configuration.control
         version = control.published.number + 1
         value: dict[str, Any] = declarations()
@@ -334,7 +343,7 @@
         )
 
     async def lists_model(self, version: int) -> bool:
-        """Tells whether every host serves by a version."""
+        """Tells whether every host lists the model that a version added."""
         found = []
         for host in self.hosts.values():
             url = f"http://{IP}:{host.port('callers_port')}/v1/models"
@@ -343,7 +352,7 @@
         return all(found)
 
     async def prepare(self, data_centre: str) -> HostProcess:
-        """Makes a new host with its relays; its process isn't started."""
+        """Creates a new host and its relays without starting its process."""
         name = f"{data_centre}-host-{next(self._numbers):02}"
         self._names.append(name)
         stack = contextlib.AsyncExitStack()
@@ -359,7 +368,7 @@
         return host
 
     async def start(self, host: HostProcess) -> None:
-        """Starts a prepared host's process."""
+        """Starts the process of a prepared host."""
         file = self.directory / f"{host.name}.json"
         file.write_bytes(orjson.dumps(_settings(host)))
         arguments = ["-m", "hollyknot_daemon", "--settings", str(file)]
@@ -369,7 +378,7 @@
         host.links.target = host.port("links_port")
 
     async def replace_lost(self) -> list[HostProcess]:
-        """Starts a new host for each that has ended; lists the live ones."""
+        """Replaces the hosts that have ended; returns the new hosts."""
         lost = [h for h in self.hosts.values() if not h.is_running]
         new = []
         for host in lost:
@@ -382,7 +391,7 @@
         return new
 
     async def heal(self) -> None:
-        """Ends all faults and waits until every host serves normally."""
+        """Removes all faults and waits until every host serves normally."""
         for standin in (self.configuration, self.host_list):
             standin.control.down = False
             standin.control.stale = 0
@@ -411,11 +420,11 @@
         await asyncio.gather(*map(self._restore_limit, self.hosts.values()))
 
     async def _restore_limit(self, host: HostProcess) -> None:
-        """Sends requests until a host trusts its engine as much as at first.
+        """Sends requests until a host's limit for its engine has recovered.
 
         After an ejection a host sends its engine one request at a time. The
-        second stream of the next test would wait for the end of the first, and
-        no fault could meet both.
+        second stream of the next test would then wait for the end of the
+        first, and a fault could not hit both.
         """
         name = f"{host.data_centre}-engine"
         while True:
@@ -432,7 +441,11 @@
             await asyncio.gather(*(self.chat(host, text) for text in texts))
 
     async def until_settled(self) -> None:
-        """Waits until each host knows the newest, all others and its slots."""
+        """Waits until each host has recovered from all faults.
+
+        It is then ready, has the newest host list, has learnt its claim slots,
+        suspects no partition, and can use all peers and upstreams.
+        """
         revision = self.host_list.control.published.number
 
         def is_settled(status: dict[str, Any]) -> bool:
@@ -474,7 +487,8 @@
                         self.answers_begun.add(blank.sent)
                 is_whole = True
         except TimeoutError:
-            # An answer that takes so long is no end that a host gave it.
+            # The host hangs: the test must fail instead of recording a lost
+            # connection.
             raise
         except (aiohttp.ClientError, OSError):
             pass
@@ -488,7 +502,7 @@
 
 
 def _final_verdict(raw: bytes) -> str:
-    """Returns the verdict that ends a stream; of a broken one "broken"."""
+    """Returns the verdict at the end of a stream, "broken" if it has none."""
     _, mark, verdict = raw.rpartition(b": verdict=")
     return verdict.decode().strip() if mark else "broken"
 
@@ -565,7 +579,8 @@
 
 
 async def _end(fleet: FaultFleet) -> None:
-    # All at once, so that none can hand over: a planned stop would wait.
+    # Killed, since a planned stop would wait for its handover to hosts that
+    # are stopping, too.
     for host in fleet.hosts.values():
         if host.is_running:
             await host.kill()
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay at an interface, which forwards, holds or cuts on command."""
+"""A TCP relay that forwards, holds or resets connections on command."""
 
 import asyncio
 import contextlib
@@ -15,25 +15,29 @@
 
     FORWARD = "forward"
     HOLD = "hold"
-    """They are taken and kept: the connection is silent, or they come late."""
+    """Bytes are read but kept back until the flow is `FORWARD` again."""
 
     CUT = "cut"
-    """Open connections are reset and new ones too."""
+    """Open and new connections are reset."""
 
 
 class Relay:
-    """Stands before one listener; knows hosts that dial by their `Hello`.
+    """Forwards connections to one listener, with a flow for each source.
+
+    The source of a connection is the host that its first bytes (a `Hello`)
+    name.
 
     Attributes:
-        target: The listener's port; 0 while there is none.
+        target: Port of the listener; 0 while there is none.
     """
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        """Forwards all.
+        """Builds a relay that forwards all connections.
 
         Args:
-            names: Of hosts that dial, longest first if one begins another; a
-                connection that names none of them has the source "".
+            names: Names of hosts that may connect; if one name is a prefix of
+                another, the longer comes first. A connection that names
+                none of them has the source "".
         """
         self.target = 0
         self._names = names
@@ -48,16 +52,16 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """Port on which the relay listens; 0 until it first listens."""
         return self._port
 
     @property
     def sources(self) -> set[str]:
-        """Sources with an open connection."""
+        """Sources that have an open connection."""
         return set(self._open.values())
 
     def set(self, flow: Flow, *sources: str) -> None:
-        """Sets the flow of some sources, of those that name none by default."""
+        """Sets the flow of sources; without any, that of the source ""."""
         for source in sources or ("",):
             self._flows[source] = flow
         if flow is Flow.CUT:
@@ -67,26 +71,26 @@
         self._notify()
 
     def hold_after(self, pattern: bytes, source: str) -> None:
-        """Holds what a source sends as soon as it sends some bytes."""
+        """Holds a source's connections from when it has sent a pattern."""
         self._hold_after[source] = pattern
 
     def heal(self) -> None:
-        """Forwards all again; forgets what was seen."""
+        """Forwards all connections again and discards the recorded bytes."""
         self._flows.clear()
         self._hold_after.clear()
         self._seen.clear()
         self._notify()
 
     def reset_count(self, source: str = "") -> int:
-        """Returns how often a source was cut off when it sent something."""
+        """Returns how often a source's connection was reset while sending."""
         return self._reset_counts[source]
 
     def has_seen(self, pattern: bytes, source: str = "") -> bool:
-        """Tells whether a source has sent some bytes, held or not."""
+        """Tells whether a source has sent a pattern, held or not."""
         return pattern in self._seen[source]
 
     async def until_seen(self, pattern: bytes, source: str = "") -> None:
-        """Waits until a source has sent some bytes, held or not."""
+        """Waits until a source has sent a pattern, held or not."""
         while not self.has_seen(pattern, source):
             await self._changed.wait()
 
@@ -103,7 +107,7 @@
             await asyncio.gather(*self._open, return_exceptions=True)
 
     async def listen(self) -> None:
-        """Accepts connections, after `refuse` again at the same port."""
+        """Accepts connections; after `refuse`, on the same port as before."""
         if self._server is None:
             self._server = await asyncio.start_server(
                 self._accept, IP, self._port
@@ -111,7 +115,7 @@
             self._port = self._server.sockets[0].getsockname()[1]
 
     def refuse(self) -> None:
-        """Refuses new connections, as if nobody listened."""
+        """Closes the listener, so that new connections are refused."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -163,7 +167,7 @@
         writer: asyncio.StreamWriter,
         is_recorded: bool,
     ) -> None:
-        """Carries one direction; reads on while it holds."""
+        """Copies one direction; keeps reading while the flow is held."""
         buffered: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def read() -> None:
