--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_at_most_once.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_at_most_once.py
@@ -1,4 +1,9 @@
-"""Tests that a non-idempotent request runs at most once under faults."""
+"""Tests that a non-idempotent request runs at most once under faults.
+
+A host claims the idempotency key of a call before it sends the call. The
+holders of the claim are the hosts of the data centre in which the key has its
+home; a majority of them must grant it.
+"""
 
 import asyncio
 
@@ -20,21 +25,21 @@
 
 
 def _keys() -> list[str]:
-    """Returns a key with its home here and one with its home there."""
+    """Returns a key with its home in A and one with its home in B."""
     return [key_at(A), key_at(B)]
 
 
 def _start_calls(
     fleet: FaultFleet, host: HostProcess, keys: list[str]
 ) -> list[asyncio.Task[Answer]]:
-    """Sends each key by a host and doesn't wait for the answers."""
+    """Sends a call for each key to a host without awaiting the answers."""
     return [asyncio.create_task(fleet.call_service(host, key)) for key in keys]
 
 
 async def _resend(
     fleet: FaultFleet, keys: list[str], *hosts: HostProcess
 ) -> list[Answer]:
-    """Sends all keys again by each host in turn."""
+    """Sends all keys again to each host in turn and returns the answers."""
     answers = []
     for host in hosts:
         answers += await asyncio.gather(*_start_calls(fleet, host, keys))
@@ -44,7 +49,7 @@
 def _holders(
     fleet: FaultFleet, host: HostProcess, keys: list[str]
 ) -> list[tuple[HostProcess, bytes]]:
-    """Returns all holders other than a host, each with its claim."""
+    """Returns all holders but a host, each with the claim key it holds."""
     return [
         (holder, claim_key_of(key))
         for key, data_centre in zip(keys, (A, B), strict=True)
@@ -54,10 +59,10 @@
 
 
 def _hold_grants(fleet: FaultFleet, host: HostProcess, keys: list[str]) -> None:
-    """Has a host hear nothing of a holder from its grant on.
+    """Holds what each holder sends to a host from its grant on.
 
-    Silence from before the claims on would be noticed before they are sent if
-    the host is slow then, and none would be sent.
+    Links that were silent before the claims are sent could be noticed by a
+    slow host, which would then send no claims.
     """
     for holder, claim in _holders(fleet, host, keys):
         host.links.hold_after(claim, holder.name)
@@ -66,9 +71,9 @@
 async def _until_granted(
     fleet: FaultFleet, host: HostProcess, keys: list[str]
 ) -> None:
-    """Waits until all other holders have answered the claims of a host.
+    """Waits until the answers of all other holders have reached a relay.
 
-    Their answers have reached the host's relay at least.
+    It is the relay before the host, which may hold them.
     """
     for holder, claim in _holders(fleet, host, keys):
         await host.links.until_seen(claim, holder.name)
@@ -84,7 +89,7 @@
 
 
 class TestHostKilled:
-    """The host is killed and the caller sends again by other hosts."""
+    """The host is killed and the caller resends through other hosts."""
 
     @pytest.mark.fault(
         fault="host kill",
@@ -93,12 +98,11 @@
         seen_failing="a holder grants a key that another attempt holds",
     )
     def test_killed_before_it_receives_its_grants(self, drive: Drive) -> None:
-        """Grants of a dead host never lead to two runs.
+        """Grants to a host that dies never lead to two runs.
 
-        Symptom: a decision is posted twice.
-        Sequence: the holders grant; the host dies before it hears of it; the
-        caller sends again by hosts of both data centres.
-        Cause: two attempts each had a majority.
+        The host dies before it receives its grants, and the caller resends
+        through both data centres. The call would run twice if two attempts
+        could each get a majority.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -126,10 +130,9 @@
     def test_killed_while_its_call_is_in_flight(self, drive: Drive) -> None:
         """A call that arrives after its host died is not run again.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the call has left the host; the host dies; the caller sends
-        again by other hosts; the first call reaches the service late.
-        Cause: the claim was given to another attempt once its host was dead.
+        The host dies when it has sent the call, the caller resends through
+        other hosts, and the first call reaches the service late. The call
+        would run twice if a host's death freed its claims.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -161,11 +164,9 @@
     def test_service_ran_it_and_the_answer_is_lost(self, drive: Drive) -> None:
         """A call that ran while its host died is not run again.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the service runs the call; the host dies before the answer;
-        the caller sends again by other hosts, also by the dead one's
-        replacement.
-        Cause: only the dead host knew that the call had been sent.
+        The service runs the call and the host dies before the answer. The
+        caller resends through other hosts and the replacement. The call would
+        run twice if only the dead host knew that it had been sent.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -189,7 +190,7 @@
 
 
 async def _until_sent(fleet: FaultFleet, key: str) -> None:
-    """Waits until a call has left its host for either service."""
+    """Waits until a call has reached the relay before either service."""
     waits = [
         asyncio.ensure_future(fleet.relays[name].until_seen(key.encode()))
         for name in fleet.services
@@ -200,7 +201,7 @@
 
 
 class TestHostPaused:
-    """The host is paused, and wakes after the caller sent again elsewhere."""
+    """The host is paused and resumes after the caller resent elsewhere."""
 
     @pytest.mark.fault(
         fault="host pause",
@@ -209,12 +210,11 @@
         seen_failing="a holder grants a key that another attempt holds",
     )
     def test_granted_while_it_is_paused(self, drive: Drive) -> None:
-        """A host that wakes with grants does not run what others ran.
+        """A host that resumes with old grants does not run the call again.
 
-        Symptom: a decision is posted twice.
-        Sequence: the holders grant; the host is paused before it hears of it;
-        the caller sends again elsewhere; the host wakes, hears and sends.
-        Cause: the grants had run out by time and were given to another.
+        The host is paused before it receives its grants, the caller resends
+        elsewhere, and the host resumes, receives the grants and sends. The
+        call would run twice if grants expired and went to another attempt.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -240,12 +240,12 @@
         seen_failing="a holder grants a key that another attempt holds",
     )
     def test_claim_requests_arrive_late(self, drive: Drive) -> None:
-        """Late questions get no grant of a key that another has.
+        """Late claim requests get no grant for a key that ran elsewhere.
 
-        Symptom: a decision is posted twice.
-        Sequence: the host's questions are held back; it is paused; the caller
-        sends again elsewhere and that runs; the questions arrive; it wakes.
-        Cause: a holder granted a key anew.
+        The host's claim requests are delayed and it is paused. The caller
+        resends elsewhere and the call runs; then the claim requests arrive and
+        the host resumes. The call would run twice if a holder granted the key
+        again.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -279,12 +279,11 @@
         seen_failing="a holder grants a key that another attempt holds",
     )
     def test_paused_while_its_call_runs(self, drive: Drive) -> None:
-        """A paused host's call is not run again, and is answered at last.
+        """A paused host's call is not run again, and is answered later.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the call has left the host, which is paused; the service
-        runs it; the caller sends again elsewhere; the host wakes.
-        Cause: silence of the claim's owner was taken for its end.
+        The host is paused when it has sent the call. The service runs it, and
+        the caller resends elsewhere before the host resumes. The call would
+        run twice if a silent owner of a claim were taken for dead.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -309,21 +308,20 @@
 
 
 class TestHostReplaced:
-    """Holders are replaced by hosts with new names and empty memories."""
+    """Holders are replaced by hosts with new names and no state."""
 
     @pytest.mark.fault(
         fault="host replace",
         step="recorded",
         rule=_ONCE,
-        seen_failing="a new holder grants before it has learnt",
+        seen_failing="a new holder grants before it has learnt the claims",
     )
     def test_all_holders_are_replaced_one_by_one(self, drive: Drive) -> None:
-        """A key that ran stays known though no holder of it is left.
+        """A key stays claimed when all its first holders are gone.
 
-        Symptom: a crew is ordered twice.
-        Sequence: a call runs; each host of its home is killed and replaced;
-        the caller sends again.
-        Cause: a new holder granted before it had learnt from the earlier ones.
+        A call runs, each host of the key's home is killed and replaced in
+        turn, and the caller resends. The call would run twice if a new holder
+        granted before it had learnt the claims of the earlier ones.
         """
 
         async def test(fleet: FaultFleet) -> None:
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_configuration.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests that an accepted configuration is in force everywhere and stays."""
+"""Tests that an accepted configuration spreads and never reverts."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 @contextlib.asynccontextmanager
 async def _versions_never_decrease(fleet: FaultFleet) -> AsyncIterator[None]:
-    """Holds that no host's versions fall while the context lasts."""
+    """Checks that no host's versions decrease while the context lasts."""
     highest: dict[str, dict[str, int]] = {}
     decreases: list[str] = []
 
@@ -50,27 +50,26 @@
 
 
 async def _until_read(fleet: FaultFleet, times: int) -> None:
-    """Waits until the configuration service was read so often again."""
+    """Waits for some more reads of the configuration service."""
     control = fleet.configuration.control
     reads = control.reads
     await fleet.until(lambda: control.reads >= reads + times)
 
 
 class TestAccepted:
-    """Versions rise on every host, and only rise."""
+    """Versions on every host increase and never decrease."""
 
     @pytest.mark.fault(
         fault="configuration service stale",
         step="accepted",
         rule=_STAYS,
-        seen_failing="an older version is taken",
+        seen_failing="an older version is accepted",
     )
     def test_restored_service_changes_nothing(self, drive: Drive) -> None:
         """A service restored from a copy does not bring old versions back.
 
-        Symptom: a customer's revoked key works again.
-        Sequence: a version is in force; the service offers version 1.
-        Cause: what was read last was put in force.
+        A revoked key of a customer would work again if hosts applied whatever
+        they read last.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -90,7 +89,7 @@
         fault="configuration service invalid",
         step="accepted",
         rule=_STAYS,
-        seen_failing="a version is in force unchecked",
+        seen_failing="a version is applied unchecked",
     )
     @pytest.mark.parametrize(
         "text", ["{", '{"weights": {"a": 1}}', "[]", "null"]
@@ -100,9 +99,8 @@
     ) -> None:
         """An invalid version leaves the last good one in force.
 
-        Symptom: a fleet without customers after a slip of the operators.
-        Sequence: a good version, an invalid one, a good one.
-        Cause: a version was put in force before it was checked whole.
+        A mistake of the operators would leave the fleet without customers if
+        hosts applied a version before they had checked all of it.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -129,10 +127,9 @@
     ) -> None:
         """A version is refused for an unknown part, also for an empty one.
 
-        Symptom: all customers are gone after a slip of the operators.
-        Sequence: a good version; one that has nothing but an unknown part.
-        Cause: a document is kept as the entries of its parts, so that a part
-        without entries is forgotten before it is checked.
+        Hosts keep a document as the entries of its parts. If a part without
+        entries were dropped before the check, a version that has nothing but
+        an unknown part would pass as empty and remove all customers.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -156,10 +153,9 @@
     def test_service_goes_down_and_comes_back(self, drive: Drive) -> None:
         """An outage of the service changes nothing in force.
 
-        Symptom: hosts refuse all, or fall back to a version of their start.
-        Sequence: a version is in force; the service answers 503, then not at
-        all, then again.
-        Cause: a failed read was taken for an empty document.
+        The service answers 503, then not at all, then again. Hosts would
+        refuse all requests or revert to their first version if a failed read
+        were taken for an empty document.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -180,15 +176,14 @@
         fault="operator races",
         step="accepted",
         rule=_SPREADS,
-        seen_failing="only the very next version is taken",
+        seen_failing="only the directly following version is accepted",
     )
     def test_last_of_several_versions_wins(self, drive: Drive) -> None:
-        """Versions in quick succession end in the last good one everywhere.
+        """After versions in quick succession all hosts have the last good one.
 
-        Symptom: hosts of one data centre serve by different versions.
-        Sequence: operators publish good and invalid versions at one moment,
-        while hosts read and tell each other of those between.
-        Cause: a host that missed a version between took no later one.
+        Operators publish good and invalid versions while hosts read and gossip
+        some of them. Hosts would serve different versions if one that missed
+        an intermediate version accepted no later one.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -210,15 +205,14 @@
         fault="configuration service down",
         step="queued",
         rule=_SPREADS,
-        seen_failing="peers do not answer who asks for a document",
+        seen_failing="peers do not answer requests for a document",
     )
     def test_new_host_learns_from_peers(self, drive: Drive) -> None:
-        """A host that starts without the service learns all from its peers.
+        """A host that starts without the service gets the version from peers.
 
-        Symptom: no host can be replaced while the service is down.
-        Sequence: a version is in force; the configuration service goes down;
-        a host starts that can read the host list only.
-        Cause: a new host waited for the service alone.
+        The configuration service is down and the new host can read the host
+        list only. No host could be replaced during an outage if a new one
+        waited for the service alone.
         """
 
         async def test(fleet: FaultFleet) -> None:
