--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
@@ -1,4 +1,4 @@
-"""Tests of cuts between hosts, between data centres and from the platform."""
+"""Tests of network partitions of hosts, data centres and the platform."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 async def _until_complete(
     fleet: FaultFleet, host: HostProcess, key: str
 ) -> None:
-    """Comes back as callers do, until the call has run."""
+    """Resends a call, as callers do, until it has run."""
     while not (await fleet.call_service(host, key)).is_complete:
         await asyncio.sleep(0)
 
@@ -34,7 +34,7 @@
 
 
 class TestCutBetweenHosts:
-    """Some hosts of one data centre can't reach the others."""
+    """Some hosts of a data centre are partitioned from the others."""
 
     @pytest.mark.fault(
         fault="cut between hosts",
@@ -47,9 +47,9 @@
     ) -> None:
         """A host without a majority refuses; what it refused can run later.
 
-        Symptom: a decision is posted twice, or never.
-        Sequence: a host is cut off; the caller sends to it and to another.
-        Cause: the host granted alone; or its refused attempt held the key.
+        One host is partitioned, and the caller sends to it and to another. The
+        call would run twice if the isolated host granted alone, and never if
+        its refused attempt kept the key.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -74,16 +74,17 @@
         fault="cut between hosts",
         step="claimed",
         rule="no request is lost",
-        seen_failing="an attempt that is given up is released once, unanswered",
+        seen_failing=(
+            "the release of a refused attempt is sent once and not repeated"
+        ),
     )
     def test_refused_while_its_grants_were_lost(self, drive: Drive) -> None:
-        """A key that was granted and refused in a cut can run after it.
+        """A key that was granted and refused in a partition can run after it.
 
-        Symptom: a caller that was told to come back is told ever after that
-        its call may have run; the piazza has no barriers.
-        Sequence: the holders grant; a cut loses their answers; the host gives
-        up and answers "not run"; its releases are lost in the cut, too.
-        Cause: the holders keep the grant of an attempt that has ended.
+        The holders grant, and a partition loses their answers. The host gives
+        up, answers "not-run", and its releases are lost, too. If the holders
+        kept the grant, a caller that was asked to retry would be told for ever
+        that its call may have run.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -97,7 +98,7 @@
                 await first.links.until_seen(claim_key_of(key), name)
             fleet.partition_hosts([first], [second, third])
             assert _is_retryable_refusal(await call)
-            # What waited for the first dial is lost with it.
+            # A message that waits for a dial is lost when that dial fails.
             lost = [
                 h.links.reset_count(first.name) + 2 for h in (second, third)
             ]
@@ -117,16 +118,15 @@
         fault="host list late",
         step="claimed",
         rule=_ONCE,
-        seen_failing="a new holder grants before it has learnt",
+        seen_failing="a new holder grants before it has learnt the claims",
     )
     def test_partitions_use_different_host_lists(self, drive: Drive) -> None:
         """Majorities of two host lists never both grant a key.
 
-        Symptom: a crew is ordered twice.
-        Sequence: a cut leaves two hosts with the old list; on the other side
-        a new list replaces one of them; the caller sends to both sides.
-        Cause: the new holders granted before a majority of the old ones had
-        told them what it knew.
+        Two hosts are partitioned with the old list. A new list on the other
+        side replaces one of them, and the caller sends to both sides. The call
+        would run twice if the new holders granted before a majority of the old
+        ones had reported its claims.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -167,7 +167,7 @@
 
 
 class TestCutBetweenDataCentres:
-    """The data centres can't reach each other."""
+    """The data centres are partitioned from each other."""
 
     @pytest.mark.fault(
         fault="cut between data centres",
@@ -176,11 +176,11 @@
         seen_failing="a claim needs no grant",
     )
     def test_home_is_cut_off(self, drive: Drive) -> None:
-        """A key whose home is cut off is refused here and runs there.
+        """A key is refused by hosts that can't reach its home, and runs there.
 
-        Symptom: a decision is posted in both data centres.
-        Sequence: a cut; the caller sends to both sides, then again.
-        Cause: each side chose holders among the hosts that it could reach.
+        The data centres are partitioned and the caller sends to both, then
+        again. The call would run in both if each side chose holders among the
+        hosts that it can reach.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -213,12 +213,11 @@
         seen_failing="a holder grants a key that another attempt holds",
     )
     def test_cut_while_the_home_answers(self, drive: Drive) -> None:
-        """Grants that a cut delays never lead to a second run.
+        """Grants that a partition delays never lead to a second run.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the home grants; a cut holds its answers; the caller sends
-        again at the home; the answers arrive after all.
-        Cause: the home gave the key to another since the first was silent.
+        The home grants, its answers are held, the caller resends at the home,
+        and the answers arrive late. The call would run twice if the home
+        granted the key to another attempt because the first is silent.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -242,16 +241,15 @@
         fault="cut between data centres",
         step="accepted",
         rule=_SERVES,
-        seen_failing="a failed read of the platform ends readiness",
+        seen_failing="a failed read of the platform makes hosts not ready",
     )
     @pytest.mark.parametrize("side", [A, B])
     def test_each_side_serves_alone(self, drive: Drive, side: str) -> None:
-        """A side that is cut off from all else serves what it can.
+        """A data centre that is partitioned from all else serves what it can.
 
-        Symptom: a hall answers nothing while the network between is down.
-        Sequence: the hosts and upstreams of a side can reach neither the
-        other data centre nor the platform.
-        Cause: readiness or routing waited for what is not needed.
+        Its hosts can reach neither the other data centre nor the platform. It
+        would answer nothing if readiness or routing waited for something that
+        serving does not need.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -262,7 +260,7 @@
                     relay.set(Flow.CUT)
             await fleet.until_platform_loss_noticed()
             for host in fleet.at(side):
-                # Its first requests may meet the lost upstreams.
+                # The first requests may be sent to unreachable upstreams.
                 await _until_all_kinds_served(fleet, host, side)
 
         drive(test)
@@ -271,7 +269,7 @@
 async def _until_all_kinds_served(
     fleet: FaultFleet, host: HostProcess, side: str
 ) -> None:
-    """Asks each kind of request until it is answered whole."""
+    """Sends each kind of request until its answer is complete."""
     for streamed in (False, True):
         while not (await fleet.chat(host, "alone", streamed)).is_complete:
             await asyncio.sleep(0)
@@ -279,22 +277,21 @@
 
 
 class TestCutFromPlatform:
-    """No host can reach the platform."""
+    """All hosts are partitioned from the platform."""
 
     @pytest.mark.fault(
         fault="cut from platform",
         step="accepted",
         rule=_SERVES,
-        seen_failing="a failed read of the platform ends readiness",
+        seen_failing="a failed read of the platform makes hosts not ready",
     )
     @pytest.mark.parametrize("flow", [Flow.CUT, Flow.HOLD])
     def test_hosts_go_on_and_catch_up(self, drive: Drive, flow: Flow) -> None:
-        """Without the platform hosts go on, and learn what they missed after.
+        """Hosts serve without the platform and catch up when it is back.
 
-        Symptom: all hosts refuse, or keep an old version for good.
-        Sequence: the platform is cut off, or silent; a version is published;
-        the cut heals.
-        Cause: a watch that waits for ever, or readiness that ends.
+        The platform is unreachable or silent while a version is published.
+        Hosts would refuse all requests if readiness depended on the platform,
+        and keep the old version if a poll waited for ever.
         """
 
         async def test(fleet: FaultFleet) -> None:
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_stop.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_stop.py
@@ -1,4 +1,4 @@
-"""Tests of a planned stop, and of a second signal."""
+"""Tests of a planned stop of a host, and of a second signal."""
 
 import asyncio
 import signal
@@ -22,8 +22,8 @@
 
 
 UNENDING_FACTOR = 200 * SLOW_FACTOR
-"""Makes an engine's answer outlast any test. With three seconds an answer was
-complete before the second signal on a busy machine, as it should be."""
+"""Factor on an engine's times at which an answer outlasts any test. An answer
+of three seconds can be complete before the second signal on a busy machine."""
 
 
 async def _start_calls(
@@ -33,7 +33,7 @@
     slow_s: float,
     straggle: float = SLOW_FACTOR,
 ) -> list[asyncio.Task[Answer]]:
-    """Has calls of each kind in flight at a host."""
+    """Starts requests of each kind and waits until all are in flight."""
     for engine in fleet.engines.values():
         engine.control.straggle = straggle
     for service in fleet.services.values():
@@ -55,7 +55,7 @@
 
 
 class TestStop:
-    """SIGTERM, once and twice."""
+    """A host receives SIGTERM once or twice."""
 
     @pytest.mark.fault(
         fault="host leave",
@@ -64,12 +64,11 @@
         seen_failing="a stop does not wait for requests in flight",
     )
     def test_all_in_flight_completes(self, drive: Drive) -> None:
-        """A planned stop ends nothing before its time.
+        """A planned stop lets all requests in flight complete.
 
-        Symptom: answers are cut off whenever a host is replaced.
-        Sequence: streams, whole answers and orders are in flight; the host is
-        listed as leaving; SIGTERM.
-        Cause: the process ended once its listeners were closed.
+        Streams, whole answers and non-idempotent calls are in flight when the
+        host is listed as leaving and receives SIGTERM. Answers would break off
+        if the process ended once its listeners are closed.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -102,16 +101,15 @@
         fault="host leave",
         step="sent",
         rule="a second signal ends a host at once, and nothing runs twice",
-        seen_failing="the server gives its handlers a minute",
+        seen_failing="the HTTP server waits a minute for its handlers",
     )
     def test_second_signal_ends_it_at_once(self, drive: Drive) -> None:
-        """A second SIGTERM ends the host, and no answer looks whole.
+        """A second SIGTERM ends the host, and no answer looks complete.
 
-        Symptom: a host can't be ended, or a cut answer is taken for whole.
-        Sequence: calls are in flight; SIGTERM; SIGTERM; the caller sends its
-        orders again.
-        Cause: a stop that can't be hurried; a stream's end that looks like
-        any other.
+        Requests are in flight when two signals arrive; then the caller resends
+        its calls. The host could not be ended if a stop always waited, and
+        callers would take a truncated stream for complete if its end looked
+        like any other.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -137,15 +135,14 @@
         fault="host replace",
         step="claimed",
         rule="a non-idempotent request runs at most once",
-        seen_failing="a new holder grants before it has learnt",
+        seen_failing="a new holder grants before it has learnt the claims",
     )
     def test_all_hosts_of_a_home_leave_in_turn(self, drive: Drive) -> None:
-        """A rolling replacement forgets no key.
+        """A rolling replacement of all hosts loses no claim.
 
-        Symptom: a crew is ordered twice after an upgrade of all hosts.
-        Sequence: calls run; each host is listed as leaving, stops, and is
-        replaced; the caller sends again.
-        Cause: the claims of a stopped host went with it.
+        Calls run, each host is listed as leaving, stops and is replaced, and
+        the caller resends. The calls would run twice if a stopping host's
+        claims were lost with it.
         """
 
         async def test(fleet: FaultFleet) -> None:
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_upstreams.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that crash, straggle, fall silent or leave."""
+"""Tests of upstreams that crash, slow down, go silent or leave."""
 
 import asyncio
 import itertools
@@ -24,16 +24,17 @@
 _LEAVES = "an upstream that is leaving receives no new work"
 _REQUESTS_PER_HOST = 6
 _STUCK_FACTOR = 10_000.0
-"""A factor on an engine's times by which a stream stops for a minute."""
+"""Factor on an engine's times at which a stream pauses for about a minute."""
 _LAST_TOKEN = TOKENS - 1
-"""Where streams wait while others begin: on a busy machine the first would
-else be complete before a fault meets them, and the test would show nothing."""
+"""Token before which streams are held while others start. On a busy machine the
+first could otherwise be complete before the fault, and the test would prove
+nothing."""
 
 
 def _send_all(
     fleet: FaultFleet, text: str, streamed: bool
 ) -> list[asyncio.Task[Answer]]:
-    """Sends a few requests, each with its own text, by every host."""
+    """Sends some requests, each with its own text, to every host."""
     return [
         asyncio.create_task(
             fleet.chat(host, f"{text} {n} {host.name}", streamed)
@@ -46,13 +47,13 @@
 async def _start_streams(
     fleet: FaultFleet, text: str, hosts: list[HostProcess], factor: float
 ) -> list[asyncio.Task[Answer]]:
-    """Begins streams; each caller has got a part of its own by the end.
+    """Starts streams and returns when each caller has a part of its answer.
 
     Args:
-        fleet: The fleet.
-        text: What each prompt begins with.
-        hosts: Where they are sent.
-        factor: On the engines' times once all have begun.
+        fleet: Fleet to which the streams are sent.
+        text: Text with which each prompt begins.
+        hosts: Hosts to which the streams are sent.
+        factor: Factor on the engines' times once all streams have started.
     """
     for engine in fleet.engines.values():
         engine.control.straggle = SLOW_FACTOR
@@ -79,7 +80,7 @@
 
 
 async def _until_running(fleet: FaultFleet, count: int) -> None:
-    """Waits until the engines have started so many more requests."""
+    """Waits until the upstreams have started `count` more requests."""
     before = fleet.ran()
     await fleet.until(lambda: fleet.ran() >= before + count)
 
@@ -92,7 +93,7 @@
 
 
 class TestEngineLost:
-    """An engine crashes, cuts or falls silent while it answers."""
+    """An engine crashes, truncates or goes silent while it answers."""
 
     @pytest.mark.fault(
         fault="upstream crash",
@@ -101,11 +102,10 @@
         seen_failing="a broken body is taken for complete",
     )
     def test_crash_in_the_midst_of_streams(self, drive: Drive) -> None:
-        """A stream that its engine's crash ends never looks whole.
+        """A stream that ends because its engine crashes never looks complete.
 
-        Symptom: a finding that stops in mid-sentence is taken for complete.
-        Sequence: streams run at every host; an engine crashes.
-        Cause: the end of the body was taken for the end of the answer.
+        A caller would take half an answer for complete if the end of the body
+        were taken for the end of the answer.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -125,14 +125,14 @@
         fault="upstream crash",
         step="sent",
         rule=_WHOLE,
-        seen_failing="nothing is tried again",
+        seen_failing="lost requests are not retried",
     )
     def test_crash_before_the_first_byte(self, drive: Drive) -> None:
-        """A whole answer that a crash took is got from another engine.
+        """A request that was lost in a crash is retried at another engine.
 
-        Symptom: callers get 502 though another engine is idle.
-        Sequence: whole answers are in work; one engine crashes.
-        Cause: a lost idempotent request was not tried again.
+        An engine crashes before the first byte of an answer that is not
+        streamed. The caller would get 502 although another engine is idle if
+        lost idempotent requests were not retried.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -156,10 +156,9 @@
     def test_answers_are_cut_short(self, drive: Drive, streamed: bool) -> None:
         """A truncated answer is never passed on as complete.
 
-        Symptom: a route plan without its last streets.
-        Sequence: one engine ends each of its answers after four tokens.
-        Cause: an orderly end of the connection was taken for the end of the
-        answer.
+        One engine ends each of its answers after four tokens. Callers would
+        miss the rest if an orderly end of the connection were taken for the
+        end of the answer.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -181,9 +180,8 @@
     def test_engine_accepts_and_never_answers(self, drive: Drive) -> None:
         """A silent engine costs a bounded wait, not the answer.
 
-        Symptom: a citizen waits at the counter for ever.
-        Sequence: the engine near by takes requests and says nothing.
-        Cause: a wait for the first byte without a bound.
+        The engine in the data centre of the hosts accepts requests and sends
+        nothing. Callers would hang if the wait for the first byte had no bound.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -191,7 +189,7 @@
             answers = await asyncio.gather(
                 *(fleet.chat(h, f"hush {h.name}", True) for h in fleet.at(A))
             )
-            # The wait may have used up the time for which a target is of use.
+            # The wait may have used up the time in which a retry is of use.
             assert {a.verdict for a in answers} <= {"complete", "may-have-run"}
             for host in fleet.at(A):
                 await _until_complete(fleet, host, f"later {host.name}")
@@ -205,11 +203,11 @@
         seen_failing="silence after the first byte has no bound",
     )
     def test_open_streams_go_silent(self, drive: Drive) -> None:
-        """Connections that go silent end with an error; new ones work.
+        """Streams that go silent end with an error; new requests succeed.
 
-        Symptom: streams hang for ever, and new requests with them.
-        Sequence: streams run; something between forgets their connections.
-        Cause: silence was waited out, or the upstream was blamed for good.
+        A device on the way drops the state of open connections. Streams would
+        hang if silence had no bound, and new requests would fail if the
+        upstream were never used again.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -236,9 +234,8 @@
     ) -> None:
         """Late answers reach their own callers.
 
-        Symptom: a caller gets another's answer, or half of its own.
-        Sequence: one engine is ten times slower; hosts mix requests.
-        Cause: answers were matched by order.
+        One engine is ten times slower than the other. Callers would get the
+        answers of others if answers were matched to requests by their order.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -254,7 +251,7 @@
 
 
 class TestService:
-    """A service crashes, refuses, or can't be reached."""
+    """A service crashes or can't be reached."""
 
     @pytest.mark.fault(
         fault="upstream crash",
@@ -264,12 +261,11 @@
     )
     @pytest.mark.parametrize("crash", ["before", "after"])
     def test_crash_around_the_run(self, drive: Drive, crash: str) -> None:
-        """A call that a crash left open runs at most once.
+        """A call whose outcome a crash hides runs at most once.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the service crashes just before or after it runs the call
-        and comes back; the caller sends again by all hosts.
-        Cause: a lost connection was taken for proof that nothing ran.
+        The service crashes just before or after it runs the call and restarts;
+        the caller resends through all hosts. The call would run twice if a
+        lost connection were taken for proof that nothing ran.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -295,11 +291,11 @@
         seen_failing="a refused connection is taken for may have run",
     )
     def test_no_service_listens(self, drive: Drive) -> None:
-        """A call that reached nobody is told so, and runs later.
+        """A call that reached no service is answered not-run and runs later.
 
-        Symptom: a decision is never posted, or its caller can't tell.
-        Sequence: all services are down; the caller comes back when they are up.
-        Cause: a refused connection was taken for "may have run".
+        All services are down, and the caller resends when they are up. The
+        call would never run if a refused connection were taken for "may have
+        run".
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -320,7 +316,7 @@
 
 
 class TestLeaving:
-    """An upstream that leaves finishes its work and gets no more."""
+    """A leaving upstream finishes its requests and gets no new ones."""
 
     @pytest.mark.fault(
         fault="upstream leave",
@@ -329,11 +325,11 @@
         seen_failing="upstreams that are leaving count as live",
     )
     def test_listed_as_leaving(self, drive: Drive) -> None:
-        """An upstream that is listed as leaving gets no new work.
+        """An upstream that is listed as leaving gets no new requests.
 
-        Symptom: requests are cut off when an engine is taken away.
-        Sequence: streams run; the engine is listed as leaving; requests come.
-        Cause: the list was read, but old choices were kept.
+        Streams are in flight when the engine is listed as leaving, and new
+        requests arrive. Requests would break off at its end if hosts read the
+        list but kept their earlier choices.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -362,12 +358,11 @@
         seen_failing="upstreams that drain or are in doubt are used",
     )
     def test_refuses_before_the_list_says_so(self, drive: Drive) -> None:
-        """An upstream's own refusals count before the host list does.
+        """An upstream that refuses gets no new requests before it is listed.
 
-        Symptom: requests go to a draining engine until the list catches up.
-        Sequence: the engine and the service of a data centre drain; the host
-        list doesn't say so.
-        Cause: only the host list was believed.
+        The engine and the service of a data centre drain while the host list
+        shows them as live. Requests would go to the draining engine if hosts
+        relied on the host list alone.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -404,7 +399,7 @@
 
 
 class TestPoison:
-    """A request crashes each engine that runs it; its caller persists."""
+    """A request that its caller repeats crashes each engine that runs it."""
 
     @pytest.mark.fault(
         fault="poison request",
@@ -413,12 +408,11 @@
         seen_failing="an upstream that was lost is never used again",
     )
     def test_other_requests_are_answered(self, drive: Drive) -> None:
-        """Requests beside a poisonous one are answered, whole, at last.
+        """Other requests are answered while a poison request is repeated.
 
-        Symptom: one request takes the service from everybody.
-        Sequence: a caller sends the request again and again by all hosts;
-        each engine that runs it crashes and restarts.
-        Cause: nobody counted which request was there at each crash.
+        A caller repeats the request through all hosts, and each engine that
+        runs it crashes and restarts. One caller could stop the service for all
+        if hosts did not count which requests were running at each crash.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -449,15 +443,14 @@
 
 
 class TestHostInStream:
-    """The host itself is lost or paused while it relays."""
+    """The host is killed or paused while it relays."""
 
     @pytest.mark.fault(fault="host kill", step="mid-stream", rule=_WHOLE)
     def test_killed_while_it_relays(self, drive: Drive) -> None:
-        """A stream whose host died never looks whole.
+        """A stream whose host is killed never looks complete.
 
-        Symptom: a finding that stops in mid-sentence is taken for complete.
-        Sequence: streams run; their host is killed.
-        Cause: an answer without a length or a last chunk.
+        A caller would take half an answer for complete if a stream had neither
+        a length nor a last chunk.
         """
 
         async def test(fleet: FaultFleet) -> None:
@@ -476,12 +469,11 @@
         seen_failing="a part of the stream is changed",
     )
     def test_paused_while_it_relays(self, drive: Drive) -> None:
-        """A stream through a host that pauses ends whole, or says it doesn't.
+        """Streams through a host that pauses are complete after the pause.
 
-        Symptom: parts of an answer are missing after a pause.
-        Sequence: streams run; the host is paused until the engines have
-        ended them; it wakes.
-        Cause: timers that fire on waking while the bytes wait unread.
+        The host is paused until the engines have finished the streams. Answers
+        would lose parts if time-outs fired on resumption while the bytes of
+        the streams are still unread.
         """
 
         async def test(fleet: FaultFleet) -> None:
