--- a/packages/daemon/src/hollyknot_daemon/tests/rig.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/rig.py
@@ -1,4 +1,4 @@
-"""One host between in-process stand-ins, for tests of the whole path."""
+"""Runs one host between in-process stand-ins for tests of the whole path."""
 
 import asyncio
 import contextlib
@@ -60,15 +60,15 @@
 
 @attrs.frozen
 class Rig:
-    """What a test drives.
+    """A host under test and the stand-ins around it.
 
     Attributes:
-        host: The host under test.
+        host: Host under test.
         engines: Engines that serve the model `tariff`.
-        service: Serves `permits`.
-        configuration: The configuration service.
-        host_list: The host list.
-        session: An HTTP client.
+        service: Service that serves `permits`.
+        configuration: Stand-in of the configuration service.
+        host_list: Stand-in of the host list.
+        session: HTTP client of the callers.
     """
 
     host: Host
@@ -80,7 +80,7 @@
 
     @property
     def url(self) -> str:
-        """Where the host serves callers."""
+        """Base URL at which the host serves callers."""
         return f"http://{IP}:{self.host.callers_port}"
 
     async def send_request(
@@ -96,14 +96,14 @@
             return response, await response.read()
 
     def version(self, document: str) -> int:
-        """Returns a document's version in force on the host."""
+        """Returns the version of a document that is in force on the host."""
         versions = self.host.status()["versions"]
         assert isinstance(versions, dict)
         number: int = versions[document]
         return number
 
     async def until_ready(self) -> None:
-        """Waits until the host takes work."""
+        """Waits until the host is ready for requests."""
         await self.until(lambda: self.host.readiness.is_ready)
 
     async def until(self, condition: Any) -> None:
@@ -153,14 +153,14 @@
     ahead_s: float = 0.05,
     is_listed_late: bool = False,
 ) -> AsyncIterator[Rig]:
-    """Runs a host and its surroundings until the context ends.
+    """Runs a host and the stand-ins around it until the context ends.
 
     Args:
-        engines: How many engines serve the model.
-        engine_options: What they can do.
-        trace_file: Where the host writes its spans.
-        ahead_s: Of the claims' options.
-        is_listed_late: Whether the host sees a list without itself first.
+        engines: Number of engines that serve the model.
+        engine_options: Options of the engines.
+        trace_file: File to which the host writes its spans; empty for none.
+        ahead_s: `ahead_s` of the claim options, in seconds.
+        is_listed_late: Whether the host first reads a list without itself.
     """
     claim_options = ClaimOptions(ahead_s=ahead_s, skew_s=0.01)
     async with contextlib.AsyncExitStack() as stack:
--- a/packages/daemon/src/hollyknot_daemon/tests/test_bounds.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tests of bounds that two layers must keep to together."""
+"""Tests of limits that are set in one layer and relied on in another."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 class TestSilentConnections:
-    """Kept connections of which something between has forgotten all."""
+    """Idle connections whose state a device on the way has dropped."""
 
     @pytest.mark.parametrize(
         ("target", "nature"), list(itertools.product(_TARGETS, Nature))
@@ -24,11 +24,11 @@
     def test_idle_connections_expire_before_silence_is_noticed(
         self, target: Target, nature: Nature
     ) -> None:
-        """Symptom: request after request waits, each on a dead connection.
+        """Idle connections are closed sooner than a request notices silence.
 
-        Sequence: all kept connections to an upstream go silent; a request on
-        one ends as silent; the next is sent on another of them. Cause: they
-        were kept for longer than it takes to notice the first.
+        All idle connections to an upstream go silent. If they were kept for
+        longer than it takes to notice the first, request after request would
+        time out on another of them.
         """
         bounds = timeouts(target, nature)
         noticed_s = min(bounds.first_byte_s, bounds.between_bytes_s)
--- a/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
@@ -1,4 +1,4 @@
-"""Tests of the addresses kept of hosts that are gone."""
+"""Tests of the addresses that are kept of delisted hosts."""
 
 from hollyknot_daemon import _delisted
 from hollyknot_daemon._delisted import Delisted
@@ -12,7 +12,7 @@
 
 
 class TestDelisted:
-    """Hosts are found while they are gone, the newest for longest."""
+    """Hosts are found while they are delisted; the oldest is evicted first."""
 
     def test_finds_only_delisted_hosts(self) -> None:
         delisted = Delisted()
--- a/packages/daemon/src/hollyknot_daemon/tests/test_known_red.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that CI passes over."""
+"""Tests of the list of known failures, which CI skips."""
 
 import importlib.util
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class TestReadKnownRed:
-    """The list is short and each line is whole."""
+    """The list is short, and each line has all its fields."""
 
     def test_reads_lines(self) -> None:
         found = _MODULE.read_known_red("a::b | run it | fails | issue 2\n\n")
--- a/packages/daemon/src/hollyknot_daemon/tests/test_layers.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests of the import direction between the layers."""
+"""Tests of which packages and modules each layer may import."""
 
 import ast
 import pathlib
@@ -34,7 +34,7 @@
 
 
 class TestLayers:
-    """Who may import whom."""
+    """Each package imports only what its layer allows."""
 
     @pytest.mark.parametrize("package", sorted(_ALLOWED))
     def test_package_imports_allowed_layers_only(self, package: str) -> None:
--- a/packages/daemon/src/hollyknot_daemon/tests/test_path.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path through one host, in process."""
+"""Tests of the whole path of a request through one host, in process."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 @contextlib.contextmanager
 def _driver(**options: Any) -> Iterator[Drive]:
-    """Runs a rig in a loop of its own and tests in that loop."""
+    """Yields a function that runs a test on a rig, in the rig's own loop."""
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         rig = runner.run(stack.enter_async_context(running_rig(**options)))
@@ -56,7 +56,7 @@
 
 
 class TestModelCalls:
-    """Whole and streamed answers, by a published client library."""
+    """Model calls by a published client library, streamed or not."""
 
     def test_openai_client_works_unchanged(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
@@ -115,7 +115,7 @@
 
 
 async def _read_counters(rig: Rig) -> tuple[int, int]:
-    """Returns the tries at the model's upstreams and the parts relayed."""
+    """Returns the counts of tries at the model's upstreams and of chunks."""
     url = f"http://{IP}:{rig.host.operators_port}/metrics"
     async with rig.session.get(url) as response:
         text = await response.text()
@@ -176,7 +176,7 @@
 
 
 class TestRefusals:
-    """Each mistake has a clear answer that says it was not run."""
+    """Each invalid request gets an error that says that it was not run."""
 
     @pytest.mark.parametrize(
         ("request_", "status", "reason"), _REFUSALS.values(), ids=_REFUSALS
@@ -202,11 +202,10 @@
         drive(test)
 
     def test_chunked_body_is_bounded_too(self, drive: Drive) -> None:
-        """A body without a stated length is cut off at the limit.
+        """A body without a stated length is refused at the limit.
 
-        Symptom: a host's memory grows with what one caller sends.
-        Sequence: a caller sends a body in chunks, which states no length.
-        Cause: only the stated length was compared with the limit.
+        One caller could exhaust a host's memory with a chunked body if only a
+        stated length were compared with the limit.
         """
 
         async def test(rig: Rig) -> None:
@@ -228,12 +227,11 @@
         drive(test)
 
     def test_dot_segments_reach_no_service(self, drive: Drive) -> None:
-        """A path that resolves to another call is refused.
+        """A path with dot segments, which resolves to another, is refused.
 
-        Symptom: an order runs twice although POST /orders is declared.
-        Sequence: a caller sends GET-like path /x/%2e%2e/orders; no pattern
-        matches; the service resolves it to /orders.
-        Cause: patterns were matched against the path as sent.
+        If patterns were matched against the path as sent, /x/%2e%2e/orders
+        would match none, yet the service resolves it to /orders. A call that
+        is declared non-idempotent there could run twice.
         """
 
         async def test(rig: Rig) -> None:
@@ -273,14 +271,12 @@
         drive(test)
 
     def test_first_key_after_a_cold_start_runs(self) -> None:
-        """A host that says it is ready takes a key of that moment.
-
-        Symptom: the first decisions after a cold start are refused for ever,
-        as keys that are too old.
-        Sequence: the host learns a list from before it was added; it has no
-        slots to learn by it; it says it is ready; it then opens its slots, for
-        keys of a little later only.
-        Cause: "nothing to learn" was taken for "all learnt".
+        """A host that reports ready accepts a key of that moment.
+
+        The host first reads a list without itself, which gives it no claim
+        slots to learn. If it then reported ready because nothing is left to
+        learn, it would open its slots later and for later keys only, and
+        refuse the first calls for ever as too old.
         """
         with _driver(ahead_s=1.0, is_listed_late=True) as drive:
 
@@ -313,12 +309,11 @@
     def test_call_that_a_service_refused_runs_when_resent(
         self, drive: Drive
     ) -> None:
-        """A call that a service refused runs when it is sent again.
+        """A call that a service refused runs when it is resent.
 
-        Symptom: a decision is never posted, each retry gets 409.
-        Sequence: the claim is granted; the service drains and refuses; the
-        caller comes back with the same key.
-        Cause: the claim was not given back on proof that nothing ran.
+        The claim is granted, and the service drains and refuses. Each retry
+        with the same key would get 409 if the claim were not released on proof
+        that nothing ran.
         """
 
         async def test(rig: Rig) -> None:
@@ -345,14 +340,14 @@
 
 
 class TestLostUpstream:
-    """Engines and services that are lost in the midst of a call."""
+    """Engines and services that are lost during a call."""
 
     def test_idempotent_call_is_tried_elsewhere(self) -> None:
-        """A whole answer that was cut off is tried at another engine.
+        """A truncated answer that is not streamed is retried elsewhere.
 
-        Symptom: a caller gets 502 though another engine could answer.
-        Sequence: the engine cuts its answer; nothing was relayed yet.
-        Cause: the verdict "may have run" was answered without a retry.
+        The engine truncates its answer before any of it is relayed. The caller
+        would get 502 although another engine could answer if the verdict
+        "may have run" were passed on without a retry.
         """
         with _driver() as drive:
 
@@ -368,12 +363,11 @@
             drive(test)
 
     def test_lost_after_the_call_ran_is_never_run_again(self) -> None:
-        """A service that dies after recording a call is not called again.
+        """A call is not repeated when its service dies after recording it.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the service records the order and dies before it answers;
-        the caller sends the same key again.
-        Cause: a lost connection was taken for "not run".
+        The service dies before it answers, and the caller resends the same
+        key. The call would run twice if a lost connection were taken for
+        "not run".
         """
         with _driver() as drive:
 
@@ -402,15 +396,14 @@
         fault="poison request",
         step="sent",
         rule="a request that crashes upstreams is refused",
-        seen_failing="no request goes by the register of suspects",
+        seen_failing="requests are not checked against the suspect register",
     )
     def test_is_refused_and_others_are_served(self) -> None:
-        """The request is found and refused; innocent ones still complete.
+        """The request is found and refused; other requests still complete.
 
-        Symptom: engine after engine restarts, all callers get errors.
-        Sequence: one request crashes its engine; its caller sends it again
-        and again, and each host tries it elsewhere, too.
-        Cause: nothing remembered which requests ran when an engine crashed.
+        A request crashes its engine, its caller repeats it, and the host
+        retries it elsewhere. Engine after engine would restart if nothing
+        recorded which requests ran when an engine crashed.
         """
         with _driver(engines=4) as drive:
 
@@ -440,15 +433,14 @@
 
 
 class TestConfiguration:
-    """Versions only rise; a bad one never replaces a good one."""
+    """Versions only increase; an invalid one never replaces a valid one."""
 
     def test_bad_and_restored_versions_change_nothing(self) -> None:
         """An invalid or restored version leaves the last good one in force.
 
-        Symptom: a host without customers, or a revoked key that works again.
-        Sequence: operators publish a document with a mistake; then the
-        service is restored from a copy and offers version 1.
-        Cause: whatever was read last was put in force.
+        Operators publish a document with a mistake; then the service is
+        restored from a copy and offers version 1. The host would lose its
+        customers, or accept a revoked key, if it applied whatever it read last.
         """
         with _driver() as drive:
 
@@ -474,13 +466,13 @@
 
 
 async def _until_read(rig: Rig) -> None:
-    """Waits until the host has taken in what is published now."""
+    """Waits until the host has read and applied what is published now."""
     reads = rig.configuration.control.reads
     await rig.until(lambda: rig.configuration.control.reads >= reads + 2)
 
 
 class TestTraces:
-    """A span for each hop, joined to the caller's trace."""
+    """Each hop has a span that is part of the caller's trace."""
 
     def test_spans_of_a_request(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "spans.jsonl"
@@ -513,11 +505,10 @@
     """A planned stop interrupts no request in flight."""
 
     def test_streams_in_flight_end_and_new_work_is_refused(self) -> None:
-        """A stop lets a stream run to its end.
+        """A stop lets a stream in flight run to its end.
 
-        Symptom: answers are cut off whenever a host is replaced.
-        Sequence: a stream is half way; the host is told to stop.
-        Cause: the listening sockets' end took the open connections along.
+        Streams would break off at each replacement of a host if closing the
+        listening sockets closed the open connections, too.
         """
         options = EngineOptions(interval_s=0.02, min_tokens=40, max_tokens=40)
         with _driver(engine_options=options) as drive:
--- a/packages/daemon/src/hollyknot_daemon/tests/test_traces_over_links.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_traces_over_links.py
@@ -1,4 +1,4 @@
-"""Tests that a trace goes on over the links between hosts."""
+"""Tests that a trace continues over the links between hosts."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 
 
 class TestTracesOverLinks:
-    """A claim's hop to another host is in the caller's trace."""
+    """The hop of a claim to another host is part of the caller's trace."""
 
     def test_claim_at_another_host_is_a_span(
         self, tmp_path: pathlib.Path
