--- a/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/test_cuts.py
@@ -126,7 +126,7 @@
         Two hosts are partitioned with the old list. A new list on the other
         side replaces one of them, and the caller sends to both sides. The call
         would run twice if the new holders granted before a majority of the old
-        ones had reported its claims.
+        ones had reported the claims that they hold.
         """
 
         async def test(fleet: FaultFleet) -> None:
