--- a/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/conftest.py
@@ -1,4 +1,4 @@
-"""One fleet for all tests of faults; each test begins with it healed."""
+"""Fixtures of the fault tests, which share one fleet of hosts."""
 
 import asyncio
 import contextlib
@@ -14,10 +14,10 @@
     running_fault_fleet,
 )
 
-_LIMIT_S = 90.0
-_KEPT_LINES = 12
-_STATUS_LIMIT_S = 2.0
-_STATUS_PARTS = (
+_TEST_TIMEOUT_S = 90.0
+_SHOWN_LINES = 12
+_STATUS_TIMEOUT_S = 2.0
+_STATUS_KEYS = (
     "ready",
     "versions",
     "peers",
@@ -29,7 +29,10 @@
 
 @pytest.fixture(name="drive", scope="session")
 def _drive() -> Iterator[Drive]:
-    """Runs tests in the loop of one fleet; holds all answers to account."""
+    """Yields a function that runs a test on the fleet and checks all answers.
+
+    Each test starts with all faults of the one before removed.
+    """
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         fleet = runner.run(stack.enter_async_context(running_fault_fleet()))
@@ -38,35 +41,36 @@
             test: Test,
         ) -> None:
             try:
-                async with asyncio.timeout(_LIMIT_S):
+                async with asyncio.timeout(_TEST_TIMEOUT_S):
                     await fleet.heal()
                     await test(fleet)
                     await fleet.heal()
             except TimeoutError as error:
                 raise TimeoutError(await _describe(fleet)) from error
             finally:
-                broken = fleet.ledger.new_violations()
+                broken = fleet.answer_checker.new_violations()
             assert broken == []
 
         try:
             yield lambda test: runner.run(bounded(test))
-            # What a host did late is held against the answers before it.
-            assert fleet.ledger.new_violations() == []
+            # Work that a host did after the last test can still contradict the
+            # answers that it gave before.
+            assert fleet.answer_checker.new_violations() == []
         finally:
             runner.run(stack.aclose())
 
 
 async def _describe(fleet: FaultFleet) -> str:
-    """Returns what each host last knew and logged."""
+    """Returns each host's status and its last log lines."""
     parts = []
     for host in fleet.hosts.values():
         try:
-            async with asyncio.timeout(_STATUS_LIMIT_S):
+            async with asyncio.timeout(_STATUS_TIMEOUT_S):
                 status = await fleet.status(host)
         except (aiohttp.ClientError, TimeoutError) as error:
             status = {"status": repr(error)}
-        kept = {key: status.get(key) for key in _STATUS_PARTS}
+        kept = {key: status.get(key) for key in _STATUS_KEYS}
         parts.append(f"{host.name}: {kept}")
         if host.process is not None:
-            parts += host.process.lines[-_KEPT_LINES:]
+            parts += host.process.lines[-_SHOWN_LINES:]
     return "\n".join(parts)
--- a/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/faults/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay at an interface, which forwards, holds or cuts on command."""
+"""A TCP relay that forwards, holds or resets connections on command."""
 
 import asyncio
 import contextlib
@@ -15,78 +15,82 @@
 
     FORWARD = "forward"
     HOLD = "hold"
-    """They are taken and kept: the connection is silent, or they come late."""
+    """Bytes are read but kept back until the flow is `FORWARD` again."""
 
     CUT = "cut"
-    """Open connections are reset and new ones too."""
+    """Open and new connections are reset."""
 
 
 class Relay:
-    """Stands before one listener; knows hosts that dial by their `Hello`.
+    """Forwards connections to one listener, with a flow for each source.
+
+    The source of a connection is the host that its first bytes (a `Hello`)
+    name.
 
     Attributes:
-        target: The listener's port; 0 while there is none.
+        target: Port of the listener; 0 while there is none.
     """
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        """Forwards all.
+        """Builds a relay that forwards all connections.
 
         Args:
-            names: Of hosts that dial, longest first if one begins another; a
-                connection that names none of them has the source "".
+            names: Names of hosts that may connect; if one name is a prefix of
+                another, the longer comes first. A connection that names
+                none of them has the source "".
         """
         self.target = 0
         self._names = names
         self._flows: dict[str, Flow] = defaultdict(lambda: Flow.FORWARD)
         self._seen: dict[str, bytearray] = defaultdict(bytearray)
-        self._hold_from: dict[str, bytes] = {}
+        self._hold_after: dict[str, bytes] = {}
         self._open: dict[asyncio.Task[None], str] = {}
-        self._cuts: Counter[str] = Counter()
+        self._reset_counts: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._port = 0
         self._server: asyncio.Server | None = None
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """Port on which the relay listens; 0 until it first listens."""
         return self._port
 
     @property
     def sources(self) -> set[str]:
-        """Sources with an open connection."""
+        """Sources that have an open connection."""
         return set(self._open.values())
 
     def set(self, flow: Flow, *sources: str) -> None:
-        """Sets the flow of some sources, of those that name none by default."""
+        """Sets the flow of sources; without any, that of the source ""."""
         for source in sources or ("",):
             self._flows[source] = flow
         if flow is Flow.CUT:
             for task, source in self._open.items():
                 if self._flows[source] is Flow.CUT:
                     task.cancel()
-        self._wake()
+        self._notify()
 
-    def hold_from(self, pattern: bytes, source: str) -> None:
-        """Holds what a source sends as soon as it sends some bytes."""
-        self._hold_from[source] = pattern
+    def hold_after(self, pattern: bytes, source: str) -> None:
+        """Holds a source's connections from when it has sent a pattern."""
+        self._hold_after[source] = pattern
 
     def heal(self) -> None:
-        """Forwards all again; forgets what was seen."""
+        """Forwards all connections again and discards the recorded bytes."""
         self._flows.clear()
-        self._hold_from.clear()
+        self._hold_after.clear()
         self._seen.clear()
-        self._wake()
+        self._notify()
 
-    def cuts(self, source: str = "") -> int:
-        """Returns how often a source was cut off when it sent something."""
-        return self._cuts[source]
+    def reset_count(self, source: str = "") -> int:
+        """Returns how often a source's connection was reset while sending."""
+        return self._reset_counts[source]
 
     def has_seen(self, pattern: bytes, source: str = "") -> bool:
-        """Tells whether a source has sent some bytes, held or not."""
+        """Tells whether a source has sent a pattern, held or not."""
         return pattern in self._seen[source]
 
     async def until_seen(self, pattern: bytes, source: str = "") -> None:
-        """Waits until a source has sent some bytes, held or not."""
+        """Waits until a source has sent a pattern, held or not."""
         while not self.has_seen(pattern, source):
             await self._changed.wait()
 
@@ -103,7 +107,7 @@
             await asyncio.gather(*self._open, return_exceptions=True)
 
     async def listen(self) -> None:
-        """Accepts connections, after `refuse` again at the same port."""
+        """Accepts connections; after `refuse`, on the same port as before."""
         if self._server is None:
             self._server = await asyncio.start_server(
                 self._accept, IP, self._port
@@ -111,7 +115,7 @@
             self._port = self._server.sockets[0].getsockname()[1]
 
     def refuse(self) -> None:
-        """Refuses new connections, as if nobody listened."""
+        """Closes the listener, so that new connections are refused."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -139,41 +143,45 @@
         head = await reader.read(_CHUNK_BYTES)
         source = next((n for n in self._names if n.encode() in head), "")
         self._open[task] = source
-        self._note(source, head)
+        self._record(source, head)
         await self._until_forward(source)
-        near = await asyncio.open_connection(IP, self.target)
+        target_streams = await asyncio.open_connection(IP, self.target)
         try:
-            near[1].write(head)
+            target_streams[1].write(head)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(source, reader, near[1], True))
-                group.create_task(self._pump(source, near[0], writer, False))
+                group.create_task(
+                    self._pump(source, reader, target_streams[1], True)
+                )
+                group.create_task(
+                    self._pump(source, target_streams[0], writer, False)
+                )
         except* OSError:
             pass
         finally:
-            near[1].transport.abort()
+            target_streams[1].transport.abort()
 
     async def _pump(
         self,
         source: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        is_noted: bool,
+        is_recorded: bool,
     ) -> None:
-        """Carries one direction; reads on while it holds."""
-        taken: asyncio.Queue[bytes] = asyncio.Queue()
+        """Copies one direction; keeps reading while the flow is held."""
+        buffered: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def read() -> None:
             try:
                 while data := await reader.read(_CHUNK_BYTES):
-                    if is_noted:
-                        self._note(source, data)
-                    taken.put_nowait(data)
+                    if is_recorded:
+                        self._record(source, data)
+                    buffered.put_nowait(data)
             finally:
-                taken.put_nowait(b"")
+                buffered.put_nowait(b"")
 
         reading = asyncio.ensure_future(read())
         try:
-            while data := await taken.get():
+            while data := await buffered.get():
                 await self._until_forward(source)
                 writer.write(data)
                 await writer.drain()
@@ -187,16 +195,16 @@
         while (flow := self._flows[source]) is Flow.HOLD:
             await self._changed.wait()
         if flow is Flow.CUT:
-            self._cuts[source] += 1
+            self._reset_counts[source] += 1
             raise ConnectionResetError
 
-    def _note(self, source: str, data: bytes) -> None:
+    def _record(self, source: str, data: bytes) -> None:
         self._seen[source] += data
-        pattern = self._hold_from.get(source)
+        pattern = self._hold_after.get(source)
         if pattern and pattern in self._seen[source]:
             self._flows[source] = Flow.HOLD
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_delisted.py
@@ -1,4 +1,4 @@
-"""Tests of the addresses kept of hosts that are gone."""
+"""Tests of the addresses that are kept of delisted hosts."""
 
 from hollyknot_daemon import _delisted
 from hollyknot_daemon._delisted import Delisted
@@ -12,9 +12,9 @@
 
 
 class TestDelisted:
-    """Hosts are found while they are gone, the newest for longest."""
+    """Hosts are found while they are delisted; the oldest is evicted first."""
 
-    def test_found_while_gone_only(self) -> None:
+    def test_finds_only_delisted_hosts(self) -> None:
         delisted = Delisted()
         delisted.note(_hosts("a", "b"))
         assert delisted.find("b") is None
@@ -23,7 +23,7 @@
         delisted.note(_hosts("a", "b"))
         assert delisted.find("b") is None
 
-    def test_is_bounded(self) -> None:
+    def test_oldest_entry_is_evicted(self) -> None:
         delisted = Delisted()
         names = [f"h{n}" for n in range(_delisted.MAX_ENTRIES + 2)]
         delisted.note(_hosts(*names))
--- a/packages/daemon/src/hollyknot_daemon/tests/test_path.py
+++ b/packages/daemon/src/hollyknot_daemon/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path through one host, in process."""
+"""Tests of the whole path of a request through one host, in process."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,17 @@
 import pytest
 
 from hollyknot_bench.demo import new_idempotency_key
-from hollyknot_daemon.tests.rig import IP, KEY, Rig, declarations, running_rig
+from hollyknot_daemon.tests.rig import (
+    API_KEY,
+    IP,
+    Rig,
+    declarations,
+    running_rig,
+)
 from hollyknot_standins import EngineOptions
 
 _CHAT = "/v1/chat/completions"
-_LIMIT_S = 60.0
+_TEST_TIMEOUT_S = 60.0
 
 Drive = Callable[[Callable[[Rig], Awaitable[None]]], None]
 
@@ -28,13 +34,13 @@
 
 @contextlib.contextmanager
 def _driver(**options: Any) -> Iterator[Drive]:
-    """Runs a rig in a loop of its own and tests in that loop."""
+    """Yields a function that runs a test on a rig, in the rig's own loop."""
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         rig = runner.run(stack.enter_async_context(running_rig(**options)))
 
         async def bounded(test: Callable[[Rig], Awaitable[None]]) -> None:
-            async with asyncio.timeout(_LIMIT_S):
+            async with asyncio.timeout(_TEST_TIMEOUT_S):
                 await test(rig)
 
         try:
@@ -50,12 +56,12 @@
 
 
 class TestModelCalls:
-    """Whole and streamed answers, by a published client library."""
+    """Model calls by a published client library, streamed or not."""
 
     def test_openai_client_works_unchanged(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
             async with openai.AsyncOpenAI(
-                base_url=rig.url + "/v1", api_key=KEY, max_retries=0
+                base_url=rig.url + "/v1", api_key=API_KEY, max_retries=0
             ) as client:
                 models = [m.id async for m in client.models.list()]
                 whole = await client.chat.completions.create(**_body("whole"))
@@ -80,13 +86,15 @@
 
     def test_every_answer_has_its_id_and_verdict(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
-            response, _ = await rig.ask(_CHAT, json=_body())
+            response, _ = await rig.send_request(_CHAT, json=_body())
             assert response.headers["X-Verdict"] == "complete"
             request_id = response.headers["X-Request-Id"]
             ran = [e.control.ran[request_id] for e in rig.engines]
             assert sum(ran) == 1
             assert response.headers.getall("Server") == ["hollyknot"]
-            response, raw = await rig.ask(_CHAT, json=_body(stream=True))
+            response, raw = await rig.send_request(
+                _CHAT, json=_body(stream=True)
+            )
             assert raw.endswith(b": verdict=complete\n\n")
             assert response.headers.getall("Server") == ["hollyknot"]
 
@@ -94,20 +102,20 @@
 
     def test_tries_and_parts_are_counted(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
-            before = await _counted(rig)
-            await rig.ask(_CHAT, json=_body())
-            whole = await _counted(rig)
+            before = await _read_counters(rig)
+            await rig.send_request(_CHAT, json=_body())
+            whole = await _read_counters(rig)
             assert whole == (before[0] + 1, before[1])
-            await rig.ask(_CHAT, json=_body(stream=True))
-            streamed = await _counted(rig)
+            await rig.send_request(_CHAT, json=_body(stream=True))
+            streamed = await _read_counters(rig)
             assert streamed[0] == whole[0] + 1
             assert streamed[1] > whole[1]
 
         drive(test)
 
 
-async def _counted(rig: Rig) -> tuple[int, int]:
-    """Returns the tries at the model's upstreams and the parts relayed."""
+async def _read_counters(rig: Rig) -> tuple[int, int]:
+    """Returns the counts of tries at the model's upstreams and of chunks."""
     url = f"http://{IP}:{rig.host.operators_port}/metrics"
     async with rig.session.get(url) as response:
         text = await response.text()
@@ -162,18 +170,18 @@
 }
 
 
-async def _endless() -> AsyncIterator[bytes]:
+async def _endless_body() -> AsyncIterator[bytes]:
     for _ in range(1_000):
         yield b"x" * 4_096
 
 
 class TestRefusals:
-    """Each mistake has a clear answer that says it was not run."""
+    """Each invalid request gets an error that says that it was not run."""
 
     @pytest.mark.parametrize(
         ("request_", "status", "reason"), _REFUSALS.values(), ids=_REFUSALS
     )
-    def test_table(
+    def test_refusal_has_status_verdict_and_reason(
         self,
         drive: Drive,
         request_: dict[str, Any],
@@ -181,7 +189,7 @@
         reason: str,
     ) -> None:
         async def test(rig: Rig) -> None:
-            response, raw = await rig.ask(_CHAT, **request_)
+            response, raw = await rig.send_request(_CHAT, **request_)
             assert response.status == status
             assert response.headers["X-Verdict"] == "not-run"
             assert response.headers["X-Reason"] == reason
@@ -194,15 +202,14 @@
         drive(test)
 
     def test_chunked_body_is_bounded_too(self, drive: Drive) -> None:
-        """A body without a stated length is cut off at the limit.
+        """A body without a stated length is refused at the limit.
 
-        Symptom: a host's memory grows with what one caller sends.
-        Sequence: a caller sends a body in chunks, which states no length.
-        Cause: only the stated length was compared with the limit.
+        One caller could exhaust a host's memory with a chunked body if only a
+        stated length were compared with the limit.
         """
 
         async def test(rig: Rig) -> None:
-            response, _ = await rig.ask(_CHAT, data=_endless())
+            response, _ = await rig.send_request(_CHAT, data=_endless_body())
             assert response.status == 413
 
         drive(test)
@@ -210,7 +217,7 @@
     def test_services_answer_in_problem_details(self, drive: Drive) -> None:
         async def test(rig: Rig) -> None:
             path = "/v1/services/unheard-of/x"
-            response, raw = await rig.ask(path, method="GET")
+            response, raw = await rig.send_request(path, method="GET")
             assert response.status == 404
             assert response.content_type == "application/problem+json"
             problem = orjson.loads(raw)
@@ -220,12 +227,11 @@
         drive(test)
 
     def test_dot_segments_reach_no_service(self, drive: Drive) -> None:
-        """A path that resolves to another call is refused.
+        """A path with dot segments, which resolves to another, is refused.
 
-        Symptom: an order runs twice although POST /orders is declared.
-        Sequence: a caller sends GET-like path /x/%2e%2e/orders; no pattern
-        matches; the service resolves it to /orders.
-        Cause: patterns were matched against the path as sent.
+        If patterns were matched against the path as sent, /x/%2e%2e/orders
+        would match none, yet the service resolves it to /orders. A call that
+        is declared non-idempotent there could run twice.
         """
 
         async def test(rig: Rig) -> None:
@@ -236,7 +242,7 @@
             writer.write(
                 b"GET /v1/services/permits/x/%2e%2e/orders HTTP/1.1\r\n"
                 b"Host: h\r\nAuthorization: Bearer "
-                + KEY.encode()
+                + API_KEY.encode()
                 + b"\r\nConnection: close\r\n\r\n"
             )
             answer = await reader.read()
@@ -256,7 +262,7 @@
     def test_needs_a_key_with_a_time(self, drive: Drive, key: str) -> None:
         async def test(rig: Rig) -> None:
             headers = {"Idempotency-Key": key} if key else {}
-            response, _ = await rig.ask(
+            response, _ = await rig.send_request(
                 "/v1/services/permits/decisions", headers=headers
             )
             assert response.status == 400
@@ -265,20 +271,18 @@
         drive(test)
 
     def test_first_key_after_a_cold_start_runs(self) -> None:
-        """A host that says it is ready takes a key of that moment.
-
-        Symptom: the first decisions after a cold start are refused for ever,
-        as keys that are too old.
-        Sequence: the host learns a list from before it was added; it has no
-        slots to learn by it; it says it is ready; it then opens its slots, for
-        keys of a little later only.
-        Cause: "nothing to learn" was taken for "all learnt".
+        """A host that reports ready accepts a key of that moment.
+
+        The host first reads a list without itself, which gives it no claim
+        slots to learn. If it then reported ready because nothing is left to
+        learn, it would open its slots later and for later keys only, and
+        refuse the first calls for ever as too old.
         """
         with _driver(ahead_s=1.0, is_listed_late=True) as drive:
 
             async def test(rig: Rig) -> None:
                 key = new_idempotency_key()
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={"Idempotency-Key": key},
                 )
@@ -291,26 +295,25 @@
             key = new_idempotency_key()
             statuses = []
             for _ in range(3):
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={"Idempotency-Key": key},
                     json={"household": 7},
                 )
                 statuses.append(response.status)
             assert statuses == [200, 409, 409]
-            assert _times(rig, key) == 1
+            assert _run_count(rig, key) == 1
 
         drive(test)
 
-    def test_refused_by_the_upstream_it_may_come_back(
+    def test_call_that_a_service_refused_runs_when_resent(
         self, drive: Drive
     ) -> None:
-        """A call that a service refused runs when it is sent again.
+        """A call that a service refused runs when it is resent.
 
-        Symptom: a decision is never posted, each retry gets 409.
-        Sequence: the claim is granted; the service drains and refuses; the
-        caller comes back with the same key.
-        Cause: the claim was not given back on proof that nothing ran.
+        The claim is granted, and the service drains and refuses. Each retry
+        with the same key would get 409 if the claim were not released on proof
+        that nothing ran.
         """
 
         async def test(rig: Rig) -> None:
@@ -318,40 +321,40 @@
             path = "/v1/services/permits/decisions"
             headers = {"Idempotency-Key": key}
             rig.service.control.draining = True
-            response, _ = await rig.ask(path, headers=headers)
+            response, _ = await rig.send_request(path, headers=headers)
             assert response.status == 503
             assert response.headers["X-Verdict"] == "not-run"
             assert "Retry-After" in response.headers
             rig.service.control.draining = False
             while response.status == 503:
-                response, _ = await rig.ask(path, headers=headers)
+                response, _ = await rig.send_request(path, headers=headers)
             assert response.status == 200
-            assert _times(rig, key) == 1
+            assert _run_count(rig, key) == 1
 
         drive(test)
 
 
-def _times(rig: Rig, key: str) -> int:
+def _run_count(rig: Rig, key: str) -> int:
     calls = rig.service.control.calls
     return sum(call.idempotency_key == key for call in calls)
 
 
 class TestLostUpstream:
-    """Engines and services that are lost in the midst of a call."""
+    """Engines and services that are lost during a call."""
 
     def test_idempotent_call_is_tried_elsewhere(self) -> None:
-        """A whole answer that was cut off is tried at another engine.
+        """A truncated answer that is not streamed is retried elsewhere.
 
-        Symptom: a caller gets 502 though another engine could answer.
-        Sequence: the engine cuts its answer; nothing was relayed yet.
-        Cause: the verdict "may have run" was answered without a retry.
+        The engine truncates its answer before any of it is relayed. The caller
+        would get 502 although another engine could answer if the verdict
+        "may have run" were passed on without a retry.
         """
         with _driver() as drive:
 
             async def test(rig: Rig) -> None:
                 rig.engines[0].control.truncate = 3
                 for number in range(8):
-                    response, raw = await rig.ask(
+                    response, raw = await rig.send_request(
                         _CHAT, json=_body(f"n{number}")
                     )
                     assert response.status == 200
@@ -360,12 +363,11 @@
             drive(test)
 
     def test_lost_after_the_call_ran_is_never_run_again(self) -> None:
-        """A service that dies after recording a call is not called again.
+        """A call is not repeated when its service dies after recording it.
 
-        Symptom: a crew is ordered twice.
-        Sequence: the service records the order and dies before it answers;
-        the caller sends the same key again.
-        Cause: a lost connection was taken for "not run".
+        The service dies before it answers, and the caller resends the same
+        key. The call would run twice if a lost connection were taken for
+        "not run".
         """
         with _driver() as drive:
 
@@ -376,13 +378,13 @@
                 key = new_idempotency_key()
                 path = "/v1/services/permits/crews"
                 headers = {"Idempotency-Key": key}
-                response, _ = await rig.ask(path, headers=headers)
+                response, _ = await rig.send_request(path, headers=headers)
                 assert response.headers["X-Verdict"] == "may-have-run"
                 assert "Retry-After" not in response.headers
                 for _ in range(3):
-                    response, _ = await rig.ask(path, headers=headers)
+                    response, _ = await rig.send_request(path, headers=headers)
                     assert response.headers["X-Verdict"] != "complete"
-                assert _times(rig, key) == 1
+                assert _run_count(rig, key) == 1
 
             drive(test)
 
@@ -394,15 +396,14 @@
         fault="poison request",
         step="sent",
         rule="a request that crashes upstreams is refused",
-        seen_failing="no request goes by the register of suspects",
+        seen_failing="requests are not checked against the suspect register",
     )
     def test_is_refused_and_others_are_served(self) -> None:
-        """The request is found and refused; innocent ones still complete.
+        """The request is found and refused; other requests still complete.
 
-        Symptom: engine after engine restarts, all callers get errors.
-        Sequence: one request crashes its engine; its caller sends it again
-        and again, and each host tries it elsewhere, too.
-        Cause: nothing remembered which requests ran when an engine crashed.
+        A request crashes its engine, its caller repeats it, and the host
+        retries it elsewhere. Engine after engine would restart if nothing
+        recorded which requests ran when an engine crashed.
         """
         with _driver(engines=4) as drive:
 
@@ -412,29 +413,34 @@
                     engine.control.restart_after_s = 0.01
                 reason = ""
                 while reason != "quarantined":
-                    response, _ = await rig.ask(_CHAT, json=_body("poison"))
+                    response, _ = await rig.send_request(
+                        _CHAT, json=_body("poison")
+                    )
                     assert response.headers["X-Verdict"] != "complete"
                     reason = response.headers["X-Reason"]
                 crashes = sum(sum(e.control.ran.values()) for e in rig.engines)
                 assert crashes <= 4
-                response = (await rig.ask(_CHAT, json=_body("innocent")))[0]
+                response = (
+                    await rig.send_request(_CHAT, json=_body("innocent"))
+                )[0]
                 while response.status == 503:
-                    response, _ = await rig.ask(_CHAT, json=_body("innocent"))
+                    response, _ = await rig.send_request(
+                        _CHAT, json=_body("innocent")
+                    )
                 assert response.status == 200
 
             drive(test)
 
 
 class TestConfiguration:
-    """Versions only rise; a bad one never replaces a good one."""
+    """Versions only increase; an invalid one never replaces a valid one."""
 
     def test_bad_and_restored_versions_change_nothing(self) -> None:
         """An invalid or restored version leaves the last good one in force.
 
-        Symptom: a host without customers, or a revoked key that works again.
-        Sequence: operators publish a document with a mistake; then the
-        service is restored from a copy and offers version 1.
-        Cause: whatever was read last was put in force.
+        Operators publish a document with a mistake; then the service is
+        restored from a copy and offers version 1. The host would lose its
+        customers, or accept a revoked key, if it applied whatever it read last.
         """
         with _driver() as drive:
 
@@ -450,7 +456,9 @@
                 control.stale = 1
                 await _until_read(rig)
                 assert rig.version("declarations") == 2
-                response, raw = await rig.ask("/v1/models", method="GET")
+                response, raw = await rig.send_request(
+                    "/v1/models", method="GET"
+                )
                 assert response.status == 200
                 assert b"second" in raw
 
@@ -458,13 +466,13 @@
 
 
 async def _until_read(rig: Rig) -> None:
-    """Waits until the host has taken in what is published now."""
+    """Waits until the host has read and applied what is published now."""
     reads = rig.configuration.control.reads
     await rig.until(lambda: rig.configuration.control.reads >= reads + 2)
 
 
 class TestTraces:
-    """A span for each hop, joined to the caller's trace."""
+    """Each hop has a span that is part of the caller's trace."""
 
     def test_spans_of_a_request(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "spans.jsonl"
@@ -473,7 +481,7 @@
 
             async def test(rig: Rig) -> None:
                 parent = f"00-{trace_id}-b7ad6b7169203331-01"
-                response, _ = await rig.ask(
+                response, _ = await rig.send_request(
                     "/v1/services/permits/decisions",
                     headers={
                         "traceparent": parent,
@@ -497,23 +505,22 @@
     """A planned stop interrupts no request in flight."""
 
     def test_streams_in_flight_end_and_new_work_is_refused(self) -> None:
-        """A stop lets a stream run to its end.
+        """A stop lets a stream in flight run to its end.
 
-        Symptom: answers are cut off whenever a host is replaced.
-        Sequence: a stream is half way; the host is told to stop.
-        Cause: the listening sockets' end took the open connections along.
+        Streams would break off at each replacement of a host if closing the
+        listening sockets closed the open connections, too.
         """
         options = EngineOptions(interval_s=0.02, min_tokens=40, max_tokens=40)
         with _driver(engine_options=options) as drive:
 
             async def test(rig: Rig) -> None:
                 request = asyncio.ensure_future(
-                    rig.ask(_CHAT, json=_body(stream=True))
+                    rig.send_request(_CHAT, json=_body(stream=True))
                 )
-                await rig.until(lambda: sum(_running(rig)) == 1)
+                await rig.until(lambda: sum(_started_counts(rig)) == 1)
                 stopping = asyncio.ensure_future(rig.host.stop())
                 await rig.until(lambda: not rig.host.readiness.is_ready)
-                refused, _ = await rig.ask(_CHAT, json=_body())
+                refused, _ = await rig.send_request(_CHAT, json=_body())
                 assert refused.status == 503
                 assert refused.headers["X-Verdict"] == "not-run"
                 assert refused.headers["X-Reason"] == "stopping"
@@ -527,5 +534,5 @@
             drive(test)
 
 
-def _running(rig: Rig) -> list[int]:
+def _started_counts(rig: Rig) -> list[int]:
     return [len(engine.control.ran) for engine in rig.engines]
