--- a/packages/protocol/src/hollyknot_protocol/__init__.py
+++ b/packages/protocol/src/hollyknot_protocol/__init__.py
@@ -25,7 +25,7 @@
     FrameParser,
     pack_frame,
 )
-from hollyknot_protocol._handshake import Side, is_proved, make_mac
+from hollyknot_protocol._handshake import Side, is_valid_proof, make_mac
 from hollyknot_protocol._kinds import Kind
 from hollyknot_protocol._packed_uses import pack_uses, unpack_uses
 from hollyknot_protocol._peer import (
@@ -65,7 +65,7 @@
     "decode",
     "decode_as",
     "encode",
-    "is_proved",
+    "is_valid_proof",
     "kind_name",
     "kind_of",
     "make_mac",
--- a/packages/protocol/src/hollyknot_protocol/_codec.py
+++ b/packages/protocol/src/hollyknot_protocol/_codec.py
@@ -13,7 +13,7 @@
     UnencodableMessageError,
     UnknownValueError,
 )
-from hollyknot_protocol._kinds import KINDS, PLAIN, Kind
+from hollyknot_protocol._kinds import KINDS, UNENVELOPED, Kind
 
 _M = TypeVar("_M")
 
@@ -74,7 +74,7 @@
     return numbers
 
 
-_ENTRIES = _register(PLAIN + KINDS)
+_ENTRIES = _register(UNENVELOPED + KINDS)
 _MESSAGES = _by_number(KINDS)
 
 
--- a/packages/protocol/src/hollyknot_protocol/_convert.py
+++ b/packages/protocol/src/hollyknot_protocol/_convert.py
@@ -26,7 +26,7 @@
 Convert = Callable[[Any], Any]
 
 _INTEGERS = (TType.I16, TType.I32, TType.I64)
-_PLAIN = {
+_SCALAR_TTYPES = {
     int: _INTEGERS,
     bool: (TType.BOOL,),
     float: (TType.DOUBLE,),
@@ -59,11 +59,11 @@
     from_wire: Convert
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
-_SAME = _Pair(_same, _same)
+_IDENTITY = _Pair(_identity, _identity)
 
 
 def make_converter(message: type[Any], struct: type[Any]) -> Converter:
@@ -114,7 +114,7 @@
     steps = [
         (i, pairs[name].to_wire)
         for i, name in enumerate(order)
-        if pairs[name].to_wire is not _same
+        if pairs[name].to_wire is not _identity
     ]
     if not steps:
         return lambda message: struct(*values_of(message))
@@ -136,7 +136,7 @@
     steps = [
         (i, pairs[name].from_wire)
         for i, name in enumerate(names)
-        if pairs[name].from_wire is not _same
+        if pairs[name].from_wire is not _identity
     ]
 
     def from_struct(struct: Any) -> Any:
@@ -146,19 +146,21 @@
                 values[i] = convert(values[i])
         for value in values:
             if value is None:
-                return message(**_present(names, values))
+                return message(**_present_fields(names, values))
         return message(*values)
 
     return from_struct
 
 
-def _present(names: tuple[str, ...], values: list[Any]) -> dict[str, Any]:
+def _present_fields(
+    names: tuple[str, ...], values: list[Any]
+) -> dict[str, Any]:
     """Returns the fields to give; the class gives absent ones its default."""
     pairs = zip(names, values, strict=True)
     return {name: value for name, value in pairs if value is not None}
 
 
-def _make_pair(place: str, hint: Any, ttype: int, args: Any) -> _Pair:
+def _make_pair(field_name: str, hint: Any, ttype: int, args: Any) -> _Pair:
     """Returns the converters of one type.
 
     Args:
@@ -170,12 +172,12 @@
     hint = _without_none(hint)
     origin = typing.get_origin(hint)
     if origin is None and isinstance(hint, type):
-        pair = _make_scalar_pair(place, hint, ttype, args)
+        pair = _make_scalar_pair(field_name, hint, ttype, args)
     else:
-        pair = _make_container_pair(place, hint, ttype, args)
+        pair = _make_container_pair(field_name, hint, ttype, args)
     if pair is None:
         raise TypeError(
-            f"{place}: {hint} does not fit its thrift type; see the list at"
+            f"{field_name}: {hint} does not fit its thrift type; see the list at"
             " the head of hollyknot_protocol/_convert.py"
         )
     return pair
@@ -190,7 +192,7 @@
 
 
 def _make_scalar_pair(
-    place: str, hint: type[Any], ttype: int, args: Any
+    field_name: str, hint: type[Any], ttype: int, args: Any
 ) -> _Pair | None:
     if attrs.has(hint):
         if ttype != TType.STRUCT:
@@ -198,18 +200,18 @@
         nested = make_converter(hint, args[0])
         return _Pair(nested.to_struct, nested.from_struct)
     if issubclass(hint, enum.Enum):
-        return _make_enum_pair(place, hint, ttype)
+        return _make_enum_pair(field_name, hint, ttype)
     if hint is int and ttype == TType.STRING and args == _BINARY:
         return _Pair(_u64_to_wire, _u64_from_wire)
-    if ttype not in _PLAIN.get(hint, ()):
+    if ttype not in _SCALAR_TTYPES.get(hint, ()):
         return None
     if hint in (str, bytes) and (hint is bytes) != (args == _BINARY):
         return None
-    return _SAME
+    return _IDENTITY
 
 
 def _make_enum_pair(
-    place: str, hint: type[enum.Enum], ttype: int
+    field_name: str, hint: type[enum.Enum], ttype: int
 ) -> _Pair | None:
     values = {member.value: member for member in hint}
     wanted = str if ttype == TType.STRING else int
@@ -220,7 +222,9 @@
     def from_wire(value: Any) -> enum.Enum:
         member = values.get(value)
         if member is None:
-            raise UnknownValueError(f"{place}: {value!r} is not known here")
+            raise UnknownValueError(
+                f"{field_name}: {value!r} is not known here"
+            )
         return member
 
     return _Pair(operator.attrgetter("value"), from_wire)
@@ -237,37 +241,39 @@
 
 
 def _make_container_pair(
-    place: str, hint: Any, ttype: int, args: Any
+    field_name: str, hint: Any, ttype: int, args: Any
 ) -> _Pair | None:
     origin, params = typing.get_origin(hint), typing.get_args(hint)
     if origin is dict and ttype == TType.MAP:
-        keys = _make_pair(place, params[0], args[0], args[1])
-        values = _make_pair(place, params[1], args[2], args[3])
+        keys = _make_pair(field_name, params[0], args[0], args[1])
+        values = _make_pair(field_name, params[1], args[2], args[3])
         return _make_map_pair(keys, values)
     if origin is tuple and ttype == TType.LIST and params[1:] == (...,):
-        items = _make_pair(place, params[0], args[0], args[1])
+        items = _make_pair(field_name, params[0], args[0], args[1])
         return _make_items_pair(items, list, tuple)
     if origin is frozenset and ttype == TType.SET:
-        items = _make_pair(place, params[0], args[0], args[1])
+        items = _make_pair(field_name, params[0], args[0], args[1])
         return _make_items_pair(items, set, frozenset)
     return None
 
 
 def _make_items_pair(
-    items: _Pair, wire: Callable[[Any], Any], ours: Callable[[Any], Any]
+    items: _Pair,
+    wire_type: Callable[[Any], Any],
+    attrs_type: Callable[[Any], Any],
 ) -> _Pair:
-    if items is _SAME:
-        return _Pair(wire, ours)
+    if items is _IDENTITY:
+        return _Pair(wire_type, attrs_type)
     to_wire, from_wire = items.to_wire, items.from_wire
     return _Pair(
-        lambda value: wire([to_wire(v) for v in value]),
-        lambda value: ours([from_wire(v) for v in value]),
+        lambda value: wire_type([to_wire(v) for v in value]),
+        lambda value: attrs_type([from_wire(v) for v in value]),
     )
 
 
 def _make_map_pair(keys: _Pair, values: _Pair) -> _Pair:
-    if keys is _SAME and values is _SAME:
-        return _Pair(_same, dict)
+    if keys is _IDENTITY and values is _IDENTITY:
+        return _Pair(_identity, dict)
     key_to, key_from = keys.to_wire, keys.from_wire
     value_to, value_from = values.to_wire, values.from_wire
     return _Pair(
--- a/packages/protocol/src/hollyknot_protocol/_handshake.py
+++ b/packages/protocol/src/hollyknot_protocol/_handshake.py
@@ -46,7 +46,7 @@
     return mac.digest()
 
 
-def is_proved(
+def is_valid_proof(
     keys: Sequence[bytes],
     mac: bytes,
     side: Side,
--- a/packages/protocol/src/hollyknot_protocol/_kinds.py
+++ b/packages/protocol/src/hollyknot_protocol/_kinds.py
@@ -40,7 +40,7 @@
         return self.message.__name__
 
 
-PLAIN = (
+UNENVELOPED = (
     Kind(0, _peer.Hello, peer.Hello),
     Kind(0, _peer.Proof, peer.Proof),
     Kind(0, _peer.Envelope, peer.Envelope),
--- a/packages/protocol/src/hollyknot_protocol/_packed_uses.py
+++ b/packages/protocol/src/hollyknot_protocol/_packed_uses.py
@@ -16,15 +16,15 @@
 from hollyknot_protocol._errors import MalformedMessageError
 from hollyknot_state import UpstreamUse
 
-TOKENS_A_UNIT = 16
+TOKENS_PER_UNIT = 16
 """Rounded up, so that a short prompt is not told as none; the most that fits
 is a million tokens."""
 
 _HEAD = struct.Struct(">IBBH")
 _URGENCY = struct.Struct(">BH")
-_MOST_COUNT = 255
-_MOST_UNITS = 65_535
-_MOST_URGENCIES = 16
+_MAX_COUNT = 255
+_MAX_UNITS = 65_535
+_MAX_URGENCIES = 16
 
 
 def pack_uses(uses: Sequence[UpstreamUse]) -> bytes:
@@ -39,10 +39,10 @@
         MalformedMessageError: They end within one.
     """
     uses = []
-    place = 0
+    offset = 0
     try:
-        while place < len(data):
-            use, place = _unpack(data, place)
+        while offset < len(data):
+            use, offset = _unpack(data, offset)
             uses.append(use)
     except struct.error as error:
         raise MalformedMessageError(f"uses: {error}") from error
@@ -52,33 +52,33 @@
 def _pack(use: UpstreamUse) -> bytes:
     counts = use.urgencies
     tokens = use.waiting_tokens
-    length = min(max(len(counts), len(tokens)), _MOST_URGENCIES)
+    length = min(max(len(counts), len(tokens)), _MAX_URGENCIES)
     counts = counts.ljust(length, b"\0")
     tokens += (0,) * (length - len(tokens))
     present = [n for n in range(length) if counts[n] or tokens[n]]
     parts = [
         _HEAD.pack(
             use.upstream,
-            min(use.waiting, _MOST_COUNT),
-            min(use.running, _MOST_COUNT),
+            min(use.waiting, _MAX_COUNT),
+            min(use.running, _MAX_COUNT),
             sum(1 << n for n in present),
         )
     ]
     for n in present:
-        units = -(-tokens[n] // TOKENS_A_UNIT)
-        parts.append(_URGENCY.pack(counts[n], min(units, _MOST_UNITS)))
+        units = -(-tokens[n] // TOKENS_PER_UNIT)
+        parts.append(_URGENCY.pack(counts[n], min(units, _MAX_UNITS)))
     return b"".join(parts)
 
 
-def _unpack(data: bytes, place: int) -> tuple[UpstreamUse, int]:
-    upstream, waiting, running, present = _HEAD.unpack_from(data, place)
-    place += _HEAD.size
+def _unpack(data: bytes, offset: int) -> tuple[UpstreamUse, int]:
+    upstream, waiting, running, present = _HEAD.unpack_from(data, offset)
+    offset += _HEAD.size
     counts = [0] * present.bit_length()
     tokens = [0] * present.bit_length()
     for n in range(present.bit_length()):
         if present >> n & 1:
-            counts[n], units = _URGENCY.unpack_from(data, place)
-            tokens[n] = units * TOKENS_A_UNIT
-            place += _URGENCY.size
+            counts[n], units = _URGENCY.unpack_from(data, offset)
+            tokens[n] = units * TOKENS_PER_UNIT
+            offset += _URGENCY.size
     use = UpstreamUse(upstream, tuple(tokens), waiting, running, bytes(counts))
-    return use, place
+    return use, offset
--- a/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
@@ -29,7 +29,7 @@
     kind_of,
 )
 from hollyknot_protocol._convert import make_converter
-from hollyknot_protocol._kinds import KINDS, PLAIN, Kind
+from hollyknot_protocol._kinds import KINDS, UNENVELOPED, Kind
 from hollyknot_protocol.gen.peer import ttypes
 from hollyknot_state import Address
 
@@ -37,7 +37,7 @@
     derandomize=True, deadline=None, database=None, max_examples=50
 )
 
-_ALL = PLAIN + KINDS
+_ALL = UNENVELOPED + KINDS
 _BITS = {TType.I16: 16, TType.I32: 32, TType.I64: 64}
 _REFUSAL = kind_of(CallRefusal(CallRefusalReason.FAILED)).number
 
@@ -166,10 +166,10 @@
         with pytest.raises(MalformedMessageError, match="reason"):
             decode(_REFUSAL, _write(ttypes.CallRefusal()))
 
-    def test_an_unknown_kind_is_told(self) -> None:
+    def test_an_unknown_kind_is_returned_as_unknown(self) -> None:
         assert decode(9_999, b"x") == Unknown(9_999, UnknownReason.KIND)
 
-    def test_an_unknown_value_makes_the_whole_unknown(self) -> None:
+    def test_an_unknown_value_makes_the_message_unknown(self) -> None:
         body = _write(ttypes.CallRefusal("new"))
         found = decode(_REFUSAL, body)
         assert isinstance(found, Unknown)
@@ -191,12 +191,12 @@
             Envelope(body=typing.cast(bytes, 7)),
         ],
     )
-    def test_is_told_by_one_error(self, message: Any) -> None:
+    def test_unencodable_message_raises_one_error(self, message: Any) -> None:
         with pytest.raises(UnencodableMessageError):
             encode(message)
 
 
-class TestRubbish:
+class TestMalformedBytes:
     """Bytes that are no messages."""
 
     @pytest.mark.parametrize("kind", _ALL, ids=_name)
@@ -242,14 +242,16 @@
         ids=range(11),
     )
     @pytest.mark.parametrize("kind", _ALL, ids=_name)
-    def test_lies_cost_no_memory(self, kind: Kind, body: bytes) -> None:
+    def test_false_lengths_reserve_no_memory(
+        self, kind: Kind, body: bytes
+    ) -> None:
         """A host is killed for its memory, or by a stack overflow.
 
         A peer sends a few bytes that claim a list of two thousand million
         elements, or structs nested a million deep; a decoder that believes
         the length reserves 16 GB, one that follows the nesting crashes.
         """
-        assert _peak_of_rubbish(kind, body) <= 16 * len(body) + 65_536
+        assert _peak_memory_bytes(kind, body) <= 16 * len(body) + 65_536
 
 
 def _decode_rubbish(kind: Kind, body: bytes) -> None:
@@ -260,7 +262,7 @@
     assert isinstance(message, kind.message)
 
 
-def _peak_of_rubbish(kind: Kind, body: bytes) -> int:
+def _peak_memory_bytes(kind: Kind, body: bytes) -> int:
     """Returns the bytes that were reserved at most."""
     tracemalloc.start()
     try:
--- a/packages/protocol/src/hollyknot_protocol/tests/test_frames.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_frames.py
@@ -10,7 +10,7 @@
     FrameError,
     FrameParser,
     Side,
-    is_proved,
+    is_valid_proof,
     make_mac,
     pack_frame,
 )
@@ -86,7 +86,7 @@
             (b"old", Side.DIALLER, b"ab", b"", False),
         ],
     )
-    def test_holds_for_one_key_side_and_pair_of_hellos(
+    def test_proof_is_valid_for_one_key_side_and_pair_of_hellos(
         self,
         key: bytes,
         side: Side,
@@ -96,5 +96,5 @@
     ) -> None:
         mac = make_mac(key, side, dialler, accepter)
         keys = [b"old", b"new"]
-        assert is_proved(keys, mac, Side.DIALLER, b"a", b"b") is proved
-        assert not is_proved(keys, mac[:-1], Side.DIALLER, b"a", b"b")
+        assert is_valid_proof(keys, mac, Side.DIALLER, b"a", b"b") is proved
+        assert not is_valid_proof(keys, mac[:-1], Side.DIALLER, b"a", b"b")
--- a/packages/protocol/src/hollyknot_protocol/tests/test_packed_uses.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_packed_uses.py
@@ -9,7 +9,7 @@
     pack_uses,
     unpack_uses,
 )
-from hollyknot_protocol._packed_uses import TOKENS_A_UNIT
+from hollyknot_protocol._packed_uses import TOKENS_PER_UNIT
 from hollyknot_state import UpstreamUse
 
 _COUNT = st.integers(0, 255)
@@ -46,13 +46,13 @@
             tokens_again, counts_again = _padded(again)
             assert counts_again == counts
             for before, after in zip(tokens, tokens_again, strict=True):
-                assert before <= after < before + TOKENS_A_UNIT
+                assert before <= after < before + TOKENS_PER_UNIT
 
     def test_counts_that_do_not_fit_are_cut(self) -> None:
         use = UpstreamUse(1, (10**9,), 999, 999, b"\xff")
         found = unpack_uses(pack_uses([use]))[0]
         assert (found.waiting, found.running) == (255, 255)
-        assert found.waiting_tokens == (65_535 * TOKENS_A_UNIT,)
+        assert found.waiting_tokens == (65_535 * TOKENS_PER_UNIT,)
 
     def test_one_busy_upstream_takes_fourteen_bytes(self) -> None:
         use = UpstreamUse(2**31 - 1, (0, 0, 0, 5000, 900), 2, 3, b"\0\0\0\1\4")
@@ -66,7 +66,7 @@
             return
         assert all(use.waiting >= 0 for use in uses)
 
-    def test_a_torn_one_is_refused(self) -> None:
+    def test_truncated_bytes_are_refused(self) -> None:
         use = UpstreamUse(7, (100,), 1, 0, b"\1")
         with pytest.raises(MalformedMessageError):
             unpack_uses(pack_uses([use])[:-1])
--- a/packages/transport/src/hollyknot_transport/_links_handshake.py
+++ b/packages/transport/src/hollyknot_transport/_links_handshake.py
@@ -13,7 +13,7 @@
     Side,
     decode_as,
     encode,
-    is_proved,
+    is_valid_proof,
     make_mac,
     pack_frame,
 )
@@ -119,7 +119,7 @@
     hellos: _Hellos,
 ) -> None:
     proof = decode_as(Proof, await _receive(stream, counters, "Proof"))
-    if not is_proved(
+    if not is_valid_proof(
         credentials.keys, proof.mac, side, hellos.dialler, hellos.accepter
     ):
         raise NotProvedError(
--- a/packages/transport/src/hollyknot_transport/tests/links_harness.py
+++ b/packages/transport/src/hollyknot_transport/tests/links_harness.py
@@ -23,17 +23,17 @@
 )
 
 IP = "127.0.0.1"
-GUARD_S = 60.0
+TEST_TIMEOUT_S = 60.0
 """Ends a test that would hang; far above what any takes."""
 
-LONG_S = 50.0
-SHORT_S = 0.05
+LONG_TIMEOUT_S = 50.0
+SHORT_TIMEOUT_S = 0.05
 """Only for waits that are meant to run out."""
 
-ASK = CallRefusal(CallRefusalReason.OVERLOADED)
+ANY_MESSAGE = CallRefusal(CallRefusalReason.OVERLOADED)
 """Some message that goes both ways; its meaning plays no part."""
 
-QUIET = LinkLimits(sweep_s=3600.0)
+NO_SWEEPS = LinkLimits(sweep_s=3600.0)
 """Sweeps are called by the tests, with the time that they choose."""
 
 
@@ -44,7 +44,7 @@
     """Runs a test on the loop that hosts use."""
 
     async def guarded() -> None:
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
     uvloop.run(guarded())
@@ -62,17 +62,17 @@
         self.server = server
         self.pool = pool
         self.now_s = 1000.0
-        self.seen: list[tuple[PeerIdentity, Message, str]] = []
+        self.received: list[tuple[PeerIdentity, Message, str]] = []
         self.answer: Callable[[], Awaitable[Any]] = pong
 
     async def call(
-        self, timeout_s: float = LONG_S, port: int = 0, **extra: Any
+        self, timeout_s: float = LONG_TIMEOUT_S, port: int = 0, **extra: Any
     ) -> Any:
         at = port or self.server.port
-        return await self.pool.call(IP, at, ASK, timeout_s, **extra)
+        return await self.pool.call(IP, at, ANY_MESSAGE, timeout_s, **extra)
 
-    async def has_seen(self, number: int) -> None:
-        await until(lambda: len(self.seen) == number)
+    async def wait_until_received(self, number: int) -> None:
+        await wait_until(lambda: len(self.received) == number)
 
 
 async def pong() -> Pong:
@@ -84,12 +84,12 @@
 async def hosts(
     dialler: LinkCredentials | None = None,
     accepter: LinkCredentials | None = None,
-    limits: LinkLimits = QUIET,
+    limits: LinkLimits = NO_SWEEPS,
 ) -> AsyncIterator[Host]:
     """Gives a server and a pool, and closes them."""
 
     async def handle(peer: PeerIdentity, message: Message, trace: str) -> Any:
-        host.seen.append((peer, message, trace))
+        host.received.append((peer, message, trace))
         return await host.answer()
 
     server = LinkServer(
@@ -110,7 +110,7 @@
         yield host
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Waits for what the other end of a socket does."""
     while not condition():
         await asyncio.sleep(0.001)
--- a/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
@@ -15,7 +15,7 @@
 
 
 @contextlib.asynccontextmanager
-async def answered_by(send: Send) -> AsyncIterator[aiohttp.ClientResponse]:
+async def start_response(send: Send) -> AsyncIterator[aiohttp.ClientResponse]:
     """Yields the answer of a server that sends by the function."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
@@ -35,36 +35,36 @@
         yield await stack.enter_async_context(session.get(url))
 
 
-async def relayed(
+async def run_relay(
     send: Send, take_now: TakeNow, on_part: Callable[[], None] = lambda: None
 ) -> tuple[list[bytes], int]:
     """Returns the parts in the order they were taken, and those by task."""
     parts: list[bytes] = []
-    by_task = 0
+    forwarded_by_task = 0
 
-    def note(part: bytes) -> bool:
-        is_taken = take_now(part)
-        if is_taken:
+    def forward_now(part: bytes) -> bool:
+        is_forwarded = take_now(part)
+        if is_forwarded:
             parts.append(part)
             on_part()
-        return is_taken
+        return is_forwarded
 
-    async def take(part: bytes) -> None:
-        nonlocal by_task
-        by_task += 1
+    async def forward(part: bytes) -> None:
+        nonlocal forwarded_by_task
+        forwarded_by_task += 1
         parts.append(part)
         on_part()
 
     # A stall must fail the test, not hang it.
-    async with asyncio.timeout(20), answered_by(send) as response:
-        await relay(response.content, note, take)
-    return parts, by_task
+    async with asyncio.timeout(20), start_response(send) as response:
+        await relay(response.content, forward_now, forward)
+    return parts, forwarded_by_task
 
 
 class TestDirectRelay:
     """The parser calls back, and no part is lost, doubled or moved."""
 
-    def test_parts_come_from_within_the_parser(self) -> None:
+    def test_parts_are_forwarded_from_within_the_parser(self) -> None:
         """Symptom: a token costs a turn of the loop and a step of a task.
 
         Sequence: an answer comes part by part, each sent only when the one
@@ -73,21 +73,21 @@
         """
 
         async def run() -> tuple[list[bytes], int]:
-            taken = asyncio.Semaphore(0)
+            forwarded = asyncio.Semaphore(0)
 
             async def send(response: web.StreamResponse) -> None:
                 for number in range(50):
                     await response.write(b"part %d;" % number)
-                    await taken.acquire()
+                    await forwarded.acquire()
 
-            return await relayed(send, lambda _: True, taken.release)
+            return await run_relay(send, lambda _: True, forwarded.release)
 
-        parts, by_task = asyncio.run(run())
+        parts, forwarded_by_task = asyncio.run(run())
         assert parts == [b"part %d;" % n for n in range(50)]
-        assert by_task <= 1
+        assert forwarded_by_task <= 1
 
     @pytest.mark.parametrize(
-        "is_taken",
+        "is_forwarded",
         [
             pytest.param(lambda number, _: number < 3000, id="first parts"),
             pytest.param(lambda _, rng: rng.random() < 0.5, id="half"),
@@ -95,8 +95,8 @@
             pytest.param(lambda *_: False, id="none"),
         ],
     )
-    def test_any_mix_of_ways_keeps_the_body(
-        self, is_taken: Callable[[int, random.Random], bool]
+    def test_any_mix_of_both_paths_keeps_the_body(
+        self, is_forwarded: Callable[[int, random.Random], bool]
     ) -> None:
         """Symptom: a long stream stops for good, or its parts change places.
 
@@ -114,9 +114,9 @@
                     await asyncio.sleep(0)
 
         def take_now(part: bytes) -> bool:
-            return is_taken(int(part[:-1]), rng)
+            return is_forwarded(int(part[:-1]), rng)
 
-        parts, _ = asyncio.run(relayed(send, take_now))
+        parts, _ = asyncio.run(run_relay(send, take_now))
         assert b"".join(parts) == b"".join(body)
 
     def test_body_that_ends_early_is_an_error(self) -> None:
@@ -135,26 +135,28 @@
             request.transport.close()
 
         with pytest.raises(aiohttp.ClientPayloadError):
-            asyncio.run(relayed(send, lambda _: True))
+            asyncio.run(run_relay(send, lambda _: True))
 
-    def test_error_of_the_taker_is_met_by_the_task(self) -> None:
+    def test_error_of_the_receiver_is_raised_by_the_task(self) -> None:
         """Symptom: a caller that went away is told as a bad upstream.
 
         Sequence: the taker raises within the parser. Cause: the parser takes
         any exception for a body that it can't read.
         """
 
-        def fails(_: bytes) -> bool:
+        def raise_connection_error(_: bytes) -> bool:
             raise ConnectionError
 
         async def run() -> tuple[list[bytes], int]:
-            taken = asyncio.Semaphore(0)
+            forwarded = asyncio.Semaphore(0)
 
             async def send(response: web.StreamResponse) -> None:
                 await response.write(b"one")
-                await taken.acquire()
+                await forwarded.acquire()
                 await response.write(b"two")
 
-            return await relayed(send, fails, taken.release)
+            return await run_relay(
+                send, raise_connection_error, forwarded.release
+            )
 
         assert asyncio.run(run()) == ([b"one", b"two"], 2)
--- a/packages/transport/src/hollyknot_transport/tests/test_caller_server.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_caller_server.py
@@ -54,7 +54,7 @@
         return True
 
 
-def _later() -> float:
+def _after_head_timeout() -> float:
     return asyncio.get_running_loop().time() + HEAD_TIMEOUT_S + 1
 
 
@@ -70,7 +70,9 @@
             (_HEAD + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", b" 400 "),
         ],
     )
-    def test_names_no_library(self, sent: bytes, status: bytes) -> None:
+    def test_server_header_hides_the_library(
+        self, sent: bytes, status: bytes
+    ) -> None:
         async def test(_: CallerServer, connection: Connection) -> None:
             reader, writer = connection
             writer.write(sent)
@@ -85,7 +87,9 @@
     """Connections that hold a descriptor and do nothing."""
 
     @pytest.mark.parametrize("head", [b"", _HEAD, _HEAD + b"X-A: "])
-    def test_head_that_never_ends_is_closed(self, head: bytes) -> None:
+    def test_incomplete_head_is_closed_after_the_timeout(
+        self, head: bytes
+    ) -> None:
         """A connection without a whole head is closed after a bound.
 
         Symptom: the host accepts no more callers: no file descriptor is left.
@@ -99,24 +103,24 @@
             writer.write(head)
             await writer.drain()
             assert server.sweep(asyncio.get_running_loop().time()) == 0
-            assert server.sweep(_later()) == 1
+            assert server.sweep(_after_head_timeout()) == 1
             assert await _is_closed(reader)
 
         _run(test)
 
-    def test_request_in_work_is_left_alone(self) -> None:
+    def test_sweep_keeps_a_connection_with_a_request(self) -> None:
         async def test(server: CallerServer, connection: Connection) -> None:
             reader, writer = connection
             writer.write(_HEAD + b"Content-Length: 2\r\n\r\n{")
             while not server.in_work:
                 await asyncio.sleep(0)
-            assert server.sweep(_later()) == 0
+            assert server.sweep(_after_head_timeout()) == 0
             writer.write(b"}")
             assert b" 400 " in await reader.readline()
 
         _run(test)
 
-    def test_caller_that_waits_to_be_asked_is_asked(self) -> None:
+    def test_expect_100_continue_is_answered(self) -> None:
         """A body announced by `Expect` is asked for.
 
         Symptom: large requests of common clients take a second longer, or
@@ -137,7 +141,7 @@
 
         _run(test)
 
-    def test_body_that_never_ends_is_refused(
+    def test_incomplete_body_is_refused_after_the_timeout(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A body that does not arrive in time is answered by 408.
--- a/packages/transport/src/hollyknot_transport/tests/test_exchange.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_exchange.py
@@ -35,14 +35,14 @@
         "messages": [{"role": "user", "content": "which rate?"}],
     }
 )
-HELD_MAX_BYTES = 1_048_576
-LONG = 250_000
+MAX_HELD_BYTES = 1_048_576
+LONG_ANSWER_TOKENS = 250_000
 """Tokens of an answer (some 45 MB) that is larger than all the buffers that
 two connections may have in the kernel."""
 
 
 @attrs.define
-class Relay:
+class RelayHost:
     """A small host: one engine, one caller's server, no decisions.
 
     Attributes:
@@ -70,29 +70,29 @@
         self, content: StreamReader, take_now: TakeNow, take: Take
     ) -> None:
         """Relays, and notes what lies between the two sockets."""
-        taken = 0
+        forwarded = 0
 
-        def note(size: int) -> None:
-            nonlocal taken
-            taken += size
+        def record_held(size: int) -> None:
+            nonlocal forwarded
+            forwarded += size
             transport = self.requests[-1].transport
-            kept = transport.get_write_buffer_size() if transport else 0
-            self.held = max(self.held, content.total_bytes - taken + kept)
+            unsent = transport.get_write_buffer_size() if transport else 0
+            self.held = max(self.held, content.total_bytes - forwarded + unsent)
 
-        def now(data: bytes) -> bool:
-            is_taken = take_now(data)
-            if is_taken:
+        def forward_now(data: bytes) -> bool:
+            is_forwarded = take_now(data)
+            if is_forwarded:
                 # The reader counts a part when it was taken.
-                note(0)
-                nonlocal taken
-                taken += len(data)
-            return is_taken
+                record_held(0)
+                nonlocal forwarded
+                forwarded += len(data)
+            return is_forwarded
 
-        async def slowly(data: bytes) -> None:
+        async def forward_slowly(data: bytes) -> None:
             await take(data)
-            note(len(data))
+            record_held(len(data))
 
-        await relay(content, now, slowly)
+        await relay(content, forward_now, forward_slowly)
 
     async def handle(
         self, exchanges: Exchanges, request: web.BaseRequest
@@ -100,7 +100,7 @@
         """Answers a caller."""
         self.requests.append(request)
         response = CallerResponse(request, "req-1", True)
-        asked = UpstreamRequest(
+        upstream_request = UpstreamRequest(
             url=self.engine_url + PATH,
             method="POST",
             headers={"X-Request-Id": "req-1"},
@@ -111,21 +111,21 @@
             first_byte_s=60.0,
             next_bytes_s=60.0,
         )
-        result = await exchanges.run(asked, response.sink())
+        result = await exchanges.run(upstream_request, response.sink())
         self.results.append(result)
         refusal = Refusal(502, result.verdict)
         return await response.finish(result.verdict, refusal)
 
 
 @contextlib.asynccontextmanager
-async def relaying(
+async def running_relay(
     options: EngineOptions, monkeypatch: pytest.MonkeyPatch
-) -> AsyncIterator[Relay]:
+) -> AsyncIterator[RelayHost]:
     """Runs an engine and a server that relays its streams."""
     async with contextlib.AsyncExitStack() as stack:
         engine = await stack.enter_async_context(start_engine(options))
         address = engine.address
-        found = Relay(engine.control, f"http://{address.ip}:{address.port}")
+        found = RelayHost(engine.control, f"http://{address.ip}:{address.port}")
         monkeypatch.setattr(_exchange, "relay", found.relay)
         exchanges = Exchanges(StallGuard())
         stack.push_async_callback(exchanges.close)
@@ -137,7 +137,9 @@
         yield found
 
 
-async def until(condition: Callable[[], bool], polls: int = 20_000) -> None:
+async def wait_until(
+    condition: Callable[[], bool], polls: int = 20_000
+) -> None:
     """Polls a condition; fails after so many polls."""
     for _ in range(polls):
         if condition():
@@ -146,7 +148,7 @@
     raise AssertionError("the condition never held")
 
 
-async def until_running(relay: Relay, count: int) -> bool:
+async def wait_until_running(relay: RelayHost, count: int) -> bool:
     """Polls until the engine runs so many sequences; False if it never does."""
     async with aiohttp.ClientSession() as session:
         for _ in range(2000):
@@ -156,8 +158,8 @@
     return False
 
 
-async def ask(
-    relay: Relay, version: str = "1.1"
+async def send_request(
+    relay: RelayHost, version: str = "1.1"
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Asks for a stream by a connection that reads no more than it must."""
     reader, writer = await asyncio.open_connection(
@@ -178,7 +180,7 @@
 class TestStreams:
     """A stream comes whole, or is told to be not whole."""
 
-    def test_slow_caller_holds_the_engine_up(
+    def test_slow_caller_does_not_fill_the_hosts_memory(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Symptom: a host is killed, for it has taken all of the memory.
@@ -187,12 +189,14 @@
         and then reads on. Cause: the host reads from the engine and writes to
         the transport without regard to what the caller takes.
         """
-        options = EngineOptions(min_tokens=LONG, max_tokens=LONG)
+        options = EngineOptions(
+            min_tokens=LONG_ANSWER_TOKENS, max_tokens=LONG_ANSWER_TOKENS
+        )
 
         async def run() -> tuple[int, bytes]:
-            async with relaying(options, monkeypatch) as relay:
-                reader, writer = await ask(relay)
-                await until(
+            async with running_relay(options, monkeypatch) as relay:
+                reader, writer = await send_request(relay)
+                await wait_until(
                     lambda: (
                         bool(relay.requests)
                         and relay.requests[0].protocol.writing_paused
@@ -207,19 +211,23 @@
                 return relay.held, tail
 
         held, tail = uvloop.run(run())
-        assert held < HELD_MAX_BYTES
+        assert held < MAX_HELD_BYTES
         assert b"data: [DONE]" in tail
         assert tail.endswith(b"0\r\n\r\n")
 
     @pytest.mark.parametrize(
         "options",
         [
-            EngineOptions(min_tokens=LONG, max_tokens=LONG, interval_s=0.001),
+            EngineOptions(
+                min_tokens=LONG_ANSWER_TOKENS,
+                max_tokens=LONG_ANSWER_TOKENS,
+                interval_s=0.001,
+            ),
             EngineOptions(first_token_s=3600.0),
         ],
         ids=["midway", "before the first token"],
     )
-    def test_caller_that_goes_ends_the_work(
+    def test_disconnected_caller_ends_the_engines_work(
         self, options: EngineOptions, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Symptom: engines are busy with answers that nobody reads.
@@ -229,15 +237,15 @@
         """
 
         async def run() -> int:
-            async with relaying(options, monkeypatch) as relay:
-                _, writer = await ask(relay)
-                assert await until_running(relay, 1)
+            async with running_relay(options, monkeypatch) as relay:
+                _, writer = await send_request(relay)
+                assert await wait_until_running(relay, 1)
                 writer.close()
-                return await until_running(relay, 0)
+                return await wait_until_running(relay, 0)
 
         assert uvloop.run(run())
 
-    def test_truncated_stream_is_told(
+    def test_truncated_stream_ends_with_an_error(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Symptom: a caller takes half of a finding for the whole.
@@ -247,7 +255,7 @@
         """
 
         async def run() -> tuple[bytes, Result]:
-            async with relaying(EngineOptions(), monkeypatch) as relay:
+            async with running_relay(EngineOptions(), monkeypatch) as relay:
                 relay.control.truncate = 5
                 got = b""
                 async with aiohttp.ClientSession() as session:
@@ -277,8 +285,8 @@
         """
 
         async def run() -> bytes:
-            async with relaying(EngineOptions(), monkeypatch) as relay:
-                reader, writer = await ask(relay, "1.0")
+            async with running_relay(EngineOptions(), monkeypatch) as relay:
+                reader, writer = await send_request(relay, "1.0")
                 got = await reader.read()
                 writer.close()
                 return got
--- a/packages/transport/src/hollyknot_transport/tests/test_links.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links.py
@@ -22,10 +22,10 @@
     PeerIdentity,
 )
 from hollyknot_transport.tests.links_harness import (
-    ASK,
+    ANY_MESSAGE,
     IP,
-    QUIET,
-    SHORT_S,
+    NO_SWEEPS,
+    SHORT_TIMEOUT_S,
     Message,
     credentials_of,
     hosts,
@@ -41,7 +41,7 @@
             async with hosts() as host:
                 assert await host.call(traceparent="00-1-2-01") == Pong()
                 peer = PeerIdentity("a", "hall-a", IP)
-                assert host.seen == [(peer, ASK, "00-1-2-01")]
+                assert host.received == [(peer, ANY_MESSAGE, "00-1-2-01")]
                 assert host.server.peers == (peer,)
 
         run(test())
@@ -49,23 +49,23 @@
     def test_late_replies_reach_their_own_calls(self) -> None:
         async def test() -> None:
             async with hosts() as host:
-                doors = [asyncio.Event() for _ in range(3)]
+                may_reply_events = [asyncio.Event() for _ in range(3)]
                 reasons = list(CallRefusalReason)
 
                 async def answer() -> Any:
-                    number = len(host.seen) - 1
-                    await doors[number].wait()
+                    number = len(host.received) - 1
+                    await may_reply_events[number].wait()
                     return CallRefusal(reasons[number])
 
                 host.answer = answer
                 calls = []
                 for number in range(3):
                     calls.append(asyncio.ensure_future(host.call()))
-                    await host.has_seen(number + 1)
-                for door in reversed(doors):
-                    door.set()
+                    await host.wait_until_received(number + 1)
+                for may_reply in reversed(may_reply_events):
+                    may_reply.set()
                     await asyncio.sleep(0)
-                details = [error.detail for error in await _all(calls)]
+                details = [error.detail for error in await _gather(calls)]
                 assert details == [reason.value for reason in reasons[:3]]
                 assert host.pool.counters.dialled == 1
 
@@ -75,10 +75,10 @@
         async def test() -> None:
             async with hosts() as host:
                 for _ in range(3):
-                    host.pool.post(IP, host.server.port, ASK)
-                await host.has_seen(3)
-                host.pool.post(IP, host.server.port, ASK)
-                await host.has_seen(4)
+                    host.pool.post(IP, host.server.port, ANY_MESSAGE)
+                await host.wait_until_received(3)
+                host.pool.post(IP, host.server.port, ANY_MESSAGE)
+                await host.wait_until_received(4)
                 assert host.pool.counters.dialled == 1
 
         run(test())
@@ -113,14 +113,14 @@
         run(test())
 
 
-async def _all(calls: list[Any]) -> list[Any]:
+async def _gather(calls: list[Any]) -> list[Any]:
     return list(await asyncio.gather(*calls))
 
 
 class TestErrors:
     """What a call's error says, and that it holds."""
 
-    def test_nothing_listens(self) -> None:
+    def test_call_to_a_closed_port_is_refused(self) -> None:
         async def test() -> None:
             async with hosts() as host:
                 with socket.socket() as unused:
@@ -129,7 +129,7 @@
                     error = await host.call(port=port)
                 assert error.reason is LinkErrorReason.REFUSED
                 assert not error.may_have_arrived
-                host.pool.post(IP, port, ASK)
+                host.pool.post(IP, port, ANY_MESSAGE)
                 assert host.pool.counters.dropped == 1
 
         run(test())
@@ -145,7 +145,7 @@
                 async with late:
                     error = await host.call(port=late.port)
                     assert error.reason is LinkErrorReason.REFUSED
-                    host.now_s += QUIET.backoff_first_s
+                    host.now_s += NO_SWEEPS.backoff_first_s
                     assert await host.call(port=late.port) == Pong()
 
         run(test())
@@ -153,11 +153,11 @@
     @pytest.mark.parametrize(
         ("fails", "may_have_arrived"), [(True, True), (False, False)]
     )
-    def test_a_call_that_is_not_served(
+    def test_an_unserved_call_says_whether_it_may_have_arrived(
         self, fails: bool, may_have_arrived: bool
     ) -> None:
         async def test() -> None:
-            limits = attrs.evolve(QUIET, max_running=256 if fails else 0)
+            limits = attrs.evolve(NO_SWEEPS, max_running=256 if fails else 0)
             async with hosts(limits=limits) as host:
 
                 async def answer() -> Any:
@@ -167,11 +167,11 @@
                 error = await host.call()
                 assert error.reason is LinkErrorReason.REJECTED
                 assert error.may_have_arrived is may_have_arrived
-                assert bool(host.seen) is may_have_arrived
+                assert bool(host.received) is may_have_arrived
 
         run(test())
 
-    def test_another_host_answers_at_the_address(self) -> None:
+    def test_a_message_is_not_delivered_to_another_host(self) -> None:
         """A claim is granted by a host that is not its holder.
 
         A host is replaced, another gets its address, and a message meant for
@@ -183,14 +183,16 @@
                 error = await host.call(expected_host="c")
                 assert error.reason is LinkErrorReason.REJECTED
                 assert not error.may_have_arrived
-                host.pool.post(IP, host.server.port, ASK, expected_host="c")
+                host.pool.post(
+                    IP, host.server.port, ANY_MESSAGE, expected_host="c"
+                )
                 assert await host.call(expected_host="b") == Pong()
-                assert len(host.seen) == 1
+                assert len(host.received) == 1
                 assert host.pool.counters.dropped == 1
 
         run(test())
 
-    def test_no_reply_in_time(self) -> None:
+    def test_a_call_without_reply_times_out(self) -> None:
         async def test() -> None:
             async with hosts() as host:
 
@@ -199,13 +201,13 @@
 
                 await host.call()
                 host.answer = answer
-                error = await host.call(timeout_s=SHORT_S)
+                error = await host.call(timeout_s=SHORT_TIMEOUT_S)
                 assert error.reason is LinkErrorReason.TIMEOUT
                 assert error.may_have_arrived
 
         run(test())
 
-    def test_the_peer_is_lost_while_calls_wait(self) -> None:
+    def test_every_waiting_call_ends_when_the_peer_is_lost(self) -> None:
         """Calls hang after their peer has gone.
 
         A host with calls in flight is killed; each of them must end, not just
@@ -216,20 +218,20 @@
             async with hosts() as host:
                 host.answer = asyncio.Event().wait
                 calls = [asyncio.ensure_future(host.call()) for _ in range(9)]
-                await host.has_seen(9)
+                await host.wait_until_received(9)
                 await host.server.__aexit__(None, None, None)
-                errors = await _all(calls)
+                errors = await _gather(calls)
                 assert {e.reason for e in errors} == {LinkErrorReason.LOST}
                 assert all(e.may_have_arrived for e in errors)
 
         run(test())
 
-    def test_a_closed_pool(self) -> None:
+    def test_closing_the_pool_ends_its_calls(self) -> None:
         async def test() -> None:
             async with hosts() as host:
                 host.answer = asyncio.Event().wait
                 call = asyncio.ensure_future(host.call())
-                await host.has_seen(1)
+                await host.wait_until_received(1)
                 await host.pool.__aexit__(None, None, None)
                 errors = [await call, await host.call()]
                 assert [e.reason for e in errors] == [
@@ -242,6 +244,6 @@
 
 
 async def _handle(_: PeerIdentity, message: Message, trace: str) -> Any:
-    assert message == ASK
+    assert message == ANY_MESSAGE
     assert not trace
     return Pong()
--- a/packages/transport/src/hollyknot_transport/tests/test_links_liveness.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links_liveness.py
@@ -69,16 +69,16 @@
             ),
         ],
     )
-    def test_says(self, steps: Steps) -> None:
+    def test_check_returns_the_action_that_is_due(self, steps: Steps) -> None:
         liveness = Liveness(_LIMITS, _LIMITS.idle_s, 0.0)
-        happen = {
+        handlers = {
             "sent": liveness.on_message_sent,
             "bytes": liveness.on_bytes,
             "use": liveness.on_use,
         }
         for name, now_s, *expected in steps:
-            if name in happen:
-                happen[name](now_s)
+            if name in handlers:
+                handlers[name](now_s)
                 continue
             action = liveness.check(now_s, is_reply_due=name == "due")
             assert [action] == expected, f"{name} at {now_s}"
@@ -88,7 +88,7 @@
     """The bounds of the queue, and frames whose sender gave up."""
 
     @pytest.mark.parametrize(
-        ("sizes", "room"),
+        ("sizes", "fits"),
         [
             ([], True),
             ([10, 10], True),
@@ -98,14 +98,14 @@
         ],
     )
     def test_is_bounded_by_messages_and_bytes(
-        self, sizes: list[int], room: bool
+        self, sizes: list[int], fits: bool
     ) -> None:
         outbox = Outbox(max_messages=3, max_bytes=100)
         for size in sizes:
             assert outbox.put(Outgoing("x", bytes(size)))
-        assert outbox.put(Outgoing("x", bytes(6))) is room
+        assert outbox.put(Outgoing("x", bytes(6))) is fits
 
-    def test_a_withdrawn_frame_is_never_written(self) -> None:
+    def test_a_cancelled_frame_is_never_written(self) -> None:
         """A request that was given up as not run runs all the same.
 
         A call times out while its frame is queued; its caller is told that
--- a/packages/transport/src/hollyknot_transport/tests/test_links_silence.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links_silence.py
@@ -12,27 +12,27 @@
 )
 from hollyknot_transport.tests.links_harness import (
     IP,
-    QUIET,
-    SHORT_S,
+    NO_SWEEPS,
+    SHORT_TIMEOUT_S,
     Host,
     hosts,
     run,
-    until,
+    wait_until,
 )
 
 
-class _Relay:
+class _TcpProxy:
     """Passes bytes between a dialler and a server, until it forgets."""
 
     def __init__(self, port: int) -> None:
         self._target = port
-        self._forgotten: set[int] = set()
+        self._dropped: set[int] = set()
         self._opened = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
         self.port = 0
 
-    async def __aenter__(self) -> "_Relay":
+    async def __aenter__(self) -> "_TcpProxy":
         self._server = await asyncio.start_server(self._serve, IP, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -44,18 +44,21 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def forget(self) -> None:
+    def drop_open_connections(self) -> None:
         """Drops, from now on, what comes on the connections that are open."""
-        self._forgotten |= set(range(self._opened))
+        self._dropped |= set(range(self._opened))
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         number = self._opened
         self._opened += 1
-        far = await asyncio.open_connection(IP, self._target)
-        self._writers += [writer, far[1]]
-        for source, sink in ((reader, far[1]), (far[0], writer)):
+        far_streams = await asyncio.open_connection(IP, self._target)
+        self._writers += [writer, far_streams[1]]
+        for source, sink in (
+            (reader, far_streams[1]),
+            (far_streams[0], writer),
+        ):
             self._tasks.add(
                 asyncio.ensure_future(self._pass(number, source, sink))
             )
@@ -67,7 +70,7 @@
         sink: asyncio.StreamWriter,
     ) -> None:
         while data := await source.read(65_536):
-            if number not in self._forgotten:
+            if number not in self._dropped:
                 sink.write(data)
         sink.close()
 
@@ -83,24 +86,24 @@
         """
 
         async def test() -> None:
-            async with hosts() as host, _Relay(host.server.port) as relay:
-                assert await host.call(port=relay.port) == Pong()
-                relay.forget()
-                call = asyncio.ensure_future(host.call(port=relay.port))
-                await _carried(host, "CallRefusal", 2)
-                host.pool.sweep(host.now_s + QUIET.ping_after_s)
+            async with hosts() as host, _TcpProxy(host.server.port) as proxy:
+                assert await host.call(port=proxy.port) == Pong()
+                proxy.drop_open_connections()
+                call = asyncio.ensure_future(host.call(port=proxy.port))
+                await _wait_for_traffic(host, "CallRefusal", 2)
+                host.pool.sweep(host.now_s + NO_SWEEPS.ping_after_s)
                 assert not call.done()
-                later_s = QUIET.ping_after_s + QUIET.stall_s
+                later_s = NO_SWEEPS.ping_after_s + NO_SWEEPS.stall_s
                 host.pool.sweep(host.now_s + later_s)
                 error = await call
                 assert error.reason is LinkErrorReason.LOST
                 assert error.may_have_arrived
                 assert host.pool.counters.stalled == 1
-                assert await host.call(port=relay.port) == Pong()
+                assert await host.call(port=proxy.port) == Pong()
 
         run(test())
 
-    def test_a_timeout_without_a_byte_moves_the_next_call(self) -> None:
+    def test_a_call_after_a_timeout_uses_a_new_link(self) -> None:
         """Call after call is lost on one silent link.
 
         The link is silent, each call has a timeout below the time that it
@@ -108,33 +111,33 @@
         """
 
         async def test() -> None:
-            async with hosts() as host, _Relay(host.server.port) as relay:
-                assert await host.call(port=relay.port) == Pong()
+            async with hosts() as host, _TcpProxy(host.server.port) as proxy:
+                assert await host.call(port=proxy.port) == Pong()
                 host.now_s += 1.0
-                relay.forget()
-                error = await host.call(SHORT_S, port=relay.port)
+                proxy.drop_open_connections()
+                error = await host.call(SHORT_TIMEOUT_S, port=proxy.port)
                 assert error.reason is LinkErrorReason.TIMEOUT
-                assert await host.call(port=relay.port) == Pong()
+                assert await host.call(port=proxy.port) == Pong()
 
         run(test())
 
     def test_a_slow_call_outlives_many_pings(self) -> None:
         async def test() -> None:
             async with hosts() as host:
-                door = asyncio.Event()
+                may_reply = asyncio.Event()
 
                 async def answer() -> Any:
-                    await door.wait()
+                    await may_reply.wait()
                     return Pong()
 
                 host.answer = answer
                 call = asyncio.ensure_future(host.call())
-                await host.has_seen(1)
+                await host.wait_until_received(1)
                 for number in range(1, 6):
-                    host.now_s += QUIET.ping_after_s
+                    host.now_s += NO_SWEEPS.ping_after_s
                     host.pool.sweep(host.now_s)
-                    await _carried(host, "Pong", number)
-                door.set()
+                    await _wait_for_traffic(host, "Pong", number)
+                may_reply.set()
                 assert await call == Pong()
                 assert host.pool.counters.stalled == 0
 
@@ -144,9 +147,9 @@
         async def test() -> None:
             async with hosts() as host:
                 await host.call()
-                host.pool.sweep(host.now_s + QUIET.idle_s)
-                await until(lambda: host.pool.open_links == 0)
-                await until(lambda: host.server.peers == ())
+                host.pool.sweep(host.now_s + NO_SWEEPS.idle_s)
+                await wait_until(lambda: host.pool.open_links == 0)
+                await wait_until(lambda: host.server.peers == ())
                 assert await host.call() == Pong()
 
         run(test())
@@ -155,16 +158,16 @@
         async def test() -> None:
             async with hosts() as host:
                 await host.call()
-                host.server.sweep(host.now_s + QUIET.accepted_idle_s)
-                await until(lambda: host.server.peers == ())
+                host.server.sweep(host.now_s + NO_SWEEPS.accepted_idle_s)
+                await wait_until(lambda: host.server.peers == ())
 
         run(test())
 
 
-async def _carried(host: Host, kind: str, number: int) -> None:
-    def carried() -> bool:
+async def _wait_for_traffic(host: Host, kind: str, number: int) -> None:
+    def has_count() -> bool:
         kinds = {t.kind: t for t in host.pool.counters.traffic()}
         traffic = kinds.get(kind, KindTraffic(kind))
         return traffic.sent_messages + traffic.received_messages == number
 
-    await until(carried)
+    await wait_until(has_count)
--- a/packages/transport/src/hollyknot_transport/tests/test_links_strangers.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_links_strangers.py
@@ -32,13 +32,13 @@
 )
 from hollyknot_transport.tests.links_harness import (
     IP,
-    QUIET,
-    SHORT_S,
+    NO_SWEEPS,
+    SHORT_TIMEOUT_S,
     Host,
     credentials_of,
     hosts,
     run,
-    until,
+    wait_until,
 )
 
 _PKI = pathlib.Path(__file__).parent / "links_pki"
@@ -77,7 +77,7 @@
                 if not linked:
                     assert result.reason is LinkErrorReason.REJECTED
                     assert not result.may_have_arrived
-                    assert not host.seen
+                    assert not host.received
 
         run(test(one, other))
         run(test(other, one))
@@ -105,12 +105,12 @@
         self, dialler: str, accepter: str, linked: bool
     ) -> None:
         async def test() -> None:
-            limits = attrs.evolve(QUIET, handshake_s=0.5, connect_s=1.0)
+            limits = attrs.evolve(NO_SWEEPS, handshake_s=0.5, connect_s=1.0)
             ours, theirs = _tls("a", dialler), _tls("b", accepter)
             async with hosts(ours, theirs, limits) as host:
                 result = await host.call()
                 assert (result == Pong()) is linked
-                assert bool(host.seen) is linked
+                assert bool(host.received) is linked
 
         run(test())
 
@@ -137,7 +137,7 @@
 
 
 _HELLO_SIZED = bytes(range(48))
-_RUBBISH = {
+_MALFORMED = {
     "text": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     "a huge length": b"\xff\xff\xff\xff",
     "no length": b"\0\0\0\0",
@@ -147,11 +147,13 @@
 }
 
 
-class TestRubbish:
+class TestMalformedInput:
     """Peers that send rubbish are dropped and harm nothing else."""
 
-    @pytest.mark.parametrize("data", _RUBBISH.values(), ids=_RUBBISH)
-    def test_a_stranger_is_dropped_and_logged(self, data: bytes) -> None:
+    @pytest.mark.parametrize("data", _MALFORMED.values(), ids=_MALFORMED)
+    def test_malformed_handshake_is_dropped_and_logged(
+        self, data: bytes
+    ) -> None:
         async def test() -> None:
             with structlog.testing.capture_logs() as logs:
                 async with hosts() as host:
@@ -161,7 +163,7 @@
                     writer.write(data)
                     if not data:
                         writer.close()
-                    assert await _rest(reader) == b""
+                    assert await _read_until_closed(reader) == b""
                     writer.close()
                     assert await host.call() == Pong()
                     assert host.server.counters.rejected == 1
@@ -171,26 +173,26 @@
 
         run(test())
 
-    def test_a_stranger_that_says_nothing_is_dropped(self) -> None:
+    def test_a_connection_without_hello_is_dropped(self) -> None:
         async def test() -> None:
-            limits = attrs.evolve(QUIET, handshake_s=SHORT_S)
+            limits = attrs.evolve(NO_SWEEPS, handshake_s=SHORT_TIMEOUT_S)
             async with hosts(limits=limits) as host:
                 reader, writer = await asyncio.open_connection(
                     IP, host.server.port
                 )
-                assert await _rest(reader) == b""
+                assert await _read_until_closed(reader) == b""
                 writer.close()
 
         run(test())
 
-    def test_strangers_are_bounded_and_then_let_others_in(self) -> None:
+    def test_pending_handshakes_are_bounded_and_freed(self) -> None:
         """A host runs out of memory or descriptors before any proof.
 
         Connections are opened faster than handshakes time out.
         """
 
         async def test() -> None:
-            limits = attrs.evolve(QUIET, max_unproved=2)
+            limits = attrs.evolve(NO_SWEEPS, max_unproved=2)
             async with hosts(limits=limits) as host:
                 held = [
                     await asyncio.open_connection(IP, host.server.port)
@@ -200,8 +202,8 @@
                 assert error.reason is LinkErrorReason.REJECTED
                 for _, writer in held:
                     writer.close()
-                await until(lambda: host.server.counters.rejected == 3)
-                host.now_s += QUIET.backoff_max_s
+                await wait_until(lambda: host.server.counters.rejected == 3)
+                host.now_s += NO_SWEEPS.backoff_max_s
                 assert await host.call() == Pong()
 
         run(test())
@@ -214,7 +216,7 @@
             pack_frame(encode(Envelope(1, 0, "", 3, b"\xff\xff"))),
         ],
     )
-    def test_a_proved_peer_is_dropped_too(self, data: bytes) -> None:
+    def test_an_authenticated_peer_is_dropped_too(self, data: bytes) -> None:
         async def test() -> None:
             with structlog.testing.capture_logs() as logs:
                 await drop()
@@ -225,18 +227,18 @@
         async def drop() -> None:
             async with hosts() as host:
                 await host.call()
-                async with _proved(host) as stream:
-                    await until(lambda: len(host.server.peers) == 2)
+                async with _authenticated_stream(host) as stream:
+                    await wait_until(lambda: len(host.server.peers) == 2)
                     await stream.write(data)
-                    await until(lambda: len(host.server.peers) == 1)
+                    await wait_until(lambda: len(host.server.peers) == 1)
                 assert await host.call() == Pong()
                 assert host.pool.counters.dialled == 1
 
         run(test())
 
-    def test_a_newer_hosts_kind_is_refused_not_dropped(self) -> None:
+    def test_an_unknown_kind_is_refused_and_the_link_kept(self) -> None:
         async def test() -> None:
-            async with hosts() as host, _proved(host) as stream:
+            async with hosts() as host, _authenticated_stream(host) as stream:
                 newer = Envelope(call_id=5, kind=9_999, body=b"?")
                 await stream.write(pack_frame(encode(newer)))
                 refusal = CallRefusal(CallRefusalReason.UNKNOWN_KIND)
@@ -251,7 +253,7 @@
         run(test())
 
 
-async def _rest(reader: asyncio.StreamReader) -> bytes:
+async def _read_until_closed(reader: asyncio.StreamReader) -> bytes:
     try:
         return await reader.read()
     except ConnectionResetError:
@@ -259,7 +261,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _proved(host: Host) -> AsyncIterator[FrameStream]:
+async def _authenticated_stream(host: Host) -> AsyncIterator[FrameStream]:
     options = StreamOptions(None, 1.0, 2048)
     stream = await dial_stream(Address(IP, host.server.port), options)
     credentials = credentials_of("rubbish")
--- a/packages/transport/src/hollyknot_transport/tests/test_records.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_records.py
@@ -71,7 +71,9 @@
     """One line of key=value pairs an event."""
 
     @pytest.mark.parametrize(("value", "text"), _VALUES.items())
-    def test_values(self, lines: io.StringIO, value: object, text: str) -> None:
+    def test_values_are_quoted_where_needed(
+        self, lines: io.StringIO, value: object, text: str
+    ) -> None:
         get_logger("daemon").info("an-event", key=value, last=2)
         line = lines.getvalue()
         time = r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d{6})?Z"
--- a/packages/transport/src/hollyknot_transport/tests/test_upstream_requests.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_upstream_requests.py
@@ -21,14 +21,16 @@
 _IP = "127.0.0.1"
 
 
-async def _never(_: UpstreamAnswer | bytes) -> None:
+async def _fail_if_relayed(_: UpstreamAnswer | bytes) -> None:
     raise AssertionError("a small whole answer is not relayed")
 
 
-_SINK = Sink(start=_never, write=_never, write_now=lambda _: False)
+_SINK = Sink(
+    start=_fail_if_relayed, write=_fail_if_relayed, write_now=lambda _: False
+)
 
 
-async def _ask_twice(
+async def _send_twice(
     nature: Nature,
     headers: dict[str, str],
     after_each: Callable[[], None] = lambda: None,
@@ -40,10 +42,10 @@
         headers: Of both.
         after_each: Called when one has been answered.
     """
-    seen: list[web.BaseRequest] = []
+    received: list[web.BaseRequest] = []
 
     async def answer(request: web.BaseRequest) -> web.Response:
-        seen.append(request)
+        received.append(request)
         return web.Response(body=b"{}")
 
     runner, port = await start_server(web.Server(answer), Address(_IP, 0))
@@ -67,7 +69,7 @@
     finally:
         await exchanges.close()
         await runner.cleanup()
-    return seen
+    return received
 
 
 class TestUpstreamRequests:
@@ -80,10 +82,10 @@
     def test_only_idempotent_calls_share_a_connection(
         self, nature: Nature, connections: int
     ) -> None:
-        seen = asyncio.run(_ask_twice(nature, {}))
-        assert len({request.protocol for request in seen}) == connections
+        received = asyncio.run(_send_twice(nature, {}))
+        assert len({request.protocol for request in received}) == connections
 
-    def test_connection_that_was_long_unused_is_not_used_again(
+    def test_long_idle_connection_is_not_reused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Symptom: a whole answer takes two minutes to fail.
@@ -97,8 +99,8 @@
             later_s = time.monotonic() + IDLE_CONNECTION_S + 0.1
             monkeypatch.setattr(connector, "monotonic", lambda: later_s)
 
-        seen = asyncio.run(_ask_twice(Nature.IDEMPOTENT, {}, wait))
-        assert len({request.protocol for request in seen}) == 2
+        received = asyncio.run(_send_twice(Nature.IDEMPOTENT, {}, wait))
+        assert len({request.protocol for request in received}) == 2
 
     @pytest.mark.parametrize(
         ("sent", "accepted"),
@@ -108,7 +110,7 @@
         self, sent: dict[str, str], accepted: str
     ) -> None:
         sent = {**sent, "X-Request-Id": "req-1"}
-        got, _ = asyncio.run(_ask_twice(Nature.IDEMPOTENT, sent))
+        got, _ = asyncio.run(_send_twice(Nature.IDEMPOTENT, sent))
         assert got.raw_path == "/a%2Fb?q=%20x"
         headers = {name.lower(): got.headers[name] for name in got.headers}
         assert headers.pop("host").startswith(_IP)
