--- a/packages/protocol/idl/claims.thrift
+++ b/packages/protocol/idl/claims.thrift
@@ -1,5 +1,6 @@
-// Claims of non-idempotent requests. The attrs classes of the same names are
-// in hollyknot_state/_claim_messages.py, which also tells what they mean.
+// Messages with which hosts claim a non-idempotent request before it runs.
+// The attrs classes of the same names in hollyknot_state/_claim_messages.py
+// document the messages and their fields.
 
 struct Attempt {
   1: string coordinator,
--- a/packages/protocol/idl/gossip.thrift
+++ b/packages/protocol/idl/gossip.thrift
@@ -1,5 +1,6 @@
-// How hosts come to know things: documents, liveness and soft signals.
-// The attrs classes are in hollyknot_state/_gossip_messages.py and _signals.py.
+// Messages with which hosts exchange documents, liveness and signals.
+// The attrs classes of the same names in hollyknot_state/_gossip_messages.py
+// and _signals.py document the messages and their fields.
 
 struct DocumentVersion {
   1: string document        // "declarations" or "hosts"
--- a/packages/protocol/idl/report.thrift
+++ b/packages/protocol/idl/report.thrift
@@ -1,5 +1,7 @@
-// What hosts that forward by routes tell each other in datagrams. The attrs
-// classes of the same names are in hollyknot_state/_host_report.py.
+// Datagrams that hosts exchange to forward requests by routes: reports, load
+// notes, and queries to trackers and issuers of permits. The attrs classes of
+// the same names in hollyknot_state document the messages and their fields;
+// they are in _host_report.py unless a comment below says otherwise.
 
 struct Address {
   1: string ip
@@ -7,11 +9,11 @@
 }
 
 struct UpstreamUse {
-  1: i32 upstream           // 31 bits of the incarnation's checksum
-  2: list<i64> waiting_tokens  // at each urgency, from 0
+  1: i32 upstream           // short name: 31-bit checksum of the incarnation
+  2: list<i64> waiting_tokens  // prompt tokens at each urgency, from 0
   3: i32 waiting
   4: i32 running
-  5: binary urgencies       // requests at each urgency, from 0
+  5: binary urgencies       // requests at each urgency, from 0; one byte each
 }
 
 struct LaneDemand {
@@ -22,8 +24,8 @@
   5: i32 tight_streams
 }
 
-// As in gossip.thrift: an include would need a package prefix that the
-// compiler leaves out.
+// Same as in gossip.thrift. It is repeated because an `include` would need a
+// package prefix that the compiler leaves out of the generated imports.
 struct SuspectRecord {
   1: binary fingerprint     // unsigned 64 bits, big endian
   2: string upstream
@@ -31,8 +33,9 @@
   4: i64 age_ms
 }
 
+// A prompt prefix and an upstream that has it cached.
 struct HeldRun {
-  1: i32 upstream           // as of UpstreamUse
+  1: i32 upstream           // same as in UpstreamUse
   2: i32 run
 }
 
@@ -44,7 +47,7 @@
   4: i64 upstreams_era
 }
 
-// These two are explained in hollyknot_state/_limit_messages.py.
+// IssuerClaim and NamedLimit are documented in _limit_messages.py.
 struct IssuerClaim {
   1: i64 incarnation
   2: Address address
@@ -53,12 +56,13 @@
 }
 
 struct NamedLimit {
-  1: i32 upstream           // as of UpstreamUse
+  1: i32 upstream           // same as in UpstreamUse
   2: i64 age_ms
-  3: optional double rate   // absent: withdrawn
+  3: optional double rate   // absent if the upstream has withdrawn its limit
   4: optional IssuerClaim issuer
 }
 
+// A full report, which also identifies its host to unknown peers.
 struct HostReport {
   1: string host
   2: i64 incarnation
@@ -75,8 +79,8 @@
   15: list<NamedLimit> limits
 }
 
-// The part of a report that changes all the time, without what identifies its
-// host to strangers.
+// The frequently changing part of a report, without the fields that identify
+// its host to unknown peers.
 struct UseReport {
   1: i64 incarnation
   2: i64 sequence
@@ -85,16 +89,16 @@
   5: list<SuspectRecord> suspects
   6: list<HeldRun> held
   7: bool is_whole
-  8: optional ReadRevisions revisions   // only while it is news, and if is_whole
-  9: list<NamedLimit> limits            // likewise
+  8: optional ReadRevisions revisions   // only if changed recently and is_whole
+  9: list<NamedLimit> limits            // same condition as revisions
 }
 
+// UpstreamPace and the three Load structs are documented in _load_messages.py.
 struct UpstreamPace {
-  1: i32 upstream           // as of UpstreamUse
+  1: i32 upstream           // same as in UpstreamUse
   2: i32 interval_ms
 }
 
-// The three below are explained in hollyknot_state/_load_messages.py.
 struct LoadNote {
   1: i64 incarnation
   2: i64 sequence
@@ -117,15 +121,16 @@
   4: list<UpstreamPace> paces
 }
 
-// Passed on at once, apart from reports, which may be seconds apart.
+// New evidence, sent immediately instead of with the next report, which may be
+// seconds away. Documented in _signals.py.
 struct SuspectNews {
   1: list<SuspectRecord> suspects
 }
 
-// These are explained in hollyknot_state/_limit_messages.py.
+// PermitQuery and PermitAnswer are documented in _limit_messages.py.
 struct PermitQuery {
   1: i32 number
-  2: string upstream        // the whole incarnation
+  2: string upstream        // full incarnation, not its short name
   3: NamedLimit limit
   4: bool is_least_urgent
   5: bool is_passed_over
--- a/packages/protocol/src/hollyknot_protocol/__init__.py
+++ b/packages/protocol/src/hollyknot_protocol/__init__.py
@@ -1,6 +1,6 @@
-"""Thrift messages between hosts and the shapes of HTTP and SSE.
+"""Encodes and frames the messages that hosts exchange, and proves their keys.
 
-This front re-exports the public names; the work is in the underscore modules.
+This module re-exports the public names of the private modules.
 """
 
 from hollyknot_protocol._codec import (
--- a/packages/protocol/src/hollyknot_protocol/_codec.py
+++ b/packages/protocol/src/hollyknot_protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back: thrift's compact protocol, in C."""
+"""Encodes messages to bytes and back by thrift's compact protocol, in C."""
 
 import enum
 from typing import Any, TypeVar
@@ -19,26 +19,26 @@
 
 
 class UnknownReason(enum.Enum):
-    """Why a well-formed message cannot be understood."""
+    """Reasons why a well-formed message is not understood."""
 
     KIND = "kind"
-    """No such number is registered here."""
+    """The number of the message's kind is not registered."""
 
     VALUE = "value"
-    """A field holds an enum value that is not known here."""
+    """A field holds an enum value that this version does not define."""
 
 
 @attrs.frozen
 class Unknown:
-    """A message of a newer version, to be ignored or refused, never guessed.
+    """A message of a newer version, which the receiver ignores or refuses.
 
-    A known kind with an unknown value is unknown as a whole: a receiver that
-    left out just one element of a list would act on half a message.
+    A message of a known kind that holds an unknown value is unknown as a whole:
+    a receiver that left out one element of a list would act on half a message.
 
     Attributes:
-        kind: The number that it came with.
-        reason: What is not known.
-        detail: For the log.
+        kind: Number of the message's kind.
+        reason: What is unknown.
+        detail: Description for the log.
     """
 
     kind: int
@@ -56,7 +56,9 @@
     entries: dict[type[Any], _Entry] = {}
     for kind in kinds:
         if kind.message in entries:
-            raise TypeError(f"{kind.name} is registered twice in _kinds.py")
+            raise TypeError(
+                f"{kind.name} is registered twice in _kinds.py; remove one line"
+            )
         converter = make_converter(kind.message, kind.struct)
         entries[kind.message] = _Entry(kind, converter)
     return entries
@@ -67,8 +69,8 @@
     for kind in kinds:
         if kind.number in numbers:
             raise TypeError(
-                f"{kind.name} has the number of"
-                f" {numbers[kind.number].__name__}; take a free one"
+                f"{kind.name} has number {kind.number}, which is that of"
+                f" {numbers[kind.number].__name__}; give it an unused one"
             )
         numbers[kind.number] = kind.message
     return numbers
@@ -79,16 +81,16 @@
 
 
 def kind_of(message: Any) -> Kind:
-    """Returns a message's kind.
+    """Returns the kind of a message.
 
     Raises:
-        UnencodableMessageError: Its class is not registered.
+        UnencodableMessageError: The message's class is not registered.
     """
     return _entry_of(type(message)).kind
 
 
 def kind_name(number: int) -> str:
-    """Returns the name of a kind for logs and measures."""
+    """Returns the name of a kind for logs and metrics."""
     message = _MESSAGES.get(number)
     return "unknown" if message is None else message.__name__
 
@@ -97,8 +99,8 @@
     """Returns the bytes of a message of a registered class.
 
     Raises:
-        UnencodableMessageError: Its class is not registered, or a field's
-            value does not fit the thrift type.
+        UnencodableMessageError: The message's class is not registered, or the
+            value of a field does not fit the field's thrift type.
     """
     entry = _entry_of(type(message))
     buffer = TMemoryBuffer()
@@ -107,21 +109,22 @@
         entry.converter.to_struct(message).write(protocol)
     except (TypeError, ValueError, OverflowError, AttributeError) as error:
         raise UnencodableMessageError(
-            f"{entry.kind.name}: {error}; check the types of its fields"
+            f"cannot encode {entry.kind.name}: {error}; check the types of its"
+            " fields"
         ) from error
     return bytes(buffer.getvalue())
 
 
 def decode(number: int, body: bytes) -> Any:
-    """Returns the message of a kind's number and its bytes.
+    """Decodes a message, given the number of its kind.
 
     Returns:
-        An instance of the registered attrs class, or `Unknown` for what a
-        newer version may have sent. Fields that are not known here are
-        skipped, absent ones get the class's default.
+        An instance of the registered attrs class, or `Unknown` for what a newer
+        version may have sent. Unknown fields are skipped; absent fields get the
+        class's default.
 
     Raises:
-        MalformedMessageError: The bytes are no such message.
+        MalformedMessageError: The bytes are not a message of this kind.
     """
     message = _MESSAGES.get(number)
     if message is None:
@@ -133,11 +136,14 @@
 
 
 def decode_as(message: type[_M], body: bytes) -> _M:
-    """Returns the message of a known class, as `decode` does.
+    """Decodes a message, given its class.
+
+    Unknown and absent fields are treated as by `decode`.
 
     Raises:
-        MalformedMessageError: The bytes are no such message.
-        UnknownValueError: A field holds an enum value not known here.
+        MalformedMessageError: The bytes are not a message of this class.
+        UnknownValueError: A field holds an enum value that this version does
+            not define.
     """
     entry = _entry_of(message)
     try:
@@ -145,20 +151,21 @@
     except UnknownValueError:
         raise
     except Exception as error:
-        # The bytes are a stranger's. thrift's decoder answers to rubbish with
-        # at least six exception types, attrs classes add their own; one that
-        # got through would end the task of a link that did nothing wrong.
+        # The bytes are untrusted. thrift's decoder raises at least six types
+        # of exceptions for malformed ones, and attrs classes add their own. An
+        # exception that was not converted here would end the task of a link
+        # that did nothing wrong.
         raise MalformedMessageError(
-            f"{entry.kind.name}: {type(error).__name__}: {error}"
+            f"cannot decode {entry.kind.name}: {type(error).__name__}: {error}"
         ) from error
     return found
 
 
 def _read(entry: _Entry, body: bytes) -> Any:
-    # Every string byte and container element takes a byte at least, so a
-    # length above the body's is a lie. The decoder would meet the end of the
-    # bytes anyhow; the limit refuses at once, and does not lean on how much a
-    # version of the decoder reserves before that.
+    # Every byte of a string and every element of a container takes at least
+    # one byte, so a stated length above the body's is false. The decoder would
+    # also fail at the end of the bytes, but the limit fails before any memory
+    # is reserved, whatever a version of the decoder reserves by itself.
     limit = max(1, len(body))
     buffer = TMemoryBuffer(body)
     protocol = TCompactProtocolAccelerated(
@@ -171,7 +178,7 @@
     struct.read(protocol)
     rest = len(body) - buffer.cstringio_buf.tell()
     if rest:
-        raise ValueError(f"{rest} bytes after the end")
+        raise ValueError(f"{rest} bytes follow the end of the message")
     return entry.converter.from_struct(struct)
 
 
@@ -179,7 +186,7 @@
     entry = _ENTRIES.get(message)
     if entry is None:
         raise UnencodableMessageError(
-            f"{message.__name__} is not registered; add a line to"
+            f"{message.__name__} is not registered as a message; add a line to"
             " hollyknot_protocol/_kinds.py"
         )
     return entry
--- a/packages/protocol/src/hollyknot_protocol/_convert.py
+++ b/packages/protocol/src/hollyknot_protocol/_convert.py
@@ -1,10 +1,11 @@
-"""Converters between an attrs class and its thrift struct, made once a class.
+"""Builds converters between attrs classes and their thrift structs.
 
-The two have equal field names. These types meet:
+A converter is built once per registered class. The class and its struct have the same
+field names. These Python types are converted to these thrift types:
 
-- `int`: `i16`, `i32`, `i64`; or, unsigned of 64 bits, `binary` (8 bytes);
+- `int`: `i16`, `i32`, `i64`; or `binary` of 8 bytes for an unsigned 64-bit int;
 - `bool`: `bool`; `float`: `double`; `str`: `string`; `bytes`: `binary`;
-- an enum: `string`, `i16`, `i32` or `i64`, by its values;
+- an enum: `string`, `i16`, `i32` or `i64`, depending on its values;
 - an attrs class: a struct;
 - `tuple[X, ...]`: `list<X>`; `frozenset[X]`: `set<X>`;
 - `dict[K, V]`: `map<K, V>`;
@@ -39,12 +40,13 @@
 
 @attrs.frozen
 class Converter:
-    """Both directions of one class.
+    """The conversions of one class in both directions.
 
     Attributes:
-        to_struct: From an attrs instance to a thrift struct.
-        from_struct: Back. Raises `UnknownValueError` for an unknown enum
-            value, and what the class raises for fields that are not allowed.
+        to_struct: Converts an attrs instance to a thrift struct.
+        from_struct: Converts a thrift struct to an attrs instance. Raises
+            `UnknownValueError` for an unknown enum value, and whatever the
+            class's validators raise.
     """
 
     to_struct: Convert
@@ -53,7 +55,7 @@
 
 @attrs.frozen
 class _Pair:
-    """Converters of one type; equal to `_same` where nothing is to do."""
+    """The conversions of one type; `_identity` where values stay unchanged."""
 
     to_wire: Convert
     from_wire: Convert
@@ -67,21 +69,25 @@
 
 
 def make_converter(message: type[Any], struct: type[Any]) -> Converter:
-    """Returns the converter of an attrs class and a thrift struct.
+    """Builds the converter between an attrs class and a thrift struct.
 
     Raises:
-        TypeError: Their fields differ, in name or in type.
+        TypeError: The fields of the two differ in name or type, or the class
+            has a keyword-only field.
     """
     specs = {spec[2]: spec for spec in struct.thrift_spec if spec}
     hints = typing.get_type_hints(message)
     names = [field.name for field in attrs.fields(message)]
     if any(field.kw_only for field in attrs.fields(message)):
-        raise TypeError(f"{message.__name__}: fields may not be kw_only")
+        raise TypeError(
+            f"{message.__name__} has a kw_only field; make it positional, as"
+            " the converter passes the fields by position"
+        )
     if set(names) != set(specs):
         raise TypeError(
             f"{message.__name__}: the attrs class has the fields"
-            f" {sorted(names)}, its thrift struct {sorted(specs)}; make them"
-            " equal and run `make generate`"
+            f" {sorted(names)}, its thrift struct has {sorted(specs)}; make"
+            " them equal and run `make generate`"
         )
     pairs = {
         name: _make_pair(
@@ -89,7 +95,8 @@
         )
         for name in names
     }
-    # The constructor of a generated struct takes its slots in their order.
+    # The constructor of a generated struct takes the fields in the order of
+    # its slots.
     order = tuple(struct.__slots__)
     return Converter(
         _make_to_struct(struct, order, pairs),
@@ -98,7 +105,7 @@
 
 
 def _values_of(names: tuple[str, ...]) -> Callable[[Any], tuple[Any, ...]]:
-    """Returns a function that gives the values of attributes in order."""
+    """Returns a function that reads the attributes `names` in this order."""
     if not names:
         return lambda _: ()
     getter = operator.attrgetter(*names)
@@ -155,19 +162,19 @@
 def _present_fields(
     names: tuple[str, ...], values: list[Any]
 ) -> dict[str, Any]:
-    """Returns the fields to give; the class gives absent ones its default."""
+    """Returns the fields that are present; absent ones get their default."""
     pairs = zip(names, values, strict=True)
     return {name: value for name, value in pairs if value is not None}
 
 
 def _make_pair(field_name: str, hint: Any, ttype: int, args: Any) -> _Pair:
-    """Returns the converters of one type.
+    """Returns the conversions of one type.
 
     Args:
-        place: The field, for the error.
-        hint: The type of the attrs field.
-        ttype: The thrift type.
-        args: The thrift type's arguments, as `thrift_spec` holds them.
+        field_name: Names of the class and the field, for error messages.
+        hint: Type of the attrs field.
+        ttype: Number of the thrift type.
+        args: Arguments of the thrift type, as in `thrift_spec`.
     """
     hint = _without_none(hint)
     origin = typing.get_origin(hint)
@@ -177,8 +184,8 @@
         pair = _make_container_pair(field_name, hint, ttype, args)
     if pair is None:
         raise TypeError(
-            f"{field_name}: {hint} does not fit its thrift type; see the list at"
-            " the head of hollyknot_protocol/_convert.py"
+            f"{field_name}: type {hint} does not match its thrift type; see the"
+            " list at the top of hollyknot_protocol/_convert.py"
         )
     return pair
 
@@ -222,9 +229,7 @@
     def from_wire(value: Any) -> enum.Enum:
         member = values.get(value)
         if member is None:
-            raise UnknownValueError(
-                f"{field_name}: {value!r} is not known here"
-            )
+            raise UnknownValueError(f"{field_name}: unknown value {value!r}")
         return member
 
     return _Pair(operator.attrgetter("value"), from_wire)
@@ -236,7 +241,9 @@
 
 def _u64_from_wire(value: bytes) -> int:
     if len(value) != _U64_BYTES:
-        raise ValueError(f"an unsigned number of {len(value)} bytes, not 8")
+        raise ValueError(
+            f"unsigned 64-bit integer has {len(value)} bytes; it needs 8"
+        )
     return int.from_bytes(value, "big")
 
 
--- a/packages/protocol/src/hollyknot_protocol/_errors.py
+++ b/packages/protocol/src/hollyknot_protocol/_errors.py
@@ -1,17 +1,17 @@
-"""The errors of the protocol layer."""
+"""Errors that encoding, decoding and framing raise."""
 
 
 class MalformedMessageError(Exception):
-    """Bytes that are no message of the kind they claim to be."""
+    """Bytes are not a message of the kind that they are decoded as."""
 
 
 class UnencodableMessageError(Exception):
-    """A message that its thrift struct cannot carry."""
+    """A message cannot be converted to the thrift struct of its kind."""
 
 
 class FrameError(Exception):
-    """A frame whose length is not allowed."""
+    """A frame is empty or longer than allowed."""
 
 
 class UnknownValueError(Exception):
-    """An enum value that this version does not know."""
+    """A field holds an enum value that this version does not define."""
--- a/packages/protocol/src/hollyknot_protocol/_frames.py
+++ b/packages/protocol/src/hollyknot_protocol/_frames.py
@@ -1,4 +1,7 @@
-"""Frames: a length of four bytes, big endian, then that many bytes."""
+"""Splits a byte stream into frames.
+
+A frame is a length of four bytes, big endian, and a body of that many bytes.
+"""
 
 import struct
 
@@ -7,37 +10,40 @@
 _LENGTH = struct.Struct(">I")
 
 HEADER_BYTES = _LENGTH.size
-"""Bytes before each frame's body."""
+"""Length of the header before the body of each frame, in bytes."""
 
 MAX_FRAME_BYTES = 1_048_576
-"""The largest body of a frame between two hosts that know each other."""
+"""Largest body of a frame between two authenticated hosts, in bytes."""
 
 MAX_HANDSHAKE_FRAME_BYTES = 2_048
-"""The largest body before that; a `Hello` with the longest names fits."""
+"""Largest body of a frame of the handshake, in bytes.
+
+A `Hello` with names of the maximum length fits.
+"""
 
 
 def pack_frame(body: bytes) -> bytes:
-    """Returns the frame of a body.
+    """Returns the frame that carries a body.
 
     Raises:
-        FrameError: The body is empty or above `MAX_FRAME_BYTES`.
+        FrameError: The body is empty or longer than `MAX_FRAME_BYTES`.
     """
     if not 0 < len(body) <= MAX_FRAME_BYTES:
         raise FrameError(
-            f"a frame of {len(body)} bytes; 1 to {MAX_FRAME_BYTES} are"
-            " allowed: split the message"
+            f"cannot send a frame of {len(body)} bytes; send 1 to"
+            f" {MAX_FRAME_BYTES} bytes or split the message"
         )
     return _LENGTH.pack(len(body)) + body
 
 
 class FrameParser:
-    """Cuts a stream of bytes into the bodies of its frames.
+    """Splits a stream of bytes into the bodies of its frames.
 
-    It holds at most one unfinished frame and the bytes fed last, since a
-    length above the limit fails before its body is awaited.
+    The parser buffers at most one incomplete frame and the bytes of the last
+    `feed`: a length above the limit fails before the body arrives.
 
     Attributes:
-        limit: The largest body allowed from now on, in bytes.
+        limit: Largest body allowed from now on, in bytes.
     """
 
     def __init__(self, limit: int) -> None:
@@ -46,15 +52,15 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes held that are no whole frame yet."""
+        """Number of buffered bytes that do not form a complete frame yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the bodies of the frames that `data` completes, in order.
 
         Raises:
-            FrameError: A length is zero or above the limit. The stream cannot
-                be read any further.
+            FrameError: A length is zero or above the limit; the rest of the
+                stream cannot be read.
         """
         self._buffer += data
         bodies = []
@@ -73,6 +79,7 @@
         (length,) = _LENGTH.unpack_from(self._buffer, start)
         if not 0 < length <= self.limit:
             raise FrameError(
-                f"a frame of {length} bytes; 1 to {self.limit} are allowed"
+                f"received a frame of {length} bytes; 1 to {self.limit} bytes"
+                " are allowed"
             )
         return int(length)
--- a/packages/protocol/src/hollyknot_protocol/_handshake.py
+++ b/packages/protocol/src/hollyknot_protocol/_handshake.py
@@ -1,4 +1,4 @@
-"""The proof that a side of a handshake knows a shared key."""
+"""Makes and checks the proof that a side of a link knows a shared key."""
 
 import enum
 import hashlib
@@ -13,10 +13,11 @@
 
 
 class Side(enum.Enum):
-    """Which side of a link makes a proof.
+    """The side of a link that makes a proof.
 
-    The side is part of what is proved. Without it a stranger could dial a
-    host, send that host's own frames back, and return its proof as his.
+    The MAC covers the side. Without it an attacker without a key could dial a
+    host, send that host's own frames back, and return the host's proof as its
+    own (a reflection attack).
     """
 
     DIALLER = b"dialler"
@@ -30,18 +31,20 @@
 
     Args:
         key: The shared key.
-        side: Whose proof it is.
-        dialler_hello: The dialling side's `Hello` as it was sent. It is taken
-            as bytes, so that fields that only one side knows are proved too.
-        accepter_hello: The accepting side's, likewise.
+        side: The side that makes the proof.
+        dialler_hello: The dialling side's encoded `Hello` as it was sent. The
+            MAC covers the bytes, so that it also covers fields that only one
+            side's version defines.
+        accepter_hello: The accepting side's encoded `Hello` as it was sent.
 
     Returns:
-        HMAC-SHA256 over both nonces, names and data centres.
+        HMAC-SHA256 over the side and both encoded `Hello` messages, which hold
+        the nonces, names and data centres.
     """
     mac = hmac.new(key, digestmod=hashlib.sha256)
     for part in (_CONTEXT, side.value, dialler_hello, accepter_hello):
-        # Lengths keep two different lists of parts from joining to the same
-        # bytes.
+        # The lengths prevent that two different lists of parts are joined to
+        # the same bytes.
         mac.update(_LENGTH.pack(len(part)) + part)
     return mac.digest()
 
@@ -53,13 +56,13 @@
     dialler_hello: bytes,
     accepter_hello: bytes,
 ) -> bool:
-    """Tells whether a proof was made with one of the keys."""
+    """Returns whether a proof was made with one of the keys."""
     if len(mac) != MAC_BYTES:
         return False
     found = False
     for key in keys:
         expected = make_mac(key, side, dialler_hello, accepter_hello)
-        # Every key is compared, in constant time, so that the time taken
-        # tells a stranger nothing of a key.
+        # All keys are compared, and in constant time, so that the duration
+        # reveals nothing about a key to an attacker.
         found |= hmac.compare_digest(expected, mac)
     return found
--- a/packages/protocol/src/hollyknot_protocol/_kinds.py
+++ b/packages/protocol/src/hollyknot_protocol/_kinds.py
@@ -1,10 +1,11 @@
-"""The registry of message kinds: number, attrs class, thrift struct.
+"""Registers the number, attrs class and thrift struct of each message kind.
 
 To add a kind, add its struct to a file below `idl/`, run `make generate`, and
-add one line to `KINDS`. Numbers are never used again, not even for a kind that
-no host sends any more: an older host would take one message for another.
+add one line to `KINDS`. Never reuse a number, not even that of a kind that no
+host sends any more: an older host would mistake one message for another.
 
-1 to 99 are the link's own, 100 to 199 claims, 200 to 299 gossip.
+Numbers 1 to 99 are for messages of the link itself, 100 to 199 for claims, 200
+to 299 for gossip.
 """
 
 from typing import Any
@@ -24,9 +25,9 @@
     """One kind of message.
 
     Attributes:
-        number: What `Envelope.kind` holds; 0 for the messages that are known
-            by their place in the link.
-        message: The attrs class.
+        number: Number that `Envelope.kind` holds; 0 for messages that are sent
+            without an envelope.
+        message: The attrs class of the message.
         struct: The generated thrift struct with the same fields.
     """
 
@@ -36,7 +37,7 @@
 
     @property
     def name(self) -> str:
-        """The kind's name in logs and measures."""
+        """Name of the kind in logs and metrics."""
         return self.message.__name__
 
 
@@ -53,7 +54,11 @@
     Kind(0, state.PermitQuery, report.PermitQuery),
     Kind(0, state.PermitAnswer, report.PermitAnswer),
 )
-"""What travels without an envelope."""
+"""Messages that are sent without an envelope.
+
+The receiver knows their class from their position on the link or from the first
+byte of the datagram.
+"""
 
 KINDS = (
     Kind(1, _peer.Ping, peer.Ping),
@@ -74,4 +79,4 @@
     Kind(205, state.ProbeAck, gossip.ProbeAck),
     Kind(206, state.IndirectProbe, gossip.IndirectProbe),
 )
-"""What travels in an envelope."""
+"""Messages that are sent in an envelope."""
--- a/packages/protocol/src/hollyknot_protocol/_packed_uses.py
+++ b/packages/protocol/src/hollyknot_protocol/_packed_uses.py
@@ -1,13 +1,14 @@
-"""Work in flight at upstreams, packed into some ten bytes for each.
+"""Packs the work in flight at upstreams into about ten bytes per upstream.
 
-As thrift structs the same takes twice to three times as many, and what a host
-may send a second is bounded: the smaller a report is, the younger are the loads
-that peers decide by. By old ones hosts crowd on the upstream that was idle a
-moment ago.
+Thrift structs take two to three times as many bytes. The bytes that a host may
+send per second are bounded, so the smaller a report is, the more recent are the
+loads by which peers place requests. With outdated loads, many hosts send
+requests to the same upstream because it was idle a moment ago.
 
-For each upstream: its short name (4 bytes), requests that wait and streams that
-run (1 byte each), which urgencies have any (2 bytes, a bit each), then for each
-of those the requests (1 byte) and their unread tokens in units (2 bytes).
+The format of one upstream is: its short name (4 bytes); the requests without an
+answer and the running streams (1 byte each); a bit set of the urgencies with
+any work (2 bytes); and for each of these urgencies the requests (1 byte) and
+their tokens that wait for prefill, in units of `TOKENS_PER_UNIT` (2 bytes).
 """
 
 import struct
@@ -17,8 +18,11 @@
 from hollyknot_state import UpstreamUse
 
 TOKENS_PER_UNIT = 16
-"""Rounded up, so that a short prompt is not told as none; the most that fits
-is a million tokens."""
+"""Tokens in a unit of the packed token counts.
+
+Counts are rounded up to whole units, so that a short prompt is not reported as
+none. The largest count that fits is about a million tokens.
+"""
 
 _HEAD = struct.Struct(">IBBH")
 _URGENCY = struct.Struct(">BH")
@@ -28,15 +32,15 @@
 
 
 def pack_uses(uses: Sequence[UpstreamUse]) -> bytes:
-    """Returns the bytes of some uses; counts are cut at what fits."""
+    """Returns packed uses; counts that do not fit are set to the maximum."""
     return b"".join(_pack(use) for use in uses)
 
 
 def unpack_uses(data: bytes) -> tuple[UpstreamUse, ...]:
-    """Returns the uses that bytes hold.
+    """Returns the uses that were packed into bytes.
 
     Raises:
-        MalformedMessageError: They end within one.
+        MalformedMessageError: The bytes end within a use.
     """
     uses = []
     offset = 0
@@ -45,7 +49,9 @@
             use, offset = _unpack(data, offset)
             uses.append(use)
     except struct.error as error:
-        raise MalformedMessageError(f"uses: {error}") from error
+        raise MalformedMessageError(
+            f"packed uses are truncated: {error}"
+        ) from error
     return tuple(uses)
 
 
--- a/packages/protocol/src/hollyknot_protocol/_peer.py
+++ b/packages/protocol/src/hollyknot_protocol/_peer.py
@@ -1,27 +1,30 @@
-"""The messages of a link itself; `idl/peer.thrift` has the same fields."""
+"""Defines the handshake, envelope and control messages of a link.
+
+`idl/peer.thrift` has structs with the same names and fields.
+"""
 
 import enum
 
 import attrs
 
 LINK_VERSION = 1
-"""The version of handshake and envelope that this host speaks."""
+"""Version of handshake and envelope that this host supports."""
 
 NONCE_BYTES = 32
-"""Bytes of randomness that each side adds to a handshake."""
+"""Length of the random nonce in a `Hello`, in bytes."""
 
 MAC_BYTES = 32
-"""Bytes of an HMAC-SHA256."""
+"""Length of an HMAC-SHA256, in bytes."""
 
 MAX_NAME_CHARS = 255
-"""Characters of a host's or a data centre's name, at most."""
+"""Longest name of a host or a data centre, in characters."""
 
 
 def _check_name(_: object, field: "attrs.Attribute[str]", value: str) -> None:
     if not 0 < len(value) <= MAX_NAME_CHARS:
         raise ValueError(
-            f"{field.name}: has {len(value)} characters;"
-            f" give it 1 to {MAX_NAME_CHARS}"
+            f"{field.name} has {len(value)} characters;"
+            f" use 1 to {MAX_NAME_CHARS}"
         )
 
 
@@ -30,9 +33,9 @@
     """The first frame of each side.
 
     Attributes:
-        version: The highest link version that the side speaks.
-        host: The side's name in the host list.
-        data_centre: Where it runs.
+        version: Highest link version that the side supports.
+        host: Name of the side's host in the host list.
+        data_centre: Data centre in which the side's host runs.
         nonce: `NONCE_BYTES` random bytes, new for each handshake.
     """
 
@@ -44,15 +47,17 @@
     @nonce.validator
     def _check_nonce(self, _: "attrs.Attribute[bytes]", value: bytes) -> None:
         if len(value) != NONCE_BYTES:
-            raise ValueError(f"nonce: has {len(value)} bytes, not 32")
+            raise ValueError(
+                f"nonce has {len(value)} bytes; it needs {NONCE_BYTES}"
+            )
 
 
 @attrs.frozen
 class Proof:
-    """The second frame of each side: that it knows a shared key.
+    """The second frame of each side, which proves that it knows a shared key.
 
     Attributes:
-        mac: See `hollyknot_protocol.make_mac`.
+        mac: Result of `hollyknot_protocol.make_mac`.
     """
 
     mac: bytes
@@ -60,14 +65,15 @@
 
 @attrs.frozen
 class Envelope:
-    """Every frame after the handshake.
+    """The content of every frame after the handshake.
 
     Attributes:
         call_id: The sender's number for a call that waits for a reply; 0 for
             a one-way message and for a reply.
-        reply_to: The `call_id` that this message answers; 0 for none.
-        traceparent: The W3C trace context of the sender; empty for none.
-        kind: The number of the body's message kind.
+        reply_to: The `call_id` of the call that this message answers; 0 for
+            none.
+        traceparent: W3C trace context of the sender; empty for none.
+        kind: Number of the body's message kind.
         body: The encoded message.
     """
 
@@ -85,31 +91,31 @@
 
 @attrs.frozen
 class Pong:
-    """The answer to a `Ping`."""
+    """Answers a `Ping`."""
 
 
 class CallRefusalReason(enum.Enum):
-    """Why a call was not served."""
+    """Reasons why a call was not served."""
 
     UNKNOWN_KIND = "unknown-kind"
-    """This host's version does not know the message."""
+    """The host's version does not define the message."""
 
     NOT_SERVED = "not-served"
-    """This side of the link serves no calls."""
+    """The called side of the link serves no calls."""
 
     OVERLOADED = "overloaded"
-    """Too many calls of this link are running."""
+    """Too many calls of the link are running."""
 
     FAILED = "failed"
-    """The handler raised; what it did before that stays done."""
+    """The handler raised an exception; it may have had effects before."""
 
 
 @attrs.frozen
 class CallRefusal:
-    """The answer to a call that was not served, or not to its end.
+    """Answers a call that was not served, or whose handler failed.
 
     Attributes:
-        reason: Why.
+        reason: Why the call was not served.
     """
 
     reason: CallRefusalReason
