--- a/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: registered classes, versions, rubbish."""
+"""Tests of the codec: registered classes, versions and malformed bytes."""
 
 import enum
 import tracemalloc
@@ -47,7 +47,7 @@
 
 
 def _values(hint: Any, ttype: int, args: Any) -> st.SearchStrategy[Any]:
-    """Returns values of an attrs field that fit its thrift type."""
+    """Returns a strategy for values of a field that fit its thrift type."""
     params = typing.get_args(hint)
     match typing.get_origin(hint):
         case None:
@@ -64,7 +64,7 @@
 
 def _scalars(hint: Any, ttype: int, args: Any) -> st.SearchStrategy[Any]:
     if hint is Address:
-        # Its class takes IP addresses only; hardly any text is one.
+        # The class accepts only IP addresses, which random text hardly ever is.
         ports = st.integers(0, 65_535)
         return st.builds(Address, st.sampled_from(["127.0.0.1", "::1"]), ports)
     if attrs.has(hint):
@@ -95,7 +95,7 @@
         try:
             return kind.message(**values)
         except ValueError:
-            # The class checks more than types; these are no messages.
+            # The class checks more than types, and rejects these values.
             hypothesis.reject()
 
     return st.fixed_dictionaries(fields).map(build)
@@ -108,7 +108,7 @@
 
 
 class TestKinds:
-    """The registry, and each kind there and back."""
+    """Tests of the registry and of the round trip of each kind."""
 
     @pytest.mark.parametrize("kind", _ALL, ids=_name)
     def test_class_and_struct_have_the_same_fields(self, kind: Kind) -> None:
@@ -146,13 +146,13 @@
 
 
 class TestVersions:
-    """Messages of newer and older hosts."""
+    """Tests of messages of newer and older hosts."""
 
     def test_a_field_not_known_here_is_skipped(self) -> None:
-        """A newer host's message is refused during a rolling upgrade.
+        """Guards against refused messages during a rolling upgrade.
 
-        The newer host adds a field; an older host that cannot skip it drops
-        the link with every message.
+        A newer host sends a field that an older host does not know. If the
+        older host could not skip it, every such message would close the link.
         """
         newer = ttypes.Hello(1, "host", "dc", bytes(32))
         body = _write(newer)[:-1] + b"\x58\x01x\x00"
@@ -179,7 +179,7 @@
 
 
 class TestUnencodable:
-    """Messages that their struct cannot carry."""
+    """Tests of messages that their thrift struct cannot represent."""
 
     @pytest.mark.parametrize(
         "message",
@@ -197,7 +197,7 @@
 
 
 class TestMalformedBytes:
-    """Bytes that are no messages."""
+    """Tests of bytes that are not messages."""
 
     @pytest.mark.parametrize("kind", _ALL, ids=_name)
     @_FIXED
@@ -223,18 +223,19 @@
     @pytest.mark.parametrize(
         "body",
         [
-            # Unknown fields: structs, lists and maps a million deep.
+            # Unknown fields: structs, lists and maps nested a million deep.
             b"\xfc" + b"\x1c" * 1_000_000,
             b"\xf9" + b"\x19" * 1_000_000,
             b"\xfb" + b"\x01\xbb" * 500_000,
             # A string and a list that claim 2**31 - 1 bytes or elements.
             b"\x18\xff\xff\xff\xff\x07",
             b"\x19\xfc\xff\xff\xff\xff\x07",
-            # The same, in a field not known here.
+            # The same in an unknown field.
             b"\xf8\xff\xff\xff\xff\x07",
             b"\xf9\xfc\xff\xff\xff\xff\x07",
             b"\xfb\xff\xff\xff\xff\x07\xcc",
-            # A negative length; a number without end; bytes after the end.
+            # A negative length; a number that does not end; bytes after the
+            # end of the message.
             b"\x18\xff\xff\xff\xff\x0f",
             b"\x16" + b"\xff" * 100,
             b"\x00\x00",
@@ -245,11 +246,11 @@
     def test_false_lengths_reserve_no_memory(
         self, kind: Kind, body: bytes
     ) -> None:
-        """A host is killed for its memory, or by a stack overflow.
+        """Guards against running out of memory and against stack overflows.
 
-        A peer sends a few bytes that claim a list of two thousand million
-        elements, or structs nested a million deep; a decoder that believes
-        the length reserves 16 GB, one that follows the nesting crashes.
+        A peer sends a few bytes that state a list of 2**31 - 1 elements, or
+        structs nested a million deep. A decoder that trusts the length reserves
+        16 GB; one that recurses into the nesting crashes.
         """
         assert _peak_memory_bytes(kind, body) <= 16 * len(body) + 65_536
 
@@ -263,7 +264,7 @@
 
 
 def _peak_memory_bytes(kind: Kind, body: bytes) -> int:
-    """Returns the bytes that were reserved at most."""
+    """Returns the peak of the memory that failing to decode reserves, in bytes."""
     tracemalloc.start()
     try:
         with pytest.raises(MalformedMessageError):
--- a/packages/protocol/src/hollyknot_protocol/tests/test_frames.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames and the handshake's proof."""
+"""Tests of frames and of the proof in the handshake."""
 
 import hypothesis
 import pytest
@@ -21,7 +21,7 @@
 
 
 class TestFrameParser:
-    """Cutting a stream into frames."""
+    """Tests of splitting a stream into frames."""
 
     @_FIXED
     @hypothesis.given(_BODIES, st.data())
@@ -53,10 +53,10 @@
 
     @pytest.mark.parametrize("length", [0, _LIMIT + 1, 2**31, 2**32 - 1])
     def test_refuses_a_length_before_its_body_comes(self, length: int) -> None:
-        """Memory grows by what a peer claims.
+        """Guards against memory that grows by the length that a peer states.
 
-        A peer sends four bytes that claim 4 GB; the host would hold what
-        follows until that much has come.
+        A peer sends four bytes that state 4 GB. A host that accepted the length
+        would buffer all that follows until 4 GB have arrived.
         """
         parser = FrameParser(_LIMIT)
         with pytest.raises(FrameError):
@@ -69,7 +69,7 @@
 
 
 class TestProof:
-    """What a proof of the handshake proves."""
+    """Tests of what a proof of the handshake covers."""
 
     @pytest.mark.parametrize(
         ("key", "side", "dialler", "accepter", "proved"),
@@ -77,12 +77,12 @@
             (b"old", Side.DIALLER, b"a", b"b", True),
             (b"new", Side.DIALLER, b"a", b"b", True),
             (b"other", Side.DIALLER, b"a", b"b", False),
-            # A stranger sends a host its own proof back.
+            # A peer without a key sends a host its own proof back.
             (b"old", Side.ACCEPTER, b"a", b"b", False),
-            # Another nonce or name on either side.
+            # Another nonce or name on one side.
             (b"old", Side.DIALLER, b"x", b"b", False),
             (b"old", Side.DIALLER, b"a", b"x", False),
-            # The same bytes, cut elsewhere.
+            # The same bytes in all, split at another place.
             (b"old", Side.DIALLER, b"ab", b"", False),
         ],
     )
--- a/packages/protocol/src/hollyknot_protocol/tests/test_gossip_kinds.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_gossip_kinds.py
@@ -1,4 +1,4 @@
-"""Each message of gossip comes back as it was sent."""
+"""Tests that gossip messages are unchanged by encoding and decoding."""
 
 import pytest
 
@@ -46,7 +46,7 @@
 
 
 class TestGossipKinds:
-    """The registered structs of `gossip.thrift`."""
+    """Tests of the registered structs of `gossip.thrift`."""
 
     @pytest.mark.parametrize("message", MESSAGES, ids=repr)
     def test_a_message_comes_back_equal(self, message: PeerMessage) -> None:
--- a/packages/protocol/src/hollyknot_protocol/tests/test_packed_uses.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_packed_uses.py
@@ -1,4 +1,4 @@
-"""Tests of packing work in flight."""
+"""Tests of packing the work in flight at upstreams."""
 
 import pytest
 from hypothesis import given
@@ -33,7 +33,7 @@
 
 
 class TestPackedUses:
-    """Both directions."""
+    """Tests of packing and unpacking."""
 
     @given(_USES)
     def test_what_is_packed_is_unpacked(self, uses: list[UpstreamUse]) -> None:
