--- a/packages/protocol/src/hollyknot_protocol/_convert.py
+++ b/packages/protocol/src/hollyknot_protocol/_convert.py
@@ -1,7 +1,7 @@
 """Builds converters between attrs classes and their thrift structs.
 
-A converter is built once per registered class. The class and its struct have the same
-field names. These Python types are converted to these thrift types:
+A converter is built once per registered class. The class and its struct have
+the same field names. These Python types are converted to these thrift types:
 
 - `int`: `i16`, `i32`, `i64`; or `binary` of 8 bytes for an unsigned 64-bit int;
 - `bool`: `bool`; `float`: `double`; `str`: `string`; `bytes`: `binary`;
--- a/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
+++ b/packages/protocol/src/hollyknot_protocol/tests/test_codec.py
@@ -264,7 +264,7 @@
 
 
 def _peak_memory_bytes(kind: Kind, body: bytes) -> int:
-    """Returns the peak of the memory that failing to decode reserves, in bytes."""
+    """Returns the peak memory of a decoding that fails, in bytes."""
     tracemalloc.start()
     try:
         with pytest.raises(MalformedMessageError):
