--- a/packages/protocol/idl/report.thrift
+++ b/packages/protocol/idl/report.thrift
@@ -3,6 +3,7 @@
 // the same names in hollyknot_state document the messages and their fields;
 // they are in _host_report.py unless a comment below says otherwise.
 
+// Documented in _settings.py.
 struct Address {
   1: string ip
   2: i32 port
