--- a/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_aiohttp_relay.py
@@ -44,13 +44,13 @@
 
     Args:
         send: Writes the body at the server.
-        take_now: Whether a part is forwarded at once, within the parser.
+        forward_now: Whether a part is forwarded at once, within the parser.
         on_part: Called after each part that was forwarded.
     """
     parts: list[bytes] = []
     forwarded_by_task = 0
 
-    def forward_now(part: bytes) -> bool:
+    def forward_and_record(part: bytes) -> bool:
         is_forwarded = forward_now(part)
         if is_forwarded:
             parts.append(part)
@@ -65,7 +65,7 @@
 
     # The time limit makes a stalled relay fail the test.
     async with asyncio.timeout(20), start_response(send) as response:
-        await relay(response.content, forward_now, forward)
+        await relay(response.content, forward_and_record, forward)
     return parts, forwarded_by_task
 
 
--- a/packages/transport/src/hollyknot_transport/tests/test_exchange.py
+++ b/packages/transport/src/hollyknot_transport/tests/test_exchange.py
@@ -81,7 +81,7 @@
             unsent = transport.get_write_buffer_size() if transport else 0
             self.held = max(self.held, content.total_bytes - forwarded + unsent)
 
-        def forward_now(data: bytes) -> bool:
+        def forward_and_record(data: bytes) -> bool:
             is_forwarded = forward_now(data)
             if is_forwarded:
                 # The reader counts a part only after it was forwarded.
@@ -94,7 +94,7 @@
             await forward(data)
             record_held(len(data))
 
-        await relay(content, forward_now, forward_slowly)
+        await relay(content, forward_and_record, forward_slowly)
 
     async def handle(
         self, exchanges: UpstreamClient, request: web.BaseRequest
