--- a/conftest.py
+++ b/conftest.py
@@ -11,7 +11,7 @@
 import pytest
 
 _FILE = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
-_MOST = 3
+_MAX_LINES = 3
 
 
 @attrs.frozen
@@ -47,8 +47,8 @@
                 " 'test | command | seen | issue'"
             )
         found.append(KnownRed(*parts))
-    if len(found) > _MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: at most {_MOST} lines")
+    if len(found) > _MAX_LINES:
+        raise pytest.UsageError(f"KNOWN-RED.txt: at most {_MAX_LINES} lines")
     return tuple(found)
 
 
@@ -61,14 +61,14 @@
 ) -> None:
     """Takes the listed tests out of the run."""
     listed = {red.test for red in _known_red()}
-    passed_over = [item for item in items if item.nodeid in listed]
-    names = {item.nodeid for item in passed_over}
-    asked_for_all = config.args in ([], ["packages", "platform"])
-    if asked_for_all and listed != names:
+    deselected = [item for item in items if item.nodeid in listed]
+    names = {item.nodeid for item in deselected}
+    is_full_run = config.args in ([], ["packages", "platform"])
+    if is_full_run and listed != names:
         missing = ", ".join(sorted(listed - names))
         raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {missing}")
     items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(
--- a/packages/ctl/src/hollyknot_ctl/__init__.py
+++ b/packages/ctl/src/hollyknot_ctl/__init__.py
@@ -1,6 +1,6 @@
 """The operator's tool, hollyknotctl."""
 
-from hollyknot_ctl._explain_failure import Line, read_lines, story
+from hollyknot_ctl._explain_failure import Line, read_lines, request_timeline
 from hollyknot_ctl._main import main
 
-__all__ = ["Line", "main", "read_lines", "story"]
+__all__ = ["Line", "main", "read_lines", "request_timeline"]
--- a/packages/ctl/src/hollyknot_ctl/_check.py
+++ b/packages/ctl/src/hollyknot_ctl/_check.py
@@ -4,10 +4,10 @@
 
 import click
 
-from hollyknot_ctl._documents import Checked, Kind, problem_lines, read_file
+from hollyknot_ctl._documents import CheckedFile, Kind, problem_lines, read_file
 from hollyknot_ctl._output import (
-    BAD_INPUT,
-    FINE,
+    EXIT_BAD_INPUT,
+    EXIT_OK,
     echo_json,
     examples,
     json_option,
@@ -43,17 +43,17 @@
     else:
         for one in checked:
             _echo(one)
-    sys.exit(BAD_INPUT if any(c.problems for c in checked) else FINE)
+    sys.exit(EXIT_BAD_INPUT if any(c.problems for c in checked) else EXIT_OK)
 
 
-def _echo(checked: Checked) -> None:
+def _echo(checked: CheckedFile) -> None:
     for line in problem_lines(checked):
         click.echo(line, err=True)
     if not checked.problems:
         click.echo(printable(f"{checked.name}: good {checked.kind.value}"))
 
 
-def _as_json(checked: Checked) -> dict[str, object]:
+def _as_json(checked: CheckedFile) -> dict[str, object]:
     is_refused = isinstance(checked.result, Problems)
     return {
         "file": checked.name,
--- a/packages/ctl/src/hollyknot_ctl/_diff.py
+++ b/packages/ctl/src/hollyknot_ctl/_diff.py
@@ -6,7 +6,7 @@
 from hollyknot_ctl._documents import read_declarations
 from hollyknot_ctl._output import echo_json, examples, json_option
 
-_NAMED_CUSTOMERS = 5
+_MAX_SHOWN_CUSTOMERS = 5
 
 
 @click.command(
@@ -34,6 +34,6 @@
     customers = difference.customers
     if difference.section == "customers" or not customers:
         return line
-    shown = ", ".join(customers[:_NAMED_CUSTOMERS])
-    more = len(customers) - _NAMED_CUSTOMERS
+    shown = ", ".join(customers[:_MAX_SHOWN_CUSTOMERS])
+    more = len(customers) - _MAX_SHOWN_CUSTOMERS
     return f"{line} (for {shown}{f' and {more} more' if more > 0 else ''})"
--- a/packages/ctl/src/hollyknot_ctl/_differences.py
+++ b/packages/ctl/src/hollyknot_ctl/_differences.py
@@ -54,7 +54,7 @@
 
 def _classes(old: Declarations, new: Declarations) -> Iterator[Difference]:
     yield from _entries("classes", old.classes, new.classes)
-    for name in _kept(old.classes, new.classes):
+    for name in _common_names(old.classes, new.classes):
         before, after = old.classes[name], new.classes[name]
         users = _users(old, name) | _users(new, name)
         for change in _class_changes(before, after):
@@ -63,8 +63,8 @@
 
 def _class_changes(before: Any, after: Any) -> Iterator[str]:
     if before.tier != after.tier:
-        way = "raised" if after.tier < before.tier else "lowered"
-        yield f"tier {way} from {before.tier} to {after.tier}"
+        direction = "raised" if after.tier < before.tier else "lowered"
+        yield f"tier {direction} from {before.tier} to {after.tier}"
     for attribute in attrs.fields(Target):
         was = getattr(before.target, attribute.name)
         now = getattr(after.target, attribute.name)
@@ -82,7 +82,7 @@
 
 def _customers(old: Declarations, new: Declarations) -> Iterator[Difference]:
     yield from _entries("customers", old.customers, new.customers)
-    for name in _kept(old.customers, new.customers):
+    for name in _common_names(old.customers, new.customers):
         for change in _customer_changes(
             old.customers[name], new.customers[name]
         ):
@@ -104,7 +104,7 @@
 
 def _services(old: Declarations, new: Declarations) -> Iterator[Difference]:
     yield from _entries("services", old.services, new.services)
-    for name in _kept(old.services, new.services):
+    for name in _common_names(old.services, new.services):
         for change in _service_changes(old.services[name], new.services[name]):
             yield Difference("services", name, change)
 
@@ -113,18 +113,18 @@
     before: ServiceDeclaration, after: ServiceDeclaration
 ) -> Iterator[str]:
     for label in ("non_idempotent", "idempotent"):
-        was = {_text(p) for p in getattr(before, label)}
-        now = {_text(p) for p in getattr(after, label)}
-        spoken = label.replace("_", "-")
+        was = {_pattern_text(p) for p in getattr(before, label)}
+        now = {_pattern_text(p) for p in getattr(after, label)}
+        shown_label = label.replace("_", "-")
         for pattern in sorted(now - was):
-            yield f"{pattern} becomes declared {spoken}"
+            yield f"{pattern} becomes declared {shown_label}"
         for pattern in sorted(was - now):
-            yield f"{pattern} is no longer declared {spoken}"
+            yield f"{pattern} is no longer declared {shown_label}"
     if before.remember_s != after.remember_s:
         yield f"remember_s {before.remember_s} -> {after.remember_s}"
 
 
-def _text(pattern: CallPattern) -> str:
+def _pattern_text(pattern: CallPattern) -> str:
     return f"{pattern.method} {pattern.path}"
 
 
@@ -138,5 +138,5 @@
         yield Difference(section, name, "removed", (name,) * is_customers)
 
 
-def _kept(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
+def _common_names(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
     return sorted(set(old) & set(new))
--- a/packages/ctl/src/hollyknot_ctl/_documents.py
+++ b/packages/ctl/src/hollyknot_ctl/_documents.py
@@ -9,7 +9,7 @@
 import attrs
 import click
 
-from hollyknot_ctl._output import BAD_INPUT, printable
+from hollyknot_ctl._output import EXIT_BAD_INPUT, printable
 from hollyknot_state import (
     Declarations,
     HostList,
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Checked:
+class CheckedFile:
     """A file that was read.
 
     Attributes:
@@ -55,7 +55,7 @@
         return ()
 
 
-def read_file(name: str, kind: Kind | None) -> Checked:
+def read_file(name: str, kind: Kind | None) -> CheckedFile:
     """Reads and checks a file.
 
     Args:
@@ -68,9 +68,11 @@
             data = file.read(_MAX_BYTES)
     except OSError as e:
         problem = Problem("", f"can't be read: {e.strerror}", "check the path")
-        return Checked(name, kind or Kind.DECLARATIONS, Problems((problem,)))
+        return CheckedFile(
+            name, kind or Kind.DECLARATIONS, Problems((problem,))
+        )
     found = kind or _guess_kind(data)
-    return Checked(name, found, _parse(data, found, path.parent))
+    return CheckedFile(name, found, _parse(data, found, path.parent))
 
 
 def read_declarations(name: str) -> Declarations:
@@ -79,11 +81,11 @@
     if not isinstance(checked.result, Declarations):
         for line in problem_lines(checked):
             click.echo(line, err=True)
-        sys.exit(BAD_INPUT)
+        sys.exit(EXIT_BAD_INPUT)
     return checked.result
 
 
-def problem_lines(checked: Checked) -> Iterator[str]:
+def problem_lines(checked: CheckedFile) -> Iterator[str]:
     """Returns one line for each mistake: file, path, problem, remedy."""
     for problem in checked.problems:
         yield printable(f"{checked.name}: {problem}")
--- a/packages/ctl/src/hollyknot_ctl/_explain.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain.py
@@ -18,7 +18,7 @@
 from hollyknot_coordination.retries import http_status
 from hollyknot_ctl._documents import read_declarations
 from hollyknot_ctl._output import (
-    BAD_INPUT,
+    EXIT_BAD_INPUT,
     echo_json,
     examples,
     fail,
@@ -66,7 +66,7 @@
         fail(
             "give one of --customer and --key, and one of --model and"
             " --service",
-            BAD_INPUT,
+            EXIT_BAD_INPUT,
         )
     declared = read_declarations(declarations)
     name = _find_customer(declared, customer)
@@ -111,8 +111,8 @@
     yield f"target: {_target(result.target)}"
     yield f"pool: {result.pool}"
     yield from _nature_lines(result)
-    yield f"retried if proved not run: {_yes(found.is_retried_if_not_run)}"
-    yield f"retried if it may have run: {_yes(found.is_retried_if_lost)}"
+    yield f"retried if proved not run: {_yes_no(found.is_retried_if_not_run)}"
+    yield f"retried if it may have run: {_yes_no(found.is_retried_if_lost)}"
     yield "possible refusals:"
     for refusal in found.refusals:
         status = refusal.status or "the upstream's status"
@@ -145,5 +145,5 @@
     return ", ".join(f"{text} {ms} ms" for text, ms in parts if ms)
 
 
-def _yes(value: bool) -> str:
+def _yes_no(value: bool) -> str:
     return "yes" if value else "no"
--- a/packages/ctl/src/hollyknot_ctl/_explain_failure.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain_failure.py
@@ -8,22 +8,22 @@
 import click
 
 from hollyknot_ctl._output import (
-    BAD_INPUT,
+    EXIT_BAD_INPUT,
     echo_json,
     examples,
     fail,
     json_option,
 )
 
-NEAR_S = 3.0
+CONTEXT_S = 3.0
 """Lines on the same upstream or host within this time may tell the cause: a
 crash is judged, and a silent data centre seen, within a second or two."""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_OF_A_REQUEST = frozenset(
+_REQUEST_EVENTS = frozenset(
     {"try", "failed_try", "refused", "cut_off", "caller_gone"}
 )
-_OF_AN_UPSTREAM = frozenset(
+_UPSTREAM_EVENTS = frozenset(
     {
         "unreachable",
         "reachable",
@@ -33,7 +33,7 @@
         "upstream_gone",
     }
 )
-_OF_A_HOST = frozenset(
+_HOST_EVENTS = frozenset(
     {
         "source_lost",
         "source_regained",
@@ -85,39 +85,40 @@
             continue
 
 
-def story(request: str, lines: Iterable[Line]) -> list[Line]:
+def request_timeline(request: str, lines: Iterable[Line]) -> list[Line]:
     """Returns a request's lines and those that may tell why, in order of time.
 
     Args:
         request: Its id.
         lines: Of any number of hosts, in any order.
     """
-    every = sorted(lines, key=lambda line: line.at_s)
+    by_time = sorted(lines, key=lambda line: line.at_s)
     own = [
         line
-        for line in every
-        if line.event in _OF_A_REQUEST and line.fields.get("request") == request
+        for line in by_time
+        if line.event in _REQUEST_EVENTS
+        and line.fields.get("request") == request
     ]
     if not own:
         return []
-    since_s = own[0].at_s - NEAR_S
-    until_s = own[-1].at_s + NEAR_S
+    since_s = own[0].at_s - CONTEXT_S
+    until_s = own[-1].at_s + CONTEXT_S
     upstreams = {line.fields.get("upstream") for line in own}
     hosts = {line.host for line in own}
-    near = [line for line in every if since_s <= line.at_s <= until_s]
+    near = [line for line in by_time if since_s <= line.at_s <= until_s]
     return [
         line
         for line in near
         if line in own
         or (
-            line.event in _OF_AN_UPSTREAM
+            line.event in _UPSTREAM_EVENTS
             and line.fields.get("upstream") in upstreams
         )
-        or (line.event in _OF_A_HOST and line.host in hosts)
+        or (line.event in _HOST_EVENTS and line.host in hosts)
     ]
 
 
-def told(line: Line, first_s: float) -> str:
+def format_line(line: Line, first_s: float) -> str:
     """Returns a line as a person reads it."""
     left_out = {"at", "event", "host", "data_centre", "request"}
     pairs = " ".join(
@@ -147,12 +148,12 @@
     upstreams and hosts that it met. "-" reads standard input.
     """
     lines = (line for file in files for line in read_lines(file))
-    found = story(request, lines)
+    found = request_timeline(request, lines)
     if not found:
         fail(
             f"no line tells of request {request!r}; give the files of all"
             " hosts, and look for lines_dropped in them",
-            BAD_INPUT,
+            EXIT_BAD_INPUT,
         )
     if as_json:
         echo_json([line.fields for line in found])
@@ -161,4 +162,4 @@
         line.at_s for line in found if line.fields.get("request") == request
     )
     for line in found:
-        click.echo(told(line, first_s))
+        click.echo(format_line(line, first_s))
--- a/packages/ctl/src/hollyknot_ctl/_hash_key.py
+++ b/packages/ctl/src/hollyknot_ctl/_hash_key.py
@@ -6,7 +6,7 @@
 import click
 
 from hollyknot_ctl._output import (
-    BAD_INPUT,
+    EXIT_BAD_INPUT,
     echo_json,
     examples,
     fail,
@@ -31,9 +31,9 @@
     """
     key = sys.stdin.buffer.read().strip(_BLANKS)
     if not key:
-        fail("standard input holds no key", BAD_INPUT)
+        fail("standard input holds no key", EXIT_BAD_INPUT)
     if len(key.split()) > 1:
-        fail("the key holds white space, which no header can", BAD_INPUT)
+        fail("the key holds white space, which no header can", EXIT_BAD_INPUT)
     digest = hashlib.sha256(key).hexdigest()
     if as_json:
         echo_json({"key_sha256": digest})
--- a/packages/ctl/src/hollyknot_ctl/_main.py
+++ b/packages/ctl/src/hollyknot_ctl/_main.py
@@ -10,7 +10,7 @@
 from hollyknot_ctl._explain import explain_command
 from hollyknot_ctl._explain_failure import explain_failure
 from hollyknot_ctl._hash_key import hash_key
-from hollyknot_ctl._output import BAD_INPUT, examples, fail
+from hollyknot_ctl._output import EXIT_BAD_INPUT, examples, fail
 from hollyknot_ctl._status import status
 
 
@@ -48,5 +48,5 @@
     except Exception as e:
         # An operator in the midst of an incident needs one line that says
         # what failed, not forty.
-        fail(f"a fault of the tool itself: {e!r}", BAD_INPUT)
+        fail(f"a fault of the tool itself: {e!r}", EXIT_BAD_INPUT)
     sys.exit(0)
--- a/packages/ctl/src/hollyknot_ctl/_output.py
+++ b/packages/ctl/src/hollyknot_ctl/_output.py
@@ -9,9 +9,9 @@
 import click
 import orjson
 
-FINE = 0
-UNREACHABLE = 1
-BAD_INPUT = 2
+EXIT_OK = 0
+EXIT_UNREACHABLE = 1
+EXIT_BAD_INPUT = 2
 
 json_option = click.option(
     "--json", "as_json", is_flag=True, help="Write JSON instead of lines."
--- a/packages/ctl/src/hollyknot_ctl/_status.py
+++ b/packages/ctl/src/hollyknot_ctl/_status.py
@@ -10,8 +10,8 @@
 import orjson
 
 from hollyknot_ctl._output import (
-    BAD_INPUT,
-    UNREACHABLE,
+    EXIT_BAD_INPUT,
+    EXIT_UNREACHABLE,
     echo_json,
     examples,
     fail,
@@ -47,7 +47,7 @@
     try:
         document = asyncio.run(_fetch(url))
     except _UnreachableError as e:
-        fail(f"{address}: {e}", UNREACHABLE)
+        fail(f"{address}: {e}", EXIT_UNREACHABLE)
     if as_json:
         echo_json(document)
         return
@@ -60,9 +60,9 @@
     try:
         host = ipaddress.ip_address(ip.removeprefix("[").removesuffix("]"))
     except ValueError:
-        fail(f"{address}: is not IP:PORT", BAD_INPUT)
+        fail(f"{address}: is not IP:PORT", EXIT_BAD_INPUT)
     if not port.isdecimal() or not 1 <= int(port[:6]) <= _MAX_PORT:
-        fail(f"{address}: the port has to be 1 to {_MAX_PORT}", BAD_INPUT)
+        fail(f"{address}: the port has to be 1 to {_MAX_PORT}", EXIT_BAD_INPUT)
     shown = (
         f"[{host}]" if isinstance(host, ipaddress.IPv6Address) else str(host)
     )
--- a/packages/ctl/src/hollyknot_ctl/reference/_pages.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_pages.py
@@ -6,7 +6,11 @@
 
 import attrs
 
-from hollyknot_ctl.reference._types import describe, nested, summary
+from hollyknot_ctl.reference._types import (
+    describe_fields,
+    nested_classes,
+    summary,
+)
 from hollyknot_state import (
     MAX_DECLARATIONS_BYTES,
     MAX_SETTINGS_BYTES,
@@ -71,7 +75,7 @@
     example: dict[str, Any]
     max_bytes: int
     omitted: frozenset[str]
-    whole: str
+    cross_field_rules: str
 
 
 _PAGES = {
@@ -116,18 +120,18 @@
         " refused; `hollyknotctl check FILE` tells all mistakes at once.",
         f"```json\n{example}\n```",
     ]
-    for cls in (page.root, *nested(page.root)):
+    for cls in (page.root, *nested_classes(page.root)):
         if cls is not page.root:
             parts += [f"## {cls.__name__}", summary(cls)]
         parts.append("\n".join(_table(cls, page.omitted)))
-    parts.append(page.whole)
+    parts.append(page.cross_field_rules)
     return "\n\n".join(parts) + "\n"
 
 
 def _table(cls: type, omitted: frozenset[str]) -> Iterator[str]:
     yield "| field | type | default | meaning | check |"
     yield "| --- | --- | --- | --- | --- |"
-    for field in describe(cls):
+    for field in describe_fields(cls):
         if field.name in omitted:
             continue
         default = field.default or "required"
--- a/packages/ctl/src/hollyknot_ctl/reference/_types.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_types.py
@@ -42,7 +42,7 @@
     return inspect.getdoc(cls).partition("\n\nAttributes:")[0]  # type: ignore[union-attr]
 
 
-def describe(cls: type) -> Iterator[FieldDescription]:
+def describe_fields(cls: type) -> Iterator[FieldDescription]:
     """Returns the fields of a class in their order.
 
     Raises:
@@ -59,7 +59,7 @@
         )
 
 
-def nested(cls: type) -> Iterator[type]:
+def nested_classes(cls: type) -> Iterator[type]:
     """Returns the classes that a class's fields hold, each once, in order."""
     found: dict[type, None] = {}
     waiting = [cls]
--- a/packages/ctl/src/hollyknot_ctl/tests/test_commands.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_commands.py
@@ -82,7 +82,7 @@
         ]
 
     @pytest.mark.parametrize(
-        ("text", "told"),
+        ("text", "message"),
         [
             ('{"host": 1}', "host: 1 is not a string"),
             ('{"revision": "1"}', "revision: "),
@@ -91,13 +91,13 @@
         ],
     )
     def test_tells_the_kind_by_content(
-        self, tmp_path: pathlib.Path, text: str, told: str
+        self, tmp_path: pathlib.Path, text: str, message: str
     ) -> None:
         path = tmp_path / "a.json"
         path.write_text(text)
         result = _run("check", str(path))
         assert result.exit_code == 2
-        assert told in result.stderr
+        assert message in result.stderr
 
     def test_settings_that_name_a_missing_file(
         self, tmp_path: pathlib.Path
@@ -242,7 +242,7 @@
         assert "claimed-before" not in reasons
 
     @pytest.mark.parametrize(
-        ("arguments", "told"),
+        ("arguments", "message"),
         [
             ([*_PERMITS, "--class", "night"], "unknown-class (HTTP 403)"),
             (["--customer", "x", "--model", "drafts"], "bad-key (HTTP 401)"),
@@ -251,11 +251,13 @@
             ([*_PERMITS, "--path", "/a//b"], "bad-request (HTTP 400)"),
         ],
     )
-    def test_refusals(self, good: str, arguments: list[str], told: str) -> None:
+    def test_refusals(
+        self, good: str, arguments: list[str], message: str
+    ) -> None:
         result = _run("explain", good, *arguments, stdin="wrong")
         assert result.exit_code == 0
         assert result.stdout.startswith("refused: not-run, ")
-        assert told in result.stdout
+        assert message in result.stdout
 
     def test_needs_one_of_each(self, good: str) -> None:
         for extra in ([], ["--key", *_PERMITS], [*_PERMITS, "--model", "m"]):
--- a/packages/ctl/src/hollyknot_ctl/tests/test_explain_failure.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_explain_failure.py
@@ -5,7 +5,7 @@
 
 from click.testing import CliRunner
 
-from hollyknot_ctl._explain_failure import read_lines, story
+from hollyknot_ctl._explain_failure import read_lines, request_timeline
 from hollyknot_ctl._main import cli
 
 LINES = """\
@@ -22,11 +22,11 @@
 """
 
 
-class TestStory:
+class TestRequestTimeline:
     """The request's lines, and what stands beside them."""
 
     def test_holds_what_may_tell_the_cause_in_order(self) -> None:
-        found = story("a1", read_lines(LINES.splitlines()))
+        found = request_timeline("a1", read_lines(LINES.splitlines()))
         assert [(line.event, line.host) for line in found] == [
             ("try", "h1"),
             ("refused", "h1"),
@@ -36,11 +36,11 @@
         ]
 
     def test_reads_quoted_values(self) -> None:
-        found = story("a1", read_lines(LINES.splitlines()))
+        found = request_timeline("a1", read_lines(LINES.splitlines()))
         assert found[0].fields["detail"] == "no byte in time"
 
     def test_of_an_unknown_request_is_empty(self) -> None:
-        assert story("a9", read_lines(LINES.splitlines())) == []
+        assert request_timeline("a9", read_lines(LINES.splitlines())) == []
 
 
 class TestCommand:
--- a/packages/ctl/src/hollyknot_ctl/tests/test_reference.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_reference.py
@@ -11,7 +11,7 @@
     SETTINGS_EXAMPLE,
     render_pages,
 )
-from hollyknot_ctl.reference._types import describe
+from hollyknot_ctl.reference._types import describe_fields
 from hollyknot_state import (
     Declarations,
     Settings,
@@ -52,4 +52,4 @@
             field: int
 
         with pytest.raises(KeyError, match="field"):
-            list(describe(Undocumented))
+            list(describe_fields(Undocumented))
--- a/packages/standins/src/hollyknot_standins/_engine.py
+++ b/packages/standins/src/hollyknot_standins/_engine.py
@@ -34,7 +34,7 @@
 )
 
 LOWEST_PRIORITY = 3
-UNREAD_BYTES = 65_536
+MAX_UNREAD_BYTES = 65_536
 """Bytes that a stream's reader may be behind before its sequence stops."""
 CANCELLED_STATUS = 499
 
@@ -115,7 +115,7 @@
         self.order: dict[str, Any] = {"fence": 0}
         self.load: dict[str, Any] = {}
         self.load_at_s = -1e9
-        self.standin.on_crash = self._forget
+        self.standin.on_crash = self._drop_state
 
     def _pace(self) -> Pace:
         interval_s = self.options.interval_s * self.control.straggle
@@ -127,8 +127,8 @@
         if self.control.crash_on and self.control.crash_on in prompt.text:
             self.standin.crash()
 
-    def _forget(self) -> None:
-        self.scheduler.forget()
+    def _drop_state(self) -> None:
+        self.scheduler.drop_all()
         self.cache.clear()
 
     def measured_load(self) -> dict[str, Any]:
@@ -153,7 +153,7 @@
         """Runs a prompt from a token on and answers it."""
         if self.scheduler.is_full:
             return refused("full")
-        cached = self.cache.hit(prompt.text.encode())
+        cached = self.cache.look_up_and_store(prompt.text.encode())
         response = web.StreamResponse(
             headers={"Content-Type": "text/event-stream"}
         )
@@ -177,7 +177,7 @@
         if self.standin.is_silent(request):
             await hang()
         if not streams:
-            return await _whole(request, prompt, cached, end)
+            return await _respond_at_once(request, prompt, cached, end)
         is_complete = end is End.COMPLETE
         await response.write_eof(
             prompt.stream_end(cached) if is_complete else b""
@@ -194,7 +194,7 @@
         head, tail = prompt.token_frame()
 
         def emit(start: int, stop: int) -> bool:
-            if transport.get_write_buffer_size() > UNREAD_BYTES:
+            if transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
                 return False
             if transport.is_closing() or self.standin.is_silent(request):
                 return True
@@ -213,12 +213,12 @@
     return True
 
 
-async def _whole(
+async def _respond_at_once(
     request: web.Request, prompt: Prompt, cached: int, end: End
 ) -> web.StreamResponse:
     if end is End.CANCELLED:
         return json_body({"error": {"message": "cancelled"}}, CANCELLED_STATUS)
-    answer = prompt.whole(cached)
+    answer = prompt.complete_answer(cached)
     if end is End.COMPLETE:
         return json_body(answer)
     # A truncated answer: half of a body under the whole's length.
@@ -256,7 +256,7 @@
     @routes.get("/v1/resume/{request_id}")
     async def resume(request: web.Request) -> web.StreamResponse:
         request_id = request.match_info["request_id"]
-        prompt = scheduler.remembered(request_id)
+        prompt = scheduler.find_prompt(request_id)
         after = int(request.query.get("after", "0"))
         if prompt is None or not 0 <= after <= prompt.length:
             return _unknown_request()
@@ -279,14 +279,14 @@
     @routes.post("/v1/kv/export")
     async def kv_export(request: web.Request) -> web.Response:
         body = orjson.loads(await request.read())
-        prompt = engine.scheduler.remembered(body["request_id"])
+        prompt = engine.scheduler.find_prompt(body["request_id"])
         return json_body(attrs.asdict(prompt)) if prompt else _unknown_request()
 
     @routes.post("/v1/kv/import")
     async def kv_import(request: web.Request) -> web.Response:
         prompt = Prompt(**orjson.loads(await request.read()))
-        engine.scheduler.remember(prompt)
-        engine.cache.hit(prompt.text.encode())
+        engine.scheduler.store_prompt(prompt)
+        engine.cache.look_up_and_store(prompt.text.encode())
         return json_body({})
 
 
--- a/packages/standins/src/hollyknot_standins/_openai.py
+++ b/packages/standins/src/hollyknot_standins/_openai.py
@@ -6,7 +6,7 @@
 import attrs
 import orjson
 
-_MARK = "@token@"
+_TOKEN_PLACEHOLDER = "@token@"
 
 
 @attrs.frozen
@@ -67,8 +67,8 @@
 
     def token_frame(self) -> tuple[bytes, bytes]:
         """What stands before and after the token in a stream's event."""
-        event = self._event([self._delta(_MARK, None)])
-        head, _, tail = event.rpartition(_MARK.encode())
+        event = self._event([self._delta(_TOKEN_PLACEHOLDER, None)])
+        head, _, tail = event.rpartition(_TOKEN_PLACEHOLDER.encode())
         return head, tail
 
     def stream_end(self, cached_bytes: int) -> bytes:
@@ -77,7 +77,7 @@
         usage = self._event([], usage=self.usage(cached_bytes))
         return last + usage + b"data: [DONE]\n\n"
 
-    def whole(self, cached_bytes: int) -> dict[str, Any]:
+    def complete_answer(self, cached_bytes: int) -> dict[str, Any]:
         """The complete answer in one piece."""
         answer = expected_text(self.message, self.length)
         message = {"role": "assistant", "content": answer}
--- a/packages/standins/src/hollyknot_standins/_platform.py
+++ b/packages/standins/src/hollyknot_standins/_platform.py
@@ -22,7 +22,7 @@
 Entry = dict[str, Any]
 
 
-class Published:
+class PublishedDocument:
     """A document whose number rises with each change, for readers to await."""
 
     def __init__(
@@ -69,7 +69,7 @@
         published: What is published.
     """
 
-    published: Published = attrs.field(kw_only=True)
+    published: PublishedDocument = attrs.field(kw_only=True)
     down: bool = flag()
     stale: int = number(0)
     lag_s: float = number(0.0)
@@ -80,7 +80,7 @@
         super().command(name, value)
         self.published.wake()
 
-    def later(self, change: Callable[[], None]) -> None:
+    def apply_after_lag(self, change: Callable[[], None]) -> None:
         """Makes a change after the lag."""
         if self.lag_s:
             asyncio.get_running_loop().call_later(self.lag_s, change)
@@ -106,7 +106,7 @@
 
     def publish_raw(self, text: str) -> None:
         """Publishes a text that need not be JSON as the next version."""
-        self.later(lambda: self.published.publish(text.encode()))
+        self.apply_after_lag(lambda: self.published.publish(text.encode()))
 
     def command(self, name: str, value: Any) -> None:
         """Publishes, or sets a fault."""
@@ -126,11 +126,11 @@
 
     def set_entries(self, entries: list[Entry]) -> None:
         """Replaces all entries."""
-        self.later(lambda: self._apply({}, entries, []))
+        self.apply_after_lag(lambda: self._apply({}, entries, []))
 
     def patch(self, put: list[Entry], remove: list[str]) -> None:
         """Adds or replaces entries by name, and removes others."""
-        self.later(lambda: self._apply(self.entries, put, remove))
+        self.apply_after_lag(lambda: self._apply(self.entries, put, remove))
 
     def command(self, name: str, value: Any) -> None:
         """Changes entries, or sets a fault."""
@@ -209,7 +209,7 @@
     options: ConfigurationOptions,
 ) -> AsyncIterator[Standin[ConfigurationControl]]:
     """Serves a configuration service until the context ends."""
-    published = Published(_document, orjson.dumps(options.value))
+    published = PublishedDocument(_document, orjson.dumps(options.value))
     standin = Standin(ConfigurationControl(published=published))
     routes = _routes("/v1/values/declarations", standin.control)
     async with serving(standin, options, routes):
@@ -221,7 +221,7 @@
     options: HostListOptions,
 ) -> AsyncIterator[Standin[HostListControl]]:
     """Serves a host list until the context ends."""
-    published = Published(_entries, orjson.dumps(options.entries))
+    published = PublishedDocument(_entries, orjson.dumps(options.entries))
     entries = {entry["name"]: entry for entry in options.entries}
     standin = Standin(HostListControl(published=published, entries=entries))
     routes = _routes("/v1/hosts", standin.control)
--- a/packages/standins/src/hollyknot_standins/_prefix_cache.py
+++ b/packages/standins/src/hollyknot_standins/_prefix_cache.py
@@ -7,7 +7,7 @@
 import attrs
 
 BLOCK_BYTES = 256
-EVENTS_KEPT = 1_000
+MAX_KEPT_EVENTS = 1_000
 
 
 @attrs.frozen
@@ -40,7 +40,7 @@
         self._now_s = now_s
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._events: deque[tuple[float, CacheEvent]] = deque(
-            maxlen=EVENTS_KEPT
+            maxlen=MAX_KEPT_EVENTS
         )
         self._seq = 0
 
@@ -49,7 +49,7 @@
         """The share of the blocks in use, 0 to 1."""
         return len(self._blocks) / self._capacity if self._capacity else 0.0
 
-    def hit(self, prompt: bytes) -> int:
+    def look_up_and_store(self, prompt: bytes) -> int:
         """Returns how many bytes of a prompt were cached, and stores it."""
         digest = hashlib.blake2b(digest_size=8)
         cached = 0
@@ -77,14 +77,14 @@
         if not self._capacity:
             return
         if prefix not in self._blocks:
-            self._tell("stored", prefix)
+            self._record_event("stored", prefix)
         self._blocks[prefix] = None
         self._blocks.move_to_end(prefix)
         if len(self._blocks) > self._capacity:
             evicted, _ = self._blocks.popitem(last=False)
-            self._tell("evicted", evicted)
+            self._record_event("evicted", evicted)
 
-    def _tell(self, kind: str, prefix: str) -> None:
+    def _record_event(self, kind: str, prefix: str) -> None:
         self._seq += 1
         if self._gap and self._seq % self._gap == 0:
             return
--- a/packages/standins/src/hollyknot_standins/_scheduler.py
+++ b/packages/standins/src/hollyknot_standins/_scheduler.py
@@ -19,7 +19,7 @@
 PACE_POLL_S = 0.02
 """The longest time after which a change of the pace is heeded. A step that was
 planned at a pace of a minute would else hold up all that comes after it."""
-REMEMBERED = 10_000
+MAX_STORED_PROMPTS = 10_000
 """Prompts remembered for resuming."""
 
 
@@ -90,9 +90,9 @@
         self._queue: list[tuple[int, int, Sequence]] = []
         self._running: dict[Sequence, None] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._planned_s = 0.0
+        self._planned_at_s = 0.0
         self._due_s = 0.0
-        self._remembered: OrderedDict[str, Prompt] = OrderedDict()
+        self._prompts: OrderedDict[str, Prompt] = OrderedDict()
         self.tokens = 0
 
     @property
@@ -117,15 +117,15 @@
         heapq.heappush(self._queue, entry)
         self._admit()
 
-    def remembered(self, request_id: str) -> Prompt | None:
+    def find_prompt(self, request_id: str) -> Prompt | None:
         """The prompt of a request that ran here, for resuming it."""
-        return self._remembered.get(request_id)
+        return self._prompts.get(request_id)
 
-    def remember(self, prompt: Prompt) -> None:
+    def store_prompt(self, prompt: Prompt) -> None:
         """Keeps a prompt for resuming it."""
-        self._remembered[prompt.request_id] = prompt
-        if len(self._remembered) > REMEMBERED:
-            self._remembered.popitem(last=False)
+        self._prompts[prompt.request_id] = prompt
+        if len(self._prompts) > MAX_STORED_PROMPTS:
+            self._prompts.popitem(last=False)
 
     def cancel_request(self, request_id: str) -> int:
         """Cancels all sequences of a request; returns how many."""
@@ -150,11 +150,11 @@
             sequence.done.set_result(end)
         self._admit()
 
-    def forget(self) -> None:
+    def drop_all(self) -> None:
         """Loses all work and memory, as a crash does."""
         self._queue.clear()
         self._running.clear()
-        self._remembered.clear()
+        self._prompts.clear()
 
     def _admit(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -162,7 +162,7 @@
             _, _, sequence = heapq.heappop(self._queue)
             sequence.ready_at_s = now_s + sequence.prefill_s
             self._running[sequence] = None
-            self.remember(sequence.prompt)
+            self.store_prompt(sequence.prompt)
             self._on_start(sequence.prompt, sequence.position)
         if self._running and self._timer is None:
             now_s = asyncio.get_running_loop().time()
@@ -170,7 +170,7 @@
 
     def _schedule(self, due_s: float) -> None:
         """Plans the next step."""
-        self._planned_s = asyncio.get_running_loop().time()
+        self._planned_at_s = asyncio.get_running_loop().time()
         self._due_s = due_s
         self._sleep()
 
@@ -183,7 +183,7 @@
         """Steps, unless that is not due even at the pace of now."""
         self._timer = None
         now_s = asyncio.get_running_loop().time()
-        at_this_pace_s = self._planned_s + self._pace().interval_s
+        at_this_pace_s = self._planned_at_s + self._pace().interval_s
         self._due_s = min(self._due_s, at_this_pace_s)
         if now_s < self._due_s:
             self._sleep()
--- a/packages/standins/src/hollyknot_standins/tests/test_engine.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_engine.py
@@ -18,7 +18,7 @@
     start_engine,
 )
 
-FOREVER = EngineOptions(slots=1, queue=0, min_tokens=10**9, max_tokens=10**9)
+ENDLESS = EngineOptions(slots=1, queue=0, min_tokens=10**9, max_tokens=10**9)
 Engine = Standin[EngineControl]
 
 
@@ -39,13 +39,13 @@
         ) as answer:
             return answer.status, orjson.loads(await answer.read())
 
-    async def until(self, part: str, value: int) -> None:
+    async def wait_for_load(self, part: str, value: int) -> None:
         """Reads the load until a part of it has a value."""
         load: dict[str, Any] = {}
         while load.get(part) != value:
             _, load = await self.send("GET", "/v1/load")
 
-    async def refuses(self, request_id: str) -> None:
+    async def assert_refused(self, request_id: str) -> None:
         """Asks, and checks that the answer proves that nothing ran."""
         async with self.ask(request_id) as answer:
             assert answer.status == 503
@@ -70,7 +70,7 @@
 
 
 @contextlib.asynccontextmanager
-async def client_of(options: EngineOptions) -> AsyncIterator[Client]:
+async def open_client(options: EngineOptions) -> AsyncIterator[Client]:
     """Starts an engine with a client to it."""
     async with (
         start_engine(options) as engine,
@@ -79,25 +79,25 @@
         yield Client(engine, session)
 
 
-def play(
-    options: EngineOptions, scene: Callable[[Client], Awaitable[None]]
+def run_scenario(
+    options: EngineOptions, scenario: Callable[[Client], Awaitable[None]]
 ) -> None:
     """Runs a scene against an engine."""
 
     async def run() -> None:
-        async with asyncio.timeout(20), client_of(options) as client:
-            await scene(client)
+        async with asyncio.timeout(20), open_client(options) as client:
+            await scenario(client)
 
     asyncio.run(run())
 
 
-def events_of(body: bytes) -> list[Any]:
+def parse_events(body: bytes) -> list[Any]:
     """Reads the events of a stream; `[DONE]` stays a string."""
     lines = [part[6:] for part in body.split(b"\n\n") if part]
     return ["[DONE]" if x == b"[DONE]" else orjson.loads(x) for x in lines]
 
 
-def text_of(events: list[Any]) -> str:
+def join_tokens(events: list[Any]) -> str:
     """Joins the tokens of a stream's events."""
     choices = [
         e["choices"][0] for e in events if e != "[DONE]" and e["choices"]
@@ -110,10 +110,10 @@
 
     @pytest.mark.parametrize("interval_s", [0.0, 0.001])
     def test_stream_has_the_whole_answer(self, interval_s: float) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", 'hé "you"', stream=True) as answer:
-                events = events_of(await answer.read())
-            assert text_of(events) == expected_text('hé "you"', 40)
+                events = parse_events(await answer.read())
+            assert join_tokens(events) == expected_text('hé "you"', 40)
             assert {e["id"] for e in events[:-1]} == {"r1"}
             assert events[-2]["usage"]["completion_tokens"] == 40
             assert events[-1] == "[DONE]"
@@ -121,10 +121,10 @@
         options = EngineOptions(
             interval_s=interval_s, min_tokens=40, max_tokens=40
         )
-        play(options, scene)
+        run_scenario(options, scenario)
 
     def test_whole_answer_and_what_ran(self) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1") as answer:
                 body = await answer.json()
             text = body["choices"][0]["message"]["content"]
@@ -133,17 +133,17 @@
             assert status == 200
             assert ran == {"ran": {"r1": 1}, "resumed": {}, "tokens": 16}
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
     def test_completions_and_bad_bodies(self) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             body = {"prompt": "hi", "max_tokens": 2}
             status, answer = await client.send("POST", "/v1/completions", body)
             assert (status, answer["choices"][0]["text"]) == (200, "echo:hi t1")
             status, _ = await client.send("POST", "/v1/completions", {})
             assert status == 400
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
     def test_resume_gives_the_rest(self) -> None:
         """Resuming works after a cut and on an engine that imported it.
@@ -152,48 +152,50 @@
         three tokens; the reader resumes after those. Cause: the fault.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.truncate = 3
             async with client.ask("r1", stream=True) as answer:
-                first = events_of(await answer.read())
+                first = parse_events(await answer.read())
             assert "[DONE]" not in first
             client.engine.control.truncate = 0
             path = "/v1/resume/r1?after=3"
             async with client.session.get(client.url + path) as answer:
-                rest = events_of(await answer.read())
-            assert text_of(first) + text_of(rest) == expected_text("hello", 16)
+                rest = parse_events(await answer.read())
+            assert join_tokens(first) + join_tokens(rest) == expected_text(
+                "hello", 16
+            )
             body = {"request_id": "r1"}
             _, exported = await client.send("POST", "/v1/kv/export", body)
-            async with client_of(EngineOptions()) as other:
+            async with open_client(EngineOptions()) as other:
                 assert (await other.send("GET", path))[0] == 404
                 await other.send("POST", "/v1/kv/import", exported)
                 async with other.session.get(other.url + path) as answer:
-                    assert events_of(await answer.read()) == rest
+                    assert parse_events(await answer.read()) == rest
                 assert other.engine.control.resumed == {"r1": 1}
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
 
 class TestBatch:
     """Slots, the queue, cancelling and refusals."""
 
     def test_draining_and_full_refuse(self) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True):
                 await client.send("POST", "/control", {"draining": True})
-                await client.refuses("r2")
+                await client.assert_refused("r2")
                 _, load = await client.send("GET", "/v1/load")
                 assert (load["running"], load["draining"]) == (1, True)
                 await client.send("POST", "/control", {"draining": False})
                 async with client.ask("r3", stream=True):
-                    await client.refuses("r4")
+                    await client.assert_refused("r4")
             assert client.engine.control.ran == {"r1": 1, "r3": 1}
 
-        play(attrs.evolve(FOREVER, slots=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
     @pytest.mark.parametrize("way", ["cancel", "close"])
     def test_ending_frees_the_slot(self, way: str) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.readany()
                 if way == "cancel":
@@ -201,38 +203,38 @@
                     assert not (await answer.read()).endswith(b"[DONE]\n\n")
                 else:
                     answer.close()
-            await client.until("running", 0)
+            await client.wait_for_load("running", 0)
 
-        play(FOREVER, scene)
+        run_scenario(ENDLESS, scenario)
 
     def test_queue_goes_by_priority(self) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async def ask(request_id: str, priority: int) -> None:
                 async with client.ask(request_id, priority=priority) as answer:
                     assert answer.status == 499
 
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(ask("first", 3))
-                await client.until("running", 1)
+                await client.wait_for_load("running", 1)
                 tasks.create_task(ask("low", 3))
-                await client.until("queued", 1)
+                await client.wait_for_load("queued", 1)
                 tasks.create_task(ask("high", 1))
-                await client.until("queued", 2)
+                await client.wait_for_load("queued", 2)
                 for request_id, queued in [("first", 1), ("high", 0)]:
                     await client.send("POST", f"/v1/cancel/{request_id}")
-                    await client.until("queued", queued)
+                    await client.wait_for_load("queued", queued)
                 await client.send("POST", "/v1/cancel/low")
             ran = list(client.engine.control.ran)
             assert ran == ["first", "high", "low"]
 
-        play(attrs.evolve(FOREVER, queue=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, queue=2), scenario)
 
 
 class TestCacheAndOrders:
     """What the prefix cache tells, and fencing."""
 
     def test_events_have_gaps_and_evictions(self) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             cached = []
             for message in ("a" * 300, "a" * 300, "b" * 900, "a" * 300):
                 async with client.ask("r", message) as answer:
@@ -241,16 +243,16 @@
                 cached.append(details["cached_tokens"] * 4)
             assert cached == [0, 256, 0, 0]
             _, body = await client.send("GET", "/v1/cache-events?after=1")
-            told = [(e["seq"], e["kind"]) for e in body["events"]]
+            observed = [(e["seq"], e["kind"]) for e in body["events"]]
             stored, evicted = "stored", "evicted"
             first = [(2, stored), (4, evicted), (5, stored)]
-            assert told == [*first, (7, stored), (8, evicted)]
+            assert observed == [*first, (7, stored), (8, evicted)]
 
-        play(EngineOptions(cache_blocks=2, cache_gap=3), scene)
+        run_scenario(EngineOptions(cache_blocks=2, cache_gap=3), scenario)
 
     @pytest.mark.parametrize(("is_fenced", "late"), [(True, 409), (False, 200)])
     def test_late_order(self, is_fenced: bool, late: int) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             orders = [
                 {"fence": 2, "model": "new"},
                 {"fence": 1, "model": "old"},
@@ -260,7 +262,7 @@
             _, state = await client.send("GET", "/v1/orders")
             assert state["model"] == ("new" if is_fenced else "old")
 
-        play(EngineOptions(is_fenced=is_fenced), scene)
+        run_scenario(EngineOptions(is_fenced=is_fenced), scenario)
 
 
 class TestFaults:
@@ -274,7 +276,7 @@
         marker in its body.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.crash_on = "poison"
             async with client.ask("r1", stream=True) as answer:
                 with pytest.raises(aiohttp.ClientError):
@@ -289,7 +291,7 @@
             _, load = await client.send("GET", "/v1/load")
             assert load["running"] == 0
 
-        play(attrs.evolve(FOREVER, slots=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
     def test_open_connections_go_silent(self) -> None:
         """An old connection is silent for good while a new one works.
@@ -299,18 +301,18 @@
         is answered. Cause: the fault.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.readany()
                 client.engine.silence_open()
                 reading = asyncio.create_task(answer.read())
-                await client.until("running", 0)
+                await client.wait_for_load("running", 0)
                 async with client.ask("r2", stream=True) as other:
                     assert (await other.read()).endswith(b"[DONE]\n\n")
                 assert not reading.done()
                 reading.cancel()
 
-        play(EngineOptions(interval_s=0.001), scene)
+        run_scenario(EngineOptions(interval_s=0.001), scenario)
 
     def test_all_silent_and_crash_with_restart(self) -> None:
         """A silent engine crashes, and comes back with its faults undone.
@@ -320,7 +322,7 @@
         itself. Cause: the faults.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             await client.send("POST", "/control", {"silent": True})
             asking = asyncio.create_task(client.send("POST", "/v1/cancel/r1"))
             # Lets the request take the pooled connection, so that it is sent
@@ -336,9 +338,9 @@
                 with contextlib.suppress(aiohttp.ClientError):
                     command = {"silent": False}
                     status, _ = await client.send("POST", "/control", command)
-            await client.until("running", 0)
+            await client.wait_for_load("running", 0)
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
     def test_truncated_whole_answer_is_no_answer(self) -> None:
         """A whole answer is cut below its stated length.
@@ -347,13 +349,13 @@
         request ends at its third token. Cause: the fault.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.truncate = 3
             with pytest.raises(aiohttp.ClientPayloadError):
                 async with client.ask("r1") as answer:
                     await answer.read()
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
     def test_held_stream_waits_until_it_is_let_go(self) -> None:
         """A stream stops at a token, however long its reader waits there.
@@ -363,19 +365,21 @@
         then the engine is told to go on. Cause: only a slow pace kept it.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.hold = 3
             async with client.ask("r1", stream=True) as answer:
                 first = b""
-                while text_of(events_of(first)) != expected_text("hello", 3):
+                while join_tokens(parse_events(first)) != expected_text(
+                    "hello", 3
+                ):
                     first += await answer.content.readany()
                 _, load = await client.send("GET", "/v1/load")
                 assert load["running"] == 1
                 client.engine.control.hold = 0
-                whole = events_of(first + await answer.read())
-            assert text_of(whole) == expected_text("hello", 16)
+                whole = parse_events(first + await answer.read())
+            assert join_tokens(whole) == expected_text("hello", 16)
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
     def test_a_new_pace_holds_for_the_next_token(self) -> None:
         """An engine that was slow is silent long after it is fast again.
@@ -386,28 +390,28 @@
         the slow pace.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.straggle = 720_000.0
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.read(0)
                 client.engine.control.straggle = 1.0
-                assert "[DONE]" in events_of(await answer.read())
+                assert "[DONE]" in parse_events(await answer.read())
             client.engine.control.straggle = 720_000.0
             async with client.ask("r2", stream=True):
                 client.engine.crash()
                 await client.engine.restart()
             client.engine.control.straggle = 1.0
             async with client.ask("r3", stream=True) as answer:
-                assert "[DONE]" in events_of(await answer.read())
+                assert "[DONE]" in parse_events(await answer.read())
 
-        play(EngineOptions(interval_s=0.005), scene)
+        run_scenario(EngineOptions(interval_s=0.005), scenario)
 
     @pytest.mark.parametrize(
         "command", [{"no_such": 1}, {"draining": 1}, {"ran": {}}]
     )
     def test_wrong_commands_are_refused(self, command: Any) -> None:
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             status, _ = await client.send("POST", "/control", command)
             assert status == 400
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
--- a/packages/standins/src/hollyknot_standins/tests/test_others.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_others.py
@@ -24,7 +24,9 @@
 Get = Callable[[str], Coroutine[Any, Any, tuple[int, Any]]]
 
 
-def play(start: Any, options: Any, scene: Callable[[Any, Get], Any]) -> None:
+def run_scenario(
+    start: Any, options: Any, scenario: Callable[[Any, Get], Any]
+) -> None:
     """Runs a scene against a stand-in, with a reader of JSON."""
 
     async def run() -> None:
@@ -41,7 +43,7 @@
                         return answer.status, None
                     return answer.status, await answer.json()
 
-            await scene(standin, get)
+            await scenario(standin, get)
 
     asyncio.run(run())
 
@@ -57,7 +59,7 @@
         arrives; the service crashes before or after it runs. Cause: the fault.
         """
 
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.crash = when
             with pytest.raises(aiohttp.ClientError):
                 await get("/crews?a=1")
@@ -68,22 +70,22 @@
             _, record = await get("/control/calls")
             assert len(record["calls"]) == count + 1
 
-        play(start_service, ServiceOptions(), scene)
+        run_scenario(start_service, ServiceOptions(), scenario)
 
     def test_draining_does_not_run(self) -> None:
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.draining = True
             assert (await get("/x"))[0] == 503
             assert service.control.calls == []
 
-        play(start_service, ServiceOptions(), scene)
+        run_scenario(start_service, ServiceOptions(), scenario)
 
 
 class TestConfiguration:
     """Reads, watches, and the ways in which they fail."""
 
     def test_watch_is_one_read(self) -> None:
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             watch = asyncio.create_task(get(f"{VALUES}?after=1&wait_s=10"))
             while not (await get("/control/reads"))[1]["reads"]:
                 pass
@@ -92,7 +94,7 @@
             assert (await get(f"{VALUES}?after=2&wait_s=0.01"))[0] == 304
             assert (await get("/control/reads"))[1]["reads"] == 2
 
-        play(start_configuration, ConfigurationOptions(), scene)
+        run_scenario(start_configuration, ConfigurationOptions(), scenario)
 
     def test_down_and_stale(self) -> None:
         """A watcher feels an outage, and is then offered an older version.
@@ -102,7 +104,7 @@
         back restored from an old copy. Cause: the faults.
         """
 
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.publish({"a": 1})
             watch = asyncio.create_task(get(f"{VALUES}?after=2&wait_s=10"))
             while not (await get("/control/reads"))[1]["reads"]:
@@ -114,14 +116,14 @@
             _, old = await get(f"{VALUES}?after=2&wait_s=10")
             assert old == {"version": 1, "value": {}}
 
-        play(start_configuration, ConfigurationOptions(), scene)
+        run_scenario(start_configuration, ConfigurationOptions(), scenario)
 
 
 class TestHostList:
     """Entries are set and patched, at once or late."""
 
     def test_patch_and_lag(self) -> None:
-        async def scene(hosts: Any, get: Get) -> None:
+        async def scenario(hosts: Any, get: Get) -> None:
             a, b, c = ({"name": name} for name in "abc")
             hosts.control.command("set", [a, b])
             hosts.control.lag_s = 3600.0
@@ -133,7 +135,7 @@
             _, after = await get("/v1/hosts?after=2&wait_s=10")
             assert after == {"revision": 3, "entries": [b, c]}
 
-        play(start_host_list, HostListOptions(), scene)
+        run_scenario(start_host_list, HostListOptions(), scenario)
 
 
 class TestProcess:
