--- a/packages/ctl/src/hollyknot_ctl/_check.py
+++ b/packages/ctl/src/hollyknot_ctl/_check.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl check`."""
+"""The command `hollyknotctl check`, which validates documents."""
 
 import sys
 
@@ -27,14 +27,14 @@
 @click.option(
     "--kind",
     type=click.Choice([kind.value for kind in Kind]),
-    help="What the files hold; told by their content if left out.",
+    help="The kind of the files; detected from their content by default.",
 )
 @json_option
 def check(files: tuple[str, ...], kind: str | None, as_json: bool) -> None:
     """Check declarations, settings or a host list before they are used.
 
-    Each mistake is one line: file, path, problem, remedy. Exits with 0 if all
-    files are good and with 2 if one is not.
+    Prints one line for each mistake: file, path, problem, remedy. Exits with
+    0 if all files are valid and with 2 if any is not.
     """
     expected = Kind(kind) if kind else None
     checked = [read_file(name, expected) for name in files]
--- a/packages/ctl/src/hollyknot_ctl/_completion.py
+++ b/packages/ctl/src/hollyknot_ctl/_completion.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl completion`."""
+"""The command `hollyknotctl completion`, which prints a shell script."""
 
 import click
 from click.shell_completion import get_completion_class
@@ -17,13 +17,13 @@
 @json_option
 @click.pass_context
 def completion(context: click.Context, shell: str, as_json: bool) -> None:
-    """Print the script that completes this tool's words in a shell."""
+    """Print the script that completes commands and options in a shell."""
     found = get_completion_class(shell)
     assert found is not None
     root = context.find_root().command
     variable = f"_{_PROGRAM.upper()}_COMPLETE"
     script = found(root, {}, _PROGRAM, variable)
-    # Not `source()`: for bash it starts the shell to ask for its version.
+    # `source()` is avoided: for bash it starts a shell to read its version.
     text = script.source_template % script.source_vars()
     if as_json:
         echo_json({"shell": shell, "script": text})
--- a/packages/ctl/src/hollyknot_ctl/_diff.py
+++ b/packages/ctl/src/hollyknot_ctl/_diff.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl diff`."""
+"""The command `hollyknotctl diff`, which compares two declarations."""
 
 import click
 
@@ -18,7 +18,7 @@
 @click.argument("new", metavar="NEW")
 @json_option
 def diff(old: str, new: str, as_json: bool) -> None:
-    """Show what NEW declarations change, and for whom, against OLD."""
+    """Show what NEW declarations change against OLD, and for whom."""
     found = find_differences(read_declarations(old), read_declarations(new))
     if as_json:
         echo_json(found)
--- a/packages/ctl/src/hollyknot_ctl/_differences.py
+++ b/packages/ctl/src/hollyknot_ctl/_differences.py
@@ -1,4 +1,4 @@
-"""What changes for whom between two declarations; a pure function."""
+"""Finds what differs between two declarations, and for which customers."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -19,10 +19,10 @@
     """One change, for one class, customer, model, service or data centre.
 
     Attributes:
-        section: The field of the declarations.
-        name: Of the entry.
-        change: What changes, as a phrase.
-        customers: The customers whom it touches, sorted.
+        section: Field of the declarations that has the entry.
+        name: Name of the entry.
+        change: Phrase that says what changes.
+        customers: Names of the affected customers, sorted.
     """
 
     section: str
@@ -34,7 +34,7 @@
 def find_differences(
     old: Declarations, new: Declarations
 ) -> tuple[Difference, ...]:
-    """Returns all that differs, in the order of the fields."""
+    """Returns all differences, in the order of the declarations' fields."""
     return (
         *_data_centres(old, new),
         *_classes(old, new),
--- a/packages/ctl/src/hollyknot_ctl/_documents.py
+++ b/packages/ctl/src/hollyknot_ctl/_documents.py
@@ -1,4 +1,4 @@
-"""Reads the files that operators name."""
+"""Reads and checks the files that operators pass to the tool."""
 
 import enum
 import json
@@ -22,11 +22,12 @@
 )
 
 _UNPUBLISHED = 0
+"""Version of declarations that have not been published."""
 _MAX_BYTES = 17 * 1024 * 1024
 
 
 class Kind(enum.Enum):
-    """What a file holds."""
+    """The kind of document in a file."""
 
     DECLARATIONS = "declarations"
     SETTINGS = "settings"
@@ -35,12 +36,12 @@
 
 @attrs.frozen
 class CheckedFile:
-    """A file that was read.
+    """A file that was read and checked.
 
     Attributes:
-        name: As the operator named it.
-        kind: What it holds.
-        result: The value, or what is wrong.
+        name: Path of the file, as the operator wrote it.
+        kind: Kind of document that it was checked as.
+        result: The parsed document, or the problems found in it.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
     @property
     def problems(self) -> tuple[Problem, ...]:
-        """What is wrong; empty if the file is good."""
+        """The problems found; empty if the file is valid."""
         if isinstance(self.result, Problems):
             return self.result.problems
         return ()
@@ -59,8 +60,9 @@
     """Reads and checks a file.
 
     Args:
-        name: Its path.
-        kind: What it has to hold; None to tell it by the content.
+        name: Path of the file.
+        kind: Kind of document to check it as; None to detect it from the
+            content.
     """
     path = pathlib.Path(name)
     try:
@@ -76,7 +78,7 @@
 
 
 def read_declarations(name: str) -> Declarations:
-    """Reads declarations, or ends the program with what is wrong."""
+    """Reads declarations; prints the problems and exits if it can't."""
     checked = read_file(name, Kind.DECLARATIONS)
     if not isinstance(checked.result, Declarations):
         for line in problem_lines(checked):
@@ -86,7 +88,7 @@
 
 
 def problem_lines(checked: CheckedFile) -> Iterator[str]:
-    """Returns one line for each mistake: file, path, problem, remedy."""
+    """Returns one line for each problem: file, path, problem, remedy."""
     for problem in checked.problems:
         yield printable(f"{checked.name}: {problem}")
     if isinstance(checked.result, Problems) and checked.result.more:
@@ -118,12 +120,13 @@
             yield Problem(
                 f"tls.{attribute.name}",
                 f"there is no file {file}",
-                "name a file that is there on the host, or run this there",
+                "name a file that exists on this host, or run the check on the"
+                " host that has it",
             )
 
 
 def _guess_kind(data: bytes) -> Kind:
-    """Tells a document by its top-level fields; in doubt, declarations."""
+    """Detects the kind from the top-level fields; declarations by default."""
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
--- a/packages/ctl/src/hollyknot_ctl/_explain.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl explain`."""
+"""The command `hollyknotctl explain`, which explains a request."""
 
 import sys
 from collections.abc import Iterator
@@ -40,9 +40,11 @@
 @click.option(
     "--key", is_flag=True, help="Read the bearer key from standard input."
 )
-@click.option("--class", "class_name", help="The header X-Request-Class.")
-@click.option("--model", help="The model that is called.")
-@click.option("--service", help="The service that is called.")
+@click.option(
+    "--class", "class_name", help="Value of the header X-Request-Class."
+)
+@click.option("--model", help="Name of the model that is called.")
+@click.option("--service", help="Name of the service that is called.")
 @click.option("--method", default="GET", show_default=True)
 @click.option("--path", default="/", show_default=True)
 @json_option
@@ -57,10 +59,10 @@
     path: str,
     as_json: bool,
 ) -> None:
-    """Explain what would happen to a request, and why.
+    """Explain how a request would be handled, and why.
 
-    The customer is named or found by its key, which is read from standard
-    input so that it stays out of the shell's history.
+    The customer is given by name or by its bearer key. The key is read from
+    standard input, so that it stays out of the shell's history.
     """
     if (customer is None) != key or (model is None) == (service is None):
         fail(
--- a/packages/ctl/src/hollyknot_ctl/_explain_failure.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain_failure.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl explain-failure`: what became of one request, from the logs."""
+"""The command `hollyknotctl explain-failure`: one request in hosts' logs."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -16,8 +16,12 @@
 )
 
 CONTEXT_S = 3.0
-"""Lines on the same upstream or host within this time may tell the cause: a
-crash is judged, and a silent data centre seen, within a second or two."""
+"""Seconds before and after a request's own lines whose lines are included.
+
+A crash is classified, and a silent data centre detected, within one or two
+seconds, so lines on the same upstream or host within this time may show the
+cause.
+"""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _REQUEST_EVENTS = frozenset(
@@ -54,8 +58,8 @@
     """One line of a host's log.
 
     Attributes:
-        at_s: When it was written, in seconds since 1970.
-        fields: Its pairs.
+        at_s: Time of writing, in seconds since 1970.
+        fields: Values of the line by key.
     """
 
     at_s: float
@@ -63,17 +67,17 @@
 
     @property
     def event(self) -> str:
-        """What it tells of."""
+        """The name of the logged event; empty if the line has none."""
         return self.fields.get("event", "")
 
     @property
     def host(self) -> str:
-        """Who wrote it."""
+        """The host that wrote the line; empty if the line has none."""
         return self.fields.get("host", "")
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Reads lines of hosts, and passes over whatever else stands between."""
+    """Parses the lines of hosts' logs and skips any other text."""
     for text in texts:
         fields = {
             name: value[1:-1] if value.startswith('"') else value
@@ -86,11 +90,11 @@
 
 
 def request_timeline(request: str, lines: Iterable[Line]) -> list[Line]:
-    """Returns a request's lines and those that may tell why, in order of time.
+    """Returns a request's lines and those that may explain it, by time.
 
     Args:
-        request: Its id.
-        lines: Of any number of hosts, in any order.
+        request: Identifier of the request.
+        lines: Log lines of any number of hosts, in any order.
     """
     by_time = sorted(lines, key=lambda line: line.at_s)
     own = [
@@ -119,7 +123,7 @@
 
 
 def format_line(line: Line, first_s: float) -> str:
-    """Returns a line as a person reads it."""
+    """Formats a line for people, with the time since `first_s`."""
     left_out = {"at", "event", "host", "data_centre", "request"}
     pairs = " ".join(
         f"{name}={value}"
@@ -142,17 +146,17 @@
 def explain_failure(
     request: str, files: tuple[TextIO, ...], as_json: bool
 ) -> None:
-    """Print what became of the REQUEST of this id, from hosts' log FILES.
+    """Print what happened to a REQUEST, given by id, from hosts' log FILES.
 
-    Beside the request's own lines it prints those of the same seconds on the
-    upstreams and hosts that it met. "-" reads standard input.
+    Besides the lines of the request it prints those of the same seconds about
+    the upstreams and hosts that handled it. "-" reads standard input.
     """
     lines = (line for file in files for line in read_lines(file))
     found = request_timeline(request, lines)
     if not found:
         fail(
-            f"no line tells of request {request!r}; give the files of all"
-            " hosts, and look for lines_dropped in them",
+            f"no log line mentions request {request!r}; give the log files of"
+            " all hosts, and look for lines_dropped in them",
             EXIT_BAD_INPUT,
         )
     if as_json:
--- a/packages/ctl/src/hollyknot_ctl/_main.py
+++ b/packages/ctl/src/hollyknot_ctl/_main.py
@@ -1,4 +1,4 @@
-"""The command line of `hollyknotctl`."""
+"""The command group and entry point of `hollyknotctl`."""
 
 import sys
 
@@ -22,10 +22,10 @@
 )
 @click.version_option(package_name="hollyknot-ctl")
 def cli() -> None:
-    """Check, compare and explain declarations; see how a host is doing.
+    """Check, compare and explain declarations, and show a host's status.
 
-    Exits with 0 if all is well, 1 if a host can't be reached and 2 if the
-    input is bad.
+    Exits with 0 on success, 1 if a host can't be reached and 2 if the input is
+    invalid.
     """
 
 
@@ -42,11 +42,11 @@
 
 
 def main() -> None:
-    """Runs `hollyknotctl`; never ends in a traceback."""
+    """Runs `hollyknotctl` and reports any exception as one line."""
     try:
         cli(prog_name="hollyknotctl")
     except Exception as e:
-        # An operator in the midst of an incident needs one line that says
-        # what failed, not forty.
-        fail(f"a fault of the tool itself: {e!r}", EXIT_BAD_INPUT)
+        # During an incident an operator needs one line that says what failed,
+        # not a traceback of forty lines.
+        fail(f"internal error of this tool: {e!r}", EXIT_BAD_INPUT)
     sys.exit(0)
--- a/packages/ctl/src/hollyknot_ctl/_output.py
+++ b/packages/ctl/src/hollyknot_ctl/_output.py
@@ -1,4 +1,4 @@
-"""Exit codes and the two forms of output: lines for people, and JSON."""
+"""Exit codes and the two output formats: lines for people, and JSON."""
 
 import enum
 import sys
@@ -19,12 +19,12 @@
 
 
 def examples(*commands: str) -> str:
-    """Returns the end of a help page, whose lines click must not refill."""
+    """Formats the examples of a help page, which click must not rewrap."""
     return "\b\nExamples:\n" + "\n".join(f"  {c}" for c in commands)
 
 
 def fail(message: str, code: int) -> NoReturn:
-    """Writes one error line to standard error and ends with a code."""
+    """Writes one error line to standard error and exits with a code."""
     click.echo(f"hollyknotctl: {printable(message)}", err=True)
     sys.exit(code)
 
@@ -52,10 +52,10 @@
 
 
 def printable(text: str) -> str:
-    """Escapes what would break a line or drive the terminal.
+    """Escapes characters that would break a line or control the terminal.
 
-    File names and answers from the network may hold escape sequences, which
-    would let their author rewrite what the operator reads.
+    File names and answers from the network may contain escape sequences, with
+    which their author could change what the operator sees.
     """
     return "".join(
         c if c.isprintable() else c.encode("unicode_escape").decode()
@@ -64,7 +64,7 @@
 
 
 def table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Lays rows out in columns, in the order given."""
+    """Formats rows as aligned columns, in the order given."""
     cells = [list(headings), *([printable(str(c)) for c in r] for r in rows)]
     widths = [max(len(r[i]) for r in cells) for i in range(len(headings))]
     lines = (
--- a/packages/ctl/src/hollyknot_ctl/_status.py
+++ b/packages/ctl/src/hollyknot_ctl/_status.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl status`."""
+"""The command `hollyknotctl status`, which shows a running host."""
 
 import asyncio
 import ipaddress
@@ -27,7 +27,7 @@
 
 
 class _UnreachableError(Exception):
-    """The address gave no status; the text says why."""
+    """The address returned no status; the message says why."""
 
 
 @click.command(
@@ -38,10 +38,10 @@
 @click.argument("address", metavar="ADDRESS")
 @json_option
 def status(address: str, as_json: bool) -> None:
-    """Show what a running host says of itself.
+    """Show the status that a running host reports.
 
-    ADDRESS is the host's operators' address, as IP:PORT or [IPv6]:PORT. Exits
-    with 1 if it can't be reached.
+    ADDRESS is the host's address for operators, as IP:PORT or [IPv6]:PORT.
+    Exits with 1 if it can't be reached.
     """
     url = _url(address)
     try:
@@ -60,9 +60,9 @@
     try:
         host = ipaddress.ip_address(ip.removeprefix("[").removesuffix("]"))
     except ValueError:
-        fail(f"{address}: is not IP:PORT", EXIT_BAD_INPUT)
+        fail(f"{address}: is not IP:PORT or [IPv6]:PORT", EXIT_BAD_INPUT)
     if not port.isdecimal() or not 1 <= int(port[:6]) <= _MAX_PORT:
-        fail(f"{address}: the port has to be 1 to {_MAX_PORT}", EXIT_BAD_INPUT)
+        fail(f"{address}: the port must be 1 to {_MAX_PORT}", EXIT_BAD_INPUT)
     shown = (
         f"[{host}]" if isinstance(host, ipaddress.IPv6Address) else str(host)
     )
@@ -79,7 +79,7 @@
             body = await _read_bounded(answer)
             code = answer.status
     except TimeoutError:
-        raise _UnreachableError(f"no answer in {_TIMEOUT_S:g} s") from None
+        raise _UnreachableError(f"no answer within {_TIMEOUT_S:g} s") from None
     except (aiohttp.ClientError, OSError) as e:
         raise _UnreachableError(f"can't be reached: {e}") from None
     if code != _OK:
@@ -92,7 +92,10 @@
     async for chunk in answer.content.iter_any():
         body += chunk
         if len(body) > _MAX_BYTES:
-            raise _UnreachableError("answered more than a host would")
+            raise _UnreachableError(
+                f"answered with more than {_MAX_BYTES:,} bytes; check that it"
+                " is a host's address for operators"
+            )
     return body
 
 
@@ -102,7 +105,10 @@
     except orjson.JSONDecodeError:
         document = None
     if not isinstance(document, dict):
-        raise _UnreachableError("is no operators' address of a host")
+        raise _UnreachableError(
+            "did not answer with a JSON object; check that it is a host's"
+            " address for operators"
+        )
     return document
 
 
--- a/packages/ctl/src/hollyknot_ctl/reference/__init__.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/__init__.py
@@ -1,4 +1,4 @@
-"""Writes the reference pages of the documents from the types themselves."""
+"""Generates the reference pages of the documents from their types."""
 
 from hollyknot_ctl.reference._pages import (
     DECLARATIONS_EXAMPLE,
--- a/packages/ctl/src/hollyknot_ctl/reference/_pages.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_pages.py
@@ -1,4 +1,4 @@
-"""The reference pages as Markdown."""
+"""Renders the reference pages as Markdown."""
 
 import json
 from collections.abc import Iterator
@@ -68,7 +68,16 @@
 
 @attrs.frozen
 class _Page:
-    """What makes up a page beside the types."""
+    """What a page shows besides the fields of its types.
+
+    Attributes:
+        title: Heading of the page.
+        root: Class of the document.
+        example: Valid document.
+        max_bytes: Largest accepted size of the document in bytes.
+        omitted: Names of fields that the page leaves out.
+        cross_field_rules: Text about the checks that span several fields.
+    """
 
     title: str
     root: type
@@ -84,7 +93,8 @@
         Declarations,
         DECLARATIONS_EXAMPLE,
         MAX_DECLARATIONS_BYTES,
-        # Publishing gives the version; a document that states one is refused.
+        # Publishing assigns the version; a document that has one is
+        # refused.
         frozenset({"version"}),
         "Over the whole: a customer's classes are declared, its default class"
         " is among them and no two customers have one key; no model and"
@@ -105,7 +115,7 @@
 
 
 def render_pages() -> dict[str, str]:
-    """Returns the pages' text by file name."""
+    """Returns the text of each page by file name."""
     return {name: _render(page) for name, page in _PAGES.items()}
 
 
--- a/packages/ctl/src/hollyknot_ctl/reference/_types.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_types.py
@@ -1,4 +1,4 @@
-"""Describes attrs classes: their fields, types, defaults and checks."""
+"""Describes attrs classes with their fields, types, defaults and checks."""
 
 import enum
 import inspect
@@ -23,11 +23,11 @@
     """One field of a document.
 
     Attributes:
-        name: As it is written.
-        kind: Its JSON type, in Markdown.
-        default: As JSON; empty if the field has to be given.
-        check: What is held of it.
-        meaning: From the class's docstring.
+        name: Name of the field in the document.
+        kind: JSON type of the field, in Markdown.
+        default: Default value as JSON; empty if the field is required.
+        check: Condition that its validator checks; empty if it has none.
+        meaning: Description from the class's docstring.
     """
 
     name: str
@@ -38,15 +38,15 @@
 
 
 def summary(cls: type) -> str:
-    """Returns a docstring without its section of attributes."""
+    """Returns a class's docstring without its `Attributes` section."""
     return inspect.getdoc(cls).partition("\n\nAttributes:")[0]  # type: ignore[union-attr]
 
 
 def describe_fields(cls: type) -> Iterator[FieldDescription]:
-    """Returns the fields of a class in their order.
+    """Returns descriptions of the fields of a class, in their order.
 
     Raises:
-        KeyError: A field isn't in the docstring's section of attributes.
+        KeyError: A field is missing from the docstring's `Attributes`.
     """
     meanings = _meanings(cls)
     for attribute in attrs.fields(cls):
@@ -60,7 +60,7 @@
 
 
 def nested_classes(cls: type) -> Iterator[type]:
-    """Returns the classes that a class's fields hold, each once, in order."""
+    """Returns the classes nested in a class's fields, each once, in order."""
     found: dict[type, None] = {}
     waiting = [cls]
     while waiting:
