--- a/packages/ctl/src/hollyknot_ctl/_documents.py
+++ b/packages/ctl/src/hollyknot_ctl/_documents.py
@@ -120,8 +120,7 @@
             yield Problem(
                 f"tls.{attribute.name}",
                 f"there is no file {file}",
-                "name a file that exists on this host, or run the check on the"
-                " host that has it",
+                "name a file that is there on the host, or run this there",
             )
 
 
--- a/packages/ctl/src/hollyknot_ctl/tests/test_commands.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of hollyknotctl, run as an operator runs them."""
+"""Tests of the commands of hollyknotctl through its command line."""
 
 import copy
 import hashlib
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def good(tmp_path: pathlib.Path) -> str:
-    """A file of good declarations."""
+    """Writes valid declarations and returns the path of the file."""
     path = tmp_path / "declarations.json"
     path.write_text(json.dumps(_DECLARED))
     return str(path)
@@ -61,14 +61,14 @@
 
 
 class TestCheck:
-    """`check`."""
+    """The command `check`."""
 
-    def test_good(self, good: str) -> None:
+    def test_valid_file_exits_with_0(self, good: str) -> None:
         result = _run("check", good)
         assert (result.exit_code, result.stderr) == (0, "")
         assert result.stdout == f"{good}: good declarations\n"
 
-    def test_one_line_a_mistake(
+    def test_prints_one_line_for_each_mistake(
         self, good: str, tmp_path: pathlib.Path
     ) -> None:
         bad = _write_changed(tmp_path, "classes/night", {"tire": 1})
@@ -90,7 +90,7 @@
             ("[" * 9_999, "deeper than"),
         ],
     )
-    def test_tells_the_kind_by_content(
+    def test_detects_the_kind_from_the_content(
         self, tmp_path: pathlib.Path, text: str, message: str
     ) -> None:
         path = tmp_path / "a.json"
@@ -99,7 +99,7 @@
         assert result.exit_code == 2
         assert message in result.stderr
 
-    def test_settings_that_name_a_missing_file(
+    def test_settings_with_a_missing_tls_file_are_rejected(
         self, tmp_path: pathlib.Path
     ) -> None:
         address = {"ip": "127.0.0.1", "port": 1}
@@ -123,7 +123,9 @@
         assert checked["kind"] == "settings"
         assert [p["path"] for p in checked["problems"]] == ["tls.authority"]
 
-    def test_files_that_cannot_be_read(self, tmp_path: pathlib.Path) -> None:
+    def test_unreadable_files_are_reported(
+        self, tmp_path: pathlib.Path
+    ) -> None:
         result = _run("check", str(tmp_path), str(tmp_path / "none\x1b[2J"))
         assert result.exit_code == 2
         assert result.stderr.count("can't be read") == 2
@@ -131,9 +133,9 @@
 
 
 class TestDiff:
-    """`diff`."""
+    """The command `diff`."""
 
-    def test_no_differences(self, good: str) -> None:
+    def test_equal_declarations_have_no_differences(self, good: str) -> None:
         assert _run("diff", good, good).stdout == "no differences\n"
         assert json.loads(_run("diff", "--json", good, good).stdout) == []
 
@@ -193,7 +195,7 @@
             ),
         ],
     )
-    def test_what_changes_for_whom(
+    def test_lists_changes_and_affected_customers(
         self,
         good: str,
         tmp_path: pathlib.Path,
@@ -204,7 +206,9 @@
         new = _write_changed(tmp_path, way, value)
         assert _run("diff", good, new).stdout.splitlines() == lines
 
-    def test_bad_input(self, good: str, tmp_path: pathlib.Path) -> None:
+    def test_invalid_declarations_are_rejected(
+        self, good: str, tmp_path: pathlib.Path
+    ) -> None:
         bad = _write_changed(tmp_path, "classes/counter/tier", 7)
         result = _run("diff", good, bad)
         assert (result.exit_code, result.stdout) == (2, "")
@@ -212,9 +216,11 @@
 
 
 class TestExplain:
-    """`explain`."""
+    """The command `explain`."""
 
-    def test_non_idempotent_call(self, good: str) -> None:
+    def test_non_idempotent_call_is_not_retried_if_it_may_have_run(
+        self, good: str
+    ) -> None:
         result = _run(
             *("explain", good, "--key", "--service", "permits"),
             *("--method", "PUT", "--path", "/%6frders/7"),
@@ -232,7 +238,7 @@
         assert "retried if it may have run: no" in lines
         assert any("claimed-before" in line for line in lines)
 
-    def test_idempotent_call(self, good: str) -> None:
+    def test_idempotent_call_is_retried(self, good: str) -> None:
         result = _run("explain", "--json", good, *_PERMITS)
         found = json.loads(result.stdout)
         assert found["result"]["nature"] == "idempotent"
@@ -251,7 +257,7 @@
             ([*_PERMITS, "--path", "/a//b"], "bad-request (HTTP 400)"),
         ],
     )
-    def test_refusals(
+    def test_prints_why_a_request_is_refused(
         self, good: str, arguments: list[str], message: str
     ) -> None:
         result = _run("explain", good, *arguments, stdin="wrong")
@@ -259,7 +265,7 @@
         assert result.stdout.startswith("refused: not-run, ")
         assert message in result.stdout
 
-    def test_needs_one_of_each(self, good: str) -> None:
+    def test_needs_one_customer_and_one_target(self, good: str) -> None:
         for extra in ([], ["--key", *_PERMITS], [*_PERMITS, "--model", "m"]):
             result = _run("explain", good, *extra)
             assert result.exit_code == 2
@@ -267,21 +273,21 @@
 
 
 class TestHashKey:
-    """`hash-key`."""
+    """The command `hash-key`."""
 
-    def test_is_what_hosts_look_up(self) -> None:
+    def test_prints_the_hash_that_hosts_look_up(self) -> None:
         expected = hashlib.sha256(b"key").hexdigest()
         assert _run("hash-key", stdin=" key\n").stdout == expected + "\n"
         as_json = _run("hash-key", "--json", stdin="key").stdout
         assert json.loads(as_json) == {"key_sha256": expected}
 
     @pytest.mark.parametrize("stdin", ["", " \n", "two keys"])
-    def test_no_key(self, stdin: str) -> None:
+    def test_input_without_one_key_is_rejected(self, stdin: str) -> None:
         assert _run("hash-key", stdin=stdin).exit_code == 2
 
 
 class TestTool:
-    """The tool as a whole."""
+    """Behaviour that all commands share."""
 
     @pytest.mark.parametrize("name", sorted(cli.commands))
     def test_help_gives_an_example(self, name: str) -> None:
@@ -290,20 +296,19 @@
         assert "--json" in result.stdout
 
     @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
-    def test_completion(self, shell: str) -> None:
+    def test_completion_prints_a_script(self, shell: str) -> None:
         result = _run("completion", shell)
         assert f"_HOLLYKNOTCTL_COMPLETE={shell}_complete" in result.stdout
 
-    def test_a_fault_is_one_line(
+    def test_internal_error_is_reported_as_one_line(
         self,
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """The tool itself has a fault.
+        """Guards against a traceback when a command raises unexpectedly.
 
-        Symptom: forty lines of traceback where one would tell what failed.
-        Sequence: a command raises what nobody thought of.
-        Cause: an exception that reaches the interpreter.
+        An operator would get forty lines of traceback instead of one line
+        that says what failed.
         """
 
         @click.command()
--- a/packages/ctl/src/hollyknot_ctl/tests/test_explain_failure.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_explain_failure.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story from the lines of hosts."""
+"""Tests of finding what happened to a request in the logs of hosts."""
 
 import json
 import pathlib
@@ -23,9 +23,9 @@
 
 
 class TestRequestTimeline:
-    """The request's lines, and what stands beside them."""
+    """The lines of a request and those that may explain it."""
 
-    def test_holds_what_may_tell_the_cause_in_order(self) -> None:
+    def test_has_lines_that_may_show_the_cause_by_time(self) -> None:
         found = request_timeline("a1", read_lines(LINES.splitlines()))
         assert [(line.event, line.host) for line in found] == [
             ("try", "h1"),
@@ -39,21 +39,21 @@
         found = request_timeline("a1", read_lines(LINES.splitlines()))
         assert found[0].fields["detail"] == "no byte in time"
 
-    def test_of_an_unknown_request_is_empty(self) -> None:
+    def test_unknown_request_has_no_lines(self) -> None:
         assert request_timeline("a9", read_lines(LINES.splitlines())) == []
 
 
 class TestCommand:
-    """`hollyknotctl explain-failure`."""
+    """The command `explain-failure`."""
 
-    def test_prints_the_story(self, tmp_path: pathlib.Path) -> None:
+    def test_prints_the_timeline(self, tmp_path: pathlib.Path) -> None:
         file = tmp_path / "h1.log"
         file.write_text(LINES)
         got = CliRunner().invoke(cli, ["explain-failure", "a1", str(file)])
         assert got.exit_code == 0
         assert "+0.900 s  h1  crash  upstream=i-1 requests=3" in got.output
 
-    def test_prints_it_as_json(self, tmp_path: pathlib.Path) -> None:
+    def test_prints_the_timeline_as_json(self, tmp_path: pathlib.Path) -> None:
         file = tmp_path / "h1.log"
         file.write_text(LINES)
         got = CliRunner().invoke(
@@ -63,7 +63,7 @@
         events = [line["event"] for line in json.loads(got.output)]
         assert events[:2] == ["try", "refused"]
 
-    def test_says_what_to_do_about_an_unknown_id(
+    def test_unknown_request_gives_a_remedy(
         self, tmp_path: pathlib.Path
     ) -> None:
         file = tmp_path / "h1.log"
--- a/packages/ctl/src/hollyknot_ctl/tests/test_reference.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the types say."""
+"""Tests that the reference pages agree with the types."""
 
 import json
 import pathlib
@@ -23,14 +23,14 @@
 
 
 class TestPages:
-    """The committed pages."""
+    """The committed reference pages."""
 
     @pytest.mark.parametrize("name", sorted(render_pages()))
-    def test_are_the_generated_ones(self, name: str) -> None:
+    def test_committed_pages_are_up_to_date(self, name: str) -> None:
         committed = (_FOLDER / name).read_text(encoding="utf-8")
         assert committed == render_pages()[name], "run `make docs`"
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         declared = parse_declarations(json.dumps(DECLARATIONS_EXAMPLE), 1)
         settings = parse_settings(json.dumps(SETTINGS_EXAMPLE))
         assert isinstance(declared, Declarations)
@@ -38,15 +38,15 @@
 
 
 class TestDescribe:
-    """What is read off a class."""
+    """Descriptions of the fields of a class."""
 
-    def test_a_field_without_a_meaning_is_refused(self) -> None:
+    def test_undocumented_field_is_rejected(self) -> None:
         @attrs.frozen
         class Undocumented:
             """A class.
 
             Attributes:
-                other: Not the field.
+                other: A name that is no field.
             """
 
             field: int
--- a/packages/ctl/src/hollyknot_ctl/tests/test_status.py
+++ b/packages/ctl/src/hollyknot_ctl/tests/test_status.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl status` against hosts and what is none."""
+"""Tests of `hollyknotctl status` against hosts and other servers."""
 
 import json
 import socket
@@ -27,7 +27,8 @@
 
     def serve(self, listener: socket.socket) -> None:
         connection, _ = listener.accept()
-        # The client's own second try has to be refused, not left waiting.
+        # The client may retry by itself; a closed listener refuses the retry
+        # at once instead of letting it wait.
         listener.close()
         with connection:
             connection.recv(65_536)
@@ -41,7 +42,7 @@
 
 @pytest.fixture
 def server(request: pytest.FixtureRequest) -> Iterator[_Server]:
-    """A listener that gives the answer of the test's parameter."""
+    """Starts a server that sends the bytes of the test's parameter."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.settimeout(10)
         port = listener.getsockname()[1]
@@ -66,12 +67,12 @@
 
 
 class TestStatus:
-    """`status`."""
+    """The command `status`."""
 
     @pytest.mark.parametrize(
         "server", [_answer(200, json.dumps(_STATUS).encode())], indirect=True
     )
-    def test_tables(self, server: _Server) -> None:
+    def test_prints_tables(self, server: _Server) -> None:
         result = _run("status", server.address)
         assert result.exit_code == 0, result.stderr
         assert result.stdout.split("\n\n") == [
@@ -95,19 +96,20 @@
         ],
         indirect=True,
     )
-    def test_no_host_there(self, server: _Server) -> None:
-        """Something else listens at the address, or the host breaks off.
+    def test_invalid_answer_is_reported_as_one_line(
+        self, server: _Server
+    ) -> None:
+        """Guards against a traceback on an answer that is no status.
 
-        Symptom: a traceback in the midst of an incident.
-        Sequence: the operator takes the port of the links for the operators'.
-        Cause: an answer that was taken for a status without a look.
+        The operator may give another port of the host, such as that of the
+        links, or the host may close the connection before its answer ends.
         """
         result = _run("status", server.address)
         assert (result.exit_code, result.stdout) == (1, "")
         assert result.stderr.startswith(f"hollyknotctl: {server.address}: ")
         assert result.stderr.count("\n") == 1
 
-    def test_refused_connection(self) -> None:
+    def test_refused_connection_is_reported(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = f"127.0.0.1:{listener.getsockname()[1]}"
         result = _run("status", address)
@@ -117,5 +119,5 @@
     @pytest.mark.parametrize(
         "address", ["host:80", "127.0.0.1", "127.0.0.1:", "::1:0", "1.1.1.1:x"]
     )
-    def test_bad_address(self, address: str) -> None:
+    def test_invalid_address_is_rejected(self, address: str) -> None:
         assert _run("status", address).exit_code == 2
