--- a/packages/standins/src/hollyknot_standins/__init__.py
+++ b/packages/standins/src/hollyknot_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for upstreams and the platform."""
+"""Simulated upstreams and platform services, for tests and trials."""
 
 from hollyknot_standins._engine import (
     EngineControl,
--- a/packages/standins/src/hollyknot_standins/__main__.py
+++ b/packages/standins/src/hollyknot_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in: `python -m hollyknot_standins`."""
+"""Entry point of `python -m hollyknot_standins`, which runs a stand-in."""
 
 from hollyknot_standins import main
 
--- a/packages/standins/src/hollyknot_standins/_engine.py
+++ b/packages/standins/src/hollyknot_standins/_engine.py
@@ -1,4 +1,4 @@
-"""A model engine: the OpenAI shapes over a scheduler and a prefix cache."""
+"""Simulates a model engine with OpenAI's API, batching and prefix cache."""
 
 import asyncio
 import contextlib
@@ -34,29 +34,34 @@
 )
 
 LOWEST_PRIORITY = 3
+"""Priority of a request that states none."""
 MAX_UNREAD_BYTES = 65_536
-"""Bytes that a stream's reader may be behind before its sequence stops."""
+"""Unsent bytes of a stream beyond which its sequence pauses."""
 CANCELLED_STATUS = 499
+"""HTTP status of the answer to a cancelled request."""
 
 
 @attrs.frozen
 class EngineOptions(ServerOptions):
-    """What an engine can do.
+    """Capacity and timing of a simulated engine.
 
     Attributes:
-        slots: Sequences in a batch.
-        queue: Sequences that may wait for a slot; more are refused.
+        slots: Sequences that run at once, as one batch.
+        queue: Sequences that may wait for a slot; further ones are refused.
         interval_s: Seconds between the tokens of a stream; 0 for as fast as
-            its reader takes them.
-        first_token_s: Seconds from a start to the first token.
-        prefill_s_per_kib: Further seconds for each KiB that is not cached.
-        min_tokens: The shortest answer; the prompt decides by its hash.
-        max_tokens: The longest answer.
-        cache_blocks: Blocks of 256 bytes in the prefix cache.
-        cache_lag_s: The age from which cache events are told.
-        cache_gap: One cache event in so many is lost; 0 for none.
-        load_lag_s: Seconds between measures of the load; 0 for at each read.
-        is_fenced: Whether orders with an old fencing number are refused.
+            its reader accepts them.
+        first_token_s: Seconds from the start of a sequence to its first token.
+        prefill_s_per_kib: Additional seconds until the first token for each
+            KiB of the prompt that is not cached.
+        min_tokens: Fewest tokens of an answer; the hash of the prompt selects
+            a number from this to `max_tokens`.
+        max_tokens: Most tokens of an answer.
+        cache_blocks: Capacity of the prefix cache in blocks of 256 bytes.
+        cache_lag_s: Seconds until a cache event can be read.
+        cache_gap: Every so many cache events one is lost; 0 for none.
+        load_lag_s: Shortest time in seconds between two measurements of the
+            load; 0 to measure on each read.
+        is_fenced: Whether orders with an older fencing number are refused.
     """
 
     name: str = "engine"
@@ -76,18 +81,19 @@
 
 @attrs.define
 class EngineControl(Faults):
-    """An engine's faults and records.
+    """Faults of an engine, and counts of what it ran.
 
     Attributes:
-        draining: New work is refused; what runs is finished.
-        straggle: A factor on all its times.
-        truncate: The token after which answers are cut; 0 for none.
-        hold: The token after which answers wait while this is set; 0 for
-            none. Unlike a slow pace, it keeps an answer unfinished however
-            slow the machine is.
-        crash_on: Text in a body whose start crashes the engine.
-        ran: How often each request was started, by its id.
-        resumed: How often each request was resumed, by its id.
+        draining: Whether new requests are refused; running ones are finished.
+        straggle: Factor by which all times of the engine are multiplied.
+        truncate: Number of tokens after which answers are cut off; 0 for none.
+        hold: Number of tokens after which answers wait while this is set; 0
+            for none. Unlike a long interval between tokens, it keeps an answer
+            unfinished however slow the machine is.
+        crash_on: Text that crashes the engine when a request whose prompt
+            contains it starts; empty for none.
+        ran: Number of starts of each request, by its identifier.
+        resumed: Number of times each request was resumed, by its identifier.
     """
 
     draining: bool = flag()
@@ -100,9 +106,10 @@
 
 
 class _Engine:
-    """The state behind the routes."""
+    """The state of an engine, which its HTTP routes use."""
 
     def __init__(self, options: EngineOptions) -> None:
+        """Builds an idle engine with an empty cache."""
         self.options = options
         self.control = EngineControl()
         self.standin = Standin(self.control)
@@ -132,7 +139,7 @@
         self.cache.clear()
 
     def measured_load(self) -> dict[str, Any]:
-        """The load report, measured anew if it is old enough."""
+        """Returns the load, measured again if the last one is old enough."""
         now_s = time.monotonic()
         age_s = now_s - self.load_at_s
         if age_s >= self.options.load_lag_s:
@@ -150,7 +157,7 @@
     async def run(
         self, request: web.Request, prompt: Prompt, after: int, streams: bool
     ) -> web.StreamResponse:
-        """Runs a prompt from a token on and answers it."""
+        """Runs a prompt from token `after` on and sends the answer."""
         if self.scheduler.is_full:
             return refused("full")
         cached = self.cache.look_up_and_store(prompt.text.encode())
@@ -200,9 +207,9 @@
                 return True
             tokens = [head + prompt.token(i) + tail for i in range(start, stop)]
             data = b"".join(tokens)
-            # Written to the transport and not by the response, whose write is
-            # a coroutine that waits for a slow reader: one slow reader would
-            # hold up the step of all other sequences.
+            # Written to the transport directly, because the response's write
+            # is a coroutine that waits for a slow reader: one slow reader
+            # would delay the step of all other sequences.
             transport.write(b"%x\r\n%b\r\n" % (len(data), data))
             return True
 
@@ -221,7 +228,7 @@
     answer = prompt.complete_answer(cached)
     if end is End.COMPLETE:
         return json_body(answer)
-    # A truncated answer: half of a body under the whole's length.
+    # Truncated: half of the body, with the length of the complete body.
     body = orjson.dumps(answer)
     response = web.StreamResponse(headers={"Content-Length": str(len(body))})
     await response.prepare(request)
@@ -318,7 +325,7 @@
 async def start_engine(
     options: EngineOptions,
 ) -> AsyncIterator[Standin[EngineControl]]:
-    """Serves an engine until the context ends."""
+    """Runs an engine until the context ends."""
     engine = _Engine(options)
     routes = web.RouteTableDef()
     _answer_routes(engine, routes)
--- a/packages/standins/src/hollyknot_standins/_main.py
+++ b/packages/standins/src/hollyknot_standins/_main.py
@@ -1,4 +1,4 @@
-"""`python -m hollyknot_standins`: each stand-in as a process of its own."""
+"""Runs one stand-in as a separate process, by subcommand."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 def _command(
     name: str, start: Start, options: type[ServerOptions]
 ) -> click.Command:
-    """Builds a subcommand that has an option for each field of a class."""
+    """Builds a subcommand with an option for each field of an options class."""
     params: list[click.Parameter] = []
     defaults = options()
     for field in attrs.fields(options):
--- a/packages/standins/src/hollyknot_standins/_openai.py
+++ b/packages/standins/src/hollyknot_standins/_openai.py
@@ -1,4 +1,4 @@
-"""Prompts, and the OpenAI shapes of their deterministic answers."""
+"""Parses OpenAI requests and builds their deterministic answers."""
 
 import zlib
 from typing import Any
@@ -11,15 +11,15 @@
 
 @attrs.frozen
 class Prompt:
-    """What is needed to generate an answer, again or elsewhere.
+    """All that determines an answer, so that any engine can generate it.
 
     Attributes:
-        request_id: The caller's; the `id` of the answer.
-        model: Echoed in the answer.
-        text: The whole prompt.
-        message: The last user message, echoed in the answer.
-        length: Tokens of the whole answer.
-        is_chat: Whether answers have the chat shape.
+        request_id: Identifier from the caller, repeated as the answer's `id`.
+        model: Name of the model, repeated in the answer.
+        text: Roles and contents of all messages of the prompt.
+        message: Content of the last message, echoed in the answer.
+        length: Number of tokens of the complete answer.
+        is_chat: Whether answers have the format of chat completions.
     """
 
     request_id: str
@@ -33,7 +33,7 @@
     def parse(
         cls, body: dict[str, Any], request_id: str, shortest: int, longest: int
     ) -> "Prompt":
-        """Reads a request; the prompt's hash decides the answer's length."""
+        """Parses a request; the prompt's hash selects the answer's length."""
         messages = body.get("messages") or [
             {"role": "user", "content": body["prompt"]}
         ]
@@ -50,13 +50,13 @@
         )
 
     def token(self, index: int) -> bytes:
-        """One token's text, escaped as within a JSON string."""
+        """Returns the text of one token, escaped as inside a JSON string."""
         if index:
             return b" t%d" % index
         return orjson.dumps(f"echo:{self.message}")[1:-1]
 
     def usage(self, cached_bytes: int) -> dict[str, Any]:
-        """The usage part of an answer, at four bytes a token."""
+        """Returns the `usage` of an answer, counting four bytes as a token."""
         tokens = len(self.text) // 4
         return {
             "prompt_tokens": tokens,
@@ -66,19 +66,19 @@
         }
 
     def token_frame(self) -> tuple[bytes, bytes]:
-        """What stands before and after the token in a stream's event."""
+        """Returns the bytes before and after the token in a stream's event."""
         event = self._event([self._delta(_TOKEN_PLACEHOLDER, None)])
         head, _, tail = event.rpartition(_TOKEN_PLACEHOLDER.encode())
         return head, tail
 
     def stream_end(self, cached_bytes: int) -> bytes:
-        """The last events of a complete stream."""
+        """Returns the last events of a complete stream."""
         last = self._event([self._delta("", "stop")])
         usage = self._event([], usage=self.usage(cached_bytes))
         return last + usage + b"data: [DONE]\n\n"
 
     def complete_answer(self, cached_bytes: int) -> dict[str, Any]:
-        """The complete answer in one piece."""
+        """Returns the complete answer to a request without streaming."""
         answer = expected_text(self.message, self.length)
         message = {"role": "assistant", "content": answer}
         content = {"message": message} if self.is_chat else {"text": answer}
@@ -103,5 +103,5 @@
 
 
 def expected_text(message: str, length: int) -> str:
-    """The answer that the engine gives to a message in so many tokens."""
+    """Returns the text of the answer to a message, with `length` tokens."""
     return f"echo:{message}" + "".join(f" t{i}" for i in range(1, length))
--- a/packages/standins/src/hollyknot_standins/_platform.py
+++ b/packages/standins/src/hollyknot_standins/_platform.py
@@ -1,4 +1,4 @@
-"""The platform: a configuration service and a host list, read and watched."""
+"""Simulates the platform's configuration service and its host list."""
 
 import asyncio
 import contextlib
@@ -23,11 +23,20 @@
 
 
 class PublishedDocument:
-    """A document whose number rises with each change, for readers to await."""
+    """A document with a number that rises with each change.
+
+    Readers can wait for the next change.
+    """
 
     def __init__(
         self, body: Callable[[int, bytes], bytes], document: bytes
     ) -> None:
+        """Builds a document with one version.
+
+        Args:
+            body: Builds the body of an answer from a number and its document.
+            document: The document with the number 1.
+        """
         self._body = body
         self._bodies = [body(1, document)]
         self._changed = asyncio.Event()
@@ -38,7 +47,7 @@
         return len(self._bodies)
 
     def body(self, number: int) -> bytes:
-        """The answer that has the document of this number."""
+        """Returns the body of the answer with the document of this number."""
         return self._bodies[number - 1]
 
     def publish(self, document: bytes) -> None:
@@ -47,26 +56,27 @@
         self.wake()
 
     def wake(self) -> None:
-        """Makes all watchers look again."""
+        """Wakes all watchers, so that they check their conditions again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def change(self) -> None:
-        """Waits until something is published."""
+        """Waits until a version is published or the watchers are woken."""
         await self._changed.wait()
 
 
 @attrs.define
 class PlatformControl(Faults):
-    """Faults and records of either of the platform's services.
+    """Faults of one of the platform's services, and its count of reads.
 
     Attributes:
-        down: Each call is answered by status 503.
-        stale: The number of the older document that every call gets, as from
-            a restored service, whatever it has seen; 0 for the newest.
-        lag_s: Seconds from a change to its publication.
-        reads: Calls so far; a watch counts as one.
-        published: What is published.
+        published: Document that the service publishes.
+        down: Whether each call is answered with status 503.
+        stale: Number of an older document that every call gets, as from a
+            service restored from a backup, whatever number the reader has
+            already; 0 for the newest.
+        lag_s: Seconds from a change until it is published.
+        reads: Number of calls so far; a watch counts as one.
     """
 
     published: PublishedDocument = attrs.field(kw_only=True)
@@ -76,12 +86,12 @@
     reads: int = 0
 
     def command(self, name: str, value: Any) -> None:
-        """Sets a fault, and lets waiting watchers feel it."""
+        """Sets a fault and wakes the watchers, so that it applies to them."""
         super().command(name, value)
         self.published.wake()
 
     def apply_after_lag(self, change: Callable[[], None]) -> None:
-        """Makes a change after the lag."""
+        """Calls `change` after the lag, or at once if there is none."""
         if self.lag_s:
             asyncio.get_running_loop().call_later(self.lag_s, change)
         else:
@@ -98,18 +108,18 @@
 
 @attrs.define
 class ConfigurationControl(PlatformControl):
-    """The configuration service's control."""
+    """Faults and commands of the configuration service."""
 
     def publish(self, value: Any) -> None:
         """Publishes any JSON value as the next version."""
         self.publish_raw(orjson.dumps(value).decode())
 
     def publish_raw(self, text: str) -> None:
-        """Publishes a text that need not be JSON as the next version."""
+        """Publishes a text as the next version; it may be invalid JSON."""
         self.apply_after_lag(lambda: self.published.publish(text.encode()))
 
     def command(self, name: str, value: Any) -> None:
-        """Publishes, or sets a fault."""
+        """Publishes a version or sets a fault."""
         if name == "publish":
             self.publish(value)
         elif name == "publish_raw":
@@ -120,7 +130,11 @@
 
 @attrs.define
 class HostListControl(PlatformControl):
-    """The host list's control."""
+    """Faults and commands of the host list.
+
+    Attributes:
+        entries: Entries of the newest revision, by name.
+    """
 
     entries: dict[str, Entry] = attrs.field(factory=dict)
 
@@ -133,7 +147,7 @@
         self.apply_after_lag(lambda: self._apply(self.entries, put, remove))
 
     def command(self, name: str, value: Any) -> None:
-        """Changes entries, or sets a fault."""
+        """Changes entries or sets a fault."""
         if name == "set":
             self.set_entries(value)
         elif name == "patch":
@@ -151,10 +165,10 @@
 
 @attrs.frozen
 class ConfigurationOptions(ServerOptions):
-    """Where a configuration service listens.
+    """Address and initial document of a configuration service.
 
     Attributes:
-        value: The JSON value of version 1.
+        value: JSON value of version 1.
     """
 
     name: str = "configuration"
@@ -163,10 +177,10 @@
 
 @attrs.frozen
 class HostListOptions(ServerOptions):
-    """Where a host list listens.
+    """Address and initial entries of a host list.
 
     Attributes:
-        entries: The entries of revision 1.
+        entries: Entries of revision 1.
     """
 
     name: str = "host-list"
@@ -208,7 +222,7 @@
 async def start_configuration(
     options: ConfigurationOptions,
 ) -> AsyncIterator[Standin[ConfigurationControl]]:
-    """Serves a configuration service until the context ends."""
+    """Runs a configuration service until the context ends."""
     published = PublishedDocument(_document, orjson.dumps(options.value))
     standin = Standin(ConfigurationControl(published=published))
     routes = _routes("/v1/values/declarations", standin.control)
@@ -220,7 +234,7 @@
 async def start_host_list(
     options: HostListOptions,
 ) -> AsyncIterator[Standin[HostListControl]]:
-    """Serves a host list until the context ends."""
+    """Runs a host list until the context ends."""
     published = PublishedDocument(_entries, orjson.dumps(options.entries))
     entries = {entry["name"]: entry for entry in options.entries}
     standin = Standin(HostListControl(published=published, entries=entries))
--- a/packages/standins/src/hollyknot_standins/_prefix_cache.py
+++ b/packages/standins/src/hollyknot_standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache of limited size that tells of its changes late, with gaps."""
+"""Simulates an engine's prefix cache and its events, with lag and loss."""
 
 import hashlib
 from collections import OrderedDict, deque
@@ -7,18 +7,21 @@
 import attrs
 
 BLOCK_BYTES = 256
+"""Bytes of a prompt in one block."""
 MAX_KEPT_EVENTS = 1_000
+"""Newest events that can still be read."""
 
 
 @attrs.frozen
 class CacheEvent:
-    """A block that was stored or evicted.
+    """The storing or eviction of a block.
 
     Attributes:
-        seq: Rises by one with every event, also with one that gets lost.
-        kind: `stored` or `evicted`.
-        prefix: Hexadecimal BLAKE2b-64 of all of the prompt's bytes up to the
-            block's end.
+        seq: Sequence number, which rises by one with every event, including
+            lost events.
+        kind: Either `stored` or `evicted`.
+        prefix: Hexadecimal 64-bit BLAKE2b hash of the prompt's bytes up to the
+            end of the block.
     """
 
     seq: int
@@ -30,11 +33,18 @@
 
 
 class PrefixCache:
-    """Remembers blocks of prompts, least recently used first to go."""
+    """Caches blocks of prompts and evicts the least recently used."""
 
     def __init__(
         self, blocks: int, gap: int, now_s: Callable[[], float]
     ) -> None:
+        """Builds an empty cache.
+
+        Args:
+            blocks: Capacity in blocks; 0 to cache nothing.
+            gap: Every so many events one is lost; 0 for none.
+            now_s: Returns the current time in seconds.
+        """
         self._capacity = blocks
         self._gap = gap
         self._now_s = now_s
@@ -46,11 +56,11 @@
 
     @property
     def used(self) -> float:
-        """The share of the blocks in use, 0 to 1."""
+        """The fraction of the blocks in use, 0 to 1."""
         return len(self._blocks) / self._capacity if self._capacity else 0.0
 
     def look_up_and_store(self, prompt: bytes) -> int:
-        """Returns how many bytes of a prompt were cached, and stores it."""
+        """Returns how many bytes of a prompt were cached, and caches it."""
         digest = hashlib.blake2b(digest_size=8)
         cached = 0
         end = len(prompt) - len(prompt) % BLOCK_BYTES
@@ -63,14 +73,19 @@
         return cached
 
     def events(self, after: int, lag_s: float) -> list[CacheEvent]:
-        """Returns the events after a number that are old enough to be told."""
+        """Returns events after a sequence number that are old enough to read.
+
+        Args:
+            after: Sequence number after which events are returned.
+            lag_s: Age in seconds from which an event can be read.
+        """
         until_s = self._now_s() - lag_s
         return [
             e for at_s, e in self._events if e.seq > after and at_s <= until_s
         ]
 
     def clear(self) -> None:
-        """Loses everything, without events, as a crash does."""
+        """Drops all blocks without events, as a crash does."""
         self._blocks.clear()
 
     def _store(self, prefix: str) -> None:
--- a/packages/standins/src/hollyknot_standins/_scheduler.py
+++ b/packages/standins/src/hollyknot_standins/_scheduler.py
@@ -1,4 +1,4 @@
-"""Continuous batching: slots, a queue by priority, and one timer for all."""
+"""Simulates continuous batching with slots and a priority queue."""
 
 import asyncio
 import enum
@@ -13,14 +13,17 @@
 from hollyknot_standins._openai import Prompt
 
 BURST_TOKENS = 32
-"""Tokens a step for each sequence when the interval is 0."""
+"""Tokens per step for each sequence when the interval is 0."""
 STALLED_WAIT_S = 0.001
-"""Seconds to the next step when no reader took a token."""
+"""Seconds until the next step when no sequence emitted a token."""
 PACE_POLL_S = 0.02
-"""The longest time after which a change of the pace is heeded. A step that was
-planned at a pace of a minute would else hold up all that comes after it."""
+"""Longest time in seconds until a change of the pace takes effect.
+
+Otherwise a step that was scheduled at a pace of one minute per token would
+delay all later ones.
+"""
 MAX_STORED_PROMPTS = 10_000
-"""Prompts remembered for resuming."""
+"""Prompts that are kept for resuming; the oldest are dropped."""
 
 
 class End(enum.Enum):
@@ -32,20 +35,22 @@
 
 
 Emit = Callable[[int, int], bool]
-"""Takes tokens from an index up to another; False if the reader is slow."""
+"""Sends tokens from an index up to another; False if the reader is slow."""
 
 
 @attrs.define(eq=False)
 class Sequence:
-    """An answer in the making.
+    """An answer that is being generated.
 
     Attributes:
-        prompt: What it answers.
-        priority: 1 is the highest.
-        position: The next token's index.
+        prompt: Prompt that is answered.
+        priority: Priority in the queue; 1 is the highest.
+        position: Index of the next token.
         prefill_s: Seconds from its start to its first token.
-        emit: Where its tokens go.
-        done: Resolved at its end.
+        emit: Function that sends its tokens.
+        done: Future that is resolved when the sequence ends.
+        ready_at_s: Time in seconds of the event loop's clock from which it may
+            emit tokens; set when it starts.
     """
 
     prompt: Prompt
@@ -58,13 +63,13 @@
 
 
 class Pace(NamedTuple):
-    """How fast sequences go, and where they end or wait.
+    """How fast sequences emit tokens, and where they end or wait.
 
     Attributes:
-        interval_s: Seconds a token.
-        truncate: The token after which answers are cut; 0 for none.
-        hold: The token after which answers wait for as long as this is set;
-            0 for none.
+        interval_s: Seconds between two tokens of a sequence.
+        truncate: Number of tokens after which answers are cut off; 0 for none.
+        hold: Number of tokens after which answers wait while this is set; 0
+            for none.
     """
 
     interval_s: float
@@ -73,7 +78,7 @@
 
 
 class Scheduler:
-    """Runs sequences in slots, a token each a step."""
+    """Runs sequences in slots, one token per sequence in each step."""
 
     def __init__(
         self,
@@ -82,6 +87,15 @@
         pace: Callable[[], Pace],
         on_start: Callable[[Prompt, int], None],
     ) -> None:
+        """Builds an idle scheduler.
+
+        Args:
+            slots: Sequences that run at once.
+            queue: Sequences that may wait for a slot.
+            pace: Returns the current pace.
+            on_start: Called when a sequence starts, with its prompt and the
+                index of its first token.
+        """
         self._slots = slots
         self._queue_limit = queue
         self._pace = pace
@@ -97,38 +111,38 @@
 
     @property
     def running(self) -> int:
-        """Sequences in slots."""
+        """The number of sequences in slots."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Sequences that wait."""
+        """The number of sequences that wait for a slot."""
         return len(self._queue)
 
     @property
     def is_full(self) -> bool:
-        """Whether a new sequence is refused."""
+        """Whether all slots and places in the queue are in use."""
         waiting = self.running + self.queued
         return waiting >= self._slots + self._queue_limit
 
     def submit(self, sequence: Sequence) -> None:
-        """Queues a sequence, and starts it if there is a slot."""
+        """Queues a sequence, and starts it if a slot is free."""
         entry = (sequence.priority, next(self._serial), sequence)
         heapq.heappush(self._queue, entry)
         self._admit()
 
     def find_prompt(self, request_id: str) -> Prompt | None:
-        """The prompt of a request that ran here, for resuming it."""
+        """Returns the stored prompt of a request; None if there is none."""
         return self._prompts.get(request_id)
 
     def store_prompt(self, prompt: Prompt) -> None:
-        """Keeps a prompt for resuming it."""
+        """Stores a prompt, so that its request can be resumed."""
         self._prompts[prompt.request_id] = prompt
         if len(self._prompts) > MAX_STORED_PROMPTS:
             self._prompts.popitem(last=False)
 
     def cancel_request(self, request_id: str) -> int:
-        """Cancels all sequences of a request; returns how many."""
+        """Cancels all sequences of a request and returns their number."""
         queued = [sequence for _, _, sequence in self._queue]
         found = [
             sequence
@@ -140,7 +154,7 @@
         return len(found)
 
     def finish(self, sequence: Sequence, end: End) -> None:
-        """Ends a sequence and gives its slot to the next."""
+        """Ends a sequence and starts the next one in its slot."""
         if sequence in self._running:
             del self._running[sequence]
         else:
@@ -151,7 +165,7 @@
         self._admit()
 
     def drop_all(self) -> None:
-        """Loses all work and memory, as a crash does."""
+        """Drops all sequences and stored prompts, as a crash does."""
         self._queue.clear()
         self._running.clear()
         self._prompts.clear()
@@ -169,7 +183,7 @@
             self._schedule(now_s + self._pace().interval_s)
 
     def _schedule(self, due_s: float) -> None:
-        """Plans the next step."""
+        """Schedules the next step."""
         self._planned_at_s = asyncio.get_running_loop().time()
         self._due_s = due_s
         self._sleep()
@@ -180,7 +194,7 @@
         self._timer = loop.call_at(wake_s, self._wake)
 
     def _wake(self) -> None:
-        """Steps, unless that is not due even at the pace of now."""
+        """Runs a step if it is due by its schedule or by the current pace."""
         self._timer = None
         now_s = asyncio.get_running_loop().time()
         at_this_pace_s = self._planned_at_s + self._pace().interval_s
@@ -202,8 +216,9 @@
         if not self._running or self._timer is not None:
             return
         if interval_s:
-            # Steps keep to their grid, so that a late timer does not lower
-            # the rate; a grid that is a whole step behind starts anew.
+            # The next step is due one interval after this one was due, so
+            # that a late timer does not lower the rate. If that has passed
+            # already, it is due now.
             self._schedule(max(due_s + interval_s, now_s))
         else:
             progressed = self.tokens > before
--- a/packages/standins/src/hollyknot_standins/_server.py
+++ b/packages/standins/src/hollyknot_standins/_server.py
@@ -1,4 +1,4 @@
-"""One stand-in's HTTP server, and the faults that every stand-in can have."""
+"""Provides the HTTP server of a stand-in and the faults common to all."""
 
 import asyncio
 import contextlib
@@ -15,12 +15,12 @@
 
 @attrs.frozen
 class ServerOptions:
-    """Where a stand-in listens.
+    """Address and name of a stand-in.
 
     Attributes:
-        ip: The address to bind.
-        port: The port to bind; 0 for a free one.
-        name: Shown in answers.
+        ip: IP address to bind.
+        port: Port to bind; 0 for a free one.
+        name: Name of the stand-in, which a service shows in its answers.
     """
 
     ip: str = "127.0.0.1"
@@ -30,27 +30,31 @@
 
 @attrs.frozen
 class BoundAddress:
-    """Where a stand-in listens in fact."""
+    """The address that a stand-in has bound."""
 
     ip: str
     port: int
 
 
 def flag() -> Any:
-    """A field for a fault that is there or not."""
+    """Returns an attrs field for a fault that is on or off."""
     return attrs.field(
         default=False, validator=attrs.validators.instance_of(bool)
     )
 
 
 def number(default: float) -> Any:
-    """A field for a number."""
+    """Returns an attrs field for a number."""
     valid = attrs.validators.instance_of((int, float))
     return attrs.field(default=default, validator=valid)
 
 
 def text(*allowed: str) -> Any:
-    """A field for a text, empty at first; any or one of those allowed."""
+    """Returns an attrs field for a string, empty by default.
+
+    Args:
+        *allowed: The values allowed besides the empty one; any if none given.
+    """
     valid = attrs.validators.instance_of(str)
     if allowed:
         valid = attrs.validators.and_(
@@ -61,19 +65,23 @@
 
 @attrs.define
 class Faults:
-    """Faults of every stand-in; settable at any time.
+    """Faults that every stand-in has; they can be set at any time.
 
     Attributes:
-        silent: Requests are accepted and never answered; streams stop.
-        restart_after_s: Seconds from a crash until it listens again on the
-            same port; 0 for never.
+        silent: Whether requests are accepted but never answered; streams stop.
+        restart_after_s: Seconds from a crash until the stand-in listens again
+            on the same port; 0 for never.
     """
 
     silent: bool = flag()
     restart_after_s: float = number(0.0)
 
     def command(self, name: str, value: Any) -> None:
-        """Sets one field; raises ValueError for an unknown name or value."""
+        """Sets one fault.
+
+        Raises:
+            ValueError: The name is unknown or the value is invalid.
+        """
         fields = attrs.fields(type(self))
         if name not in {field.name for field in fields if field.validator}:
             raise ValueError(f"unknown command {name!r}")
@@ -87,9 +95,10 @@
 
 
 class Standin(Generic[FaultsT]):
-    """A running stand-in: its listener, its connections and its control."""
+    """A stand-in, with its listener, its connections and its faults."""
 
     def __init__(self, control: FaultsT) -> None:
+        """Builds a stand-in that does not listen yet."""
         self._control = control
         self._runner: web.AppRunner | None = None
         self._listener: asyncio.Server | None = None
@@ -100,18 +109,18 @@
 
     @property
     def address(self) -> BoundAddress:
-        """Where it listens, or did before it crashed."""
+        """The address on which it listens, or listened before it crashed."""
         return self._address
 
     @property
     def control(self) -> FaultsT:
-        """The faults, and what the stand-in has seen."""
+        """The stand-in's faults and what it has recorded."""
         return self._control
 
     async def start(
         self, options: ServerOptions, routes: web.RouteTableDef
     ) -> None:
-        """Binds and serves."""
+        """Binds the address and serves the routes."""
         app = web.Application(
             client_max_size=MAX_BODY_BYTES, middlewares=[self._hang_if_silent]
         )
@@ -154,15 +163,15 @@
             self._restart = asyncio.create_task(self._restart_later())
 
     def silence_open(self) -> None:
-        """Makes the open connections silent for good; new ones work."""
+        """Silences the open connections permanently; new ones work."""
         self._silenced.update(self._transports())
 
     def is_silent(self, request: web.Request) -> bool:
-        """Whether a request's connection may carry nothing more."""
+        """Returns whether a request's connection must send nothing more."""
         return self._control.silent or request.transport in self._silenced
 
     async def stop(self) -> None:
-        """Stops it for good."""
+        """Stops the stand-in permanently."""
         self._control.restart_after_s = 0
         self.crash()
         if self._restart is not None:
@@ -213,14 +222,14 @@
 
 
 def json_body(value: Any, status: int = 200) -> web.Response:
-    """Builds a JSON answer."""
+    """Builds an answer with a JSON body."""
     return web.Response(
         body=orjson.dumps(value), status=status, content_type="application/json"
     )
 
 
 def refused(why: str) -> web.Response:
-    """Builds the refusal that proves that nothing ran."""
+    """Builds a 503 answer whose header says that the request did not run."""
     response = json_body({"error": {"message": why}}, status=503)
     response.headers["X-Not-Run"] = "true"
     return response
@@ -230,7 +239,7 @@
 async def serving(
     standin: Standin[FaultsT], options: ServerOptions, routes: web.RouteTableDef
 ) -> AsyncIterator[Standin[FaultsT]]:
-    """Serves a stand-in until the context ends."""
+    """Runs a stand-in until the context ends."""
     async with contextlib.AsyncExitStack() as stack:
         stack.push_async_callback(standin.stop)
         await standin.start(options, routes)
--- a/packages/standins/src/hollyknot_standins/_service.py
+++ b/packages/standins/src/hollyknot_standins/_service.py
@@ -1,4 +1,4 @@
-"""A plain service that records each call it runs."""
+"""Simulates a plain HTTP service that records each call it runs."""
 
 import asyncio
 import contextlib
@@ -24,14 +24,22 @@
 
 @attrs.frozen
 class ServiceOptions(ServerOptions):
-    """Where a service listens."""
+    """Address and name of a service."""
 
     name: str = "service"
 
 
 @attrs.frozen
 class ServiceCall:
-    """A call that ran."""
+    """A call that the service ran.
+
+    Attributes:
+        method: HTTP method of the call.
+        path: Path with its query.
+        idempotency_key: Header Idempotency-Key; empty if there was none.
+        request_id: Header X-Request-Id; empty if there was none.
+        body: Body as text, with invalid UTF-8 replaced.
+    """
 
     method: str
     path: str
@@ -42,14 +50,15 @@
 
 @attrs.define
 class ServiceControl(Faults):
-    """A service's faults and records.
+    """Faults of a service, and the calls that it ran.
 
     Attributes:
-        draining: Calls are refused.
-        slow_s: Seconds from a call's record to its answer.
-        status: The status of its answers.
-        crash: Crashes once, at the next call: `before` or `after` it runs.
-        calls: The calls that ran.
+        draining: Whether calls are refused.
+        slow_s: Seconds from the recording of a call to its answer.
+        status: HTTP status of the answers.
+        crash: Whether the service crashes once, `before` or `after` the next
+            call runs; empty for no crash.
+        calls: Calls that ran, in order.
     """
 
     draining: bool = flag()
@@ -99,7 +108,7 @@
 async def start_service(
     options: ServiceOptions,
 ) -> AsyncIterator[Standin[ServiceControl]]:
-    """Serves a plain service until the context ends."""
+    """Runs a plain service until the context ends."""
     standin = Standin(ServiceControl())
     routes = _routes(options.name, standin)
     async with serving(standin, options, routes):
