--- a/conftest.py
+++ b/conftest.py
@@ -1,8 +1,8 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them.
+"""Deselects the tests that KNOWN-RED.txt lists, and prints them.
 
-Each line is `test id | command and seed | what was seen | issue`. At most three
-may stand there, and each must name a test that exists, so that the list can
-neither grow nor go stale unseen.
+Each line is `test id | command and seed | what was seen | issue`. There may be
+at most three lines, and each must name an existing test, so that the list can
+neither grow nor become outdated unnoticed.
 """
 
 import pathlib
@@ -16,13 +16,13 @@
 
 @attrs.frozen
 class KnownRed:
-    """A test that fails for a real fault.
+    """A test that fails because of a known, real fault.
 
     Attributes:
-        test: Its id in pytest.
-        command: How to run it, with its seed where it has one.
-        seen: How it fails.
-        issue: Where the fault is followed.
+        test: Identifier of the test in pytest.
+        command: Command that runs the test, with its seed if it has one.
+        seen: Description of the failure.
+        issue: Issue that tracks the fault.
     """
 
     test: str
@@ -32,23 +32,25 @@
 
 
 def read_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Reads the list.
+    """Parses the list of tests that are known to fail.
 
     Raises:
-        pytest.UsageError: A line has other than four parts, or there are more
-            than three lines.
+        pytest.UsageError: A line doesn't have four non-empty parts, or there
+            are more than three lines.
     """
     found = []
     for line in filter(str.strip, text.splitlines()):
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != len(attrs.fields(KnownRed)) or not all(parts):
             raise pytest.UsageError(
-                f"KNOWN-RED.txt: {line!r}: write"
+                f"KNOWN-RED.txt: {line!r} does not have four parts: write"
                 " 'test | command | seen | issue'"
             )
         found.append(KnownRed(*parts))
     if len(found) > _MAX_LINES:
-        raise pytest.UsageError(f"KNOWN-RED.txt: at most {_MAX_LINES} lines")
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt has {len(found)} lines: keep to {_MAX_LINES}"
+        )
     return tuple(found)
 
 
@@ -59,14 +61,17 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Takes the listed tests out of the run."""
+    """Deselects the listed tests."""
     listed = {red.test for red in _known_red()}
     deselected = [item for item in items if item.nodeid in listed]
     names = {item.nodeid for item in deselected}
     is_full_run = config.args in ([], ["packages", "platform"])
     if is_full_run and listed != names:
         missing = ", ".join(sorted(listed - names))
-        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {missing}")
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt lists tests that don't exist: {missing}; remove"
+            " their lines"
+        )
     items[:] = [item for item in items if item.nodeid not in listed]
     config.hook.pytest_deselected(items=deselected)
 
@@ -74,7 +79,7 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Prints the tests that were passed over."""
+    """Prints the tests that were deselected."""
     for red in _known_red():
         terminalreporter.line(
             f"KNOWN RED, not run: {red.test}: {red.seen} ({red.issue})"
--- a/packages/standins/src/hollyknot_standins/tests/test_engine.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: answers, batching, the prefix cache, orders and faults."""
+"""Tests of the engine: answers, batching, prefix cache, orders, faults."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class Client:
-    """Speaks to one engine."""
+    """An HTTP client of one engine."""
 
     def __init__(self, engine: Engine, session: aiohttp.ClientSession) -> None:
         self.engine = engine
@@ -40,13 +40,13 @@
             return answer.status, orjson.loads(await answer.read())
 
     async def wait_for_load(self, part: str, value: int) -> None:
-        """Reads the load until a part of it has a value."""
+        """Reads the load until one of its fields has a value."""
         load: dict[str, Any] = {}
         while load.get(part) != value:
             _, load = await self.send("GET", "/v1/load")
 
     async def assert_refused(self, request_id: str) -> None:
-        """Asks, and checks that the answer proves that nothing ran."""
+        """Sends a request and checks that it is refused as not run."""
         async with self.ask(request_id) as answer:
             assert answer.status == 503
             assert answer.headers["X-Not-Run"] == "true"
@@ -58,7 +58,7 @@
         stream: bool = False,
         priority: int = 1,
     ) -> Any:
-        """Opens a chat request."""
+        """Starts a chat request."""
         body = {
             "stream": stream,
             "messages": [{"role": "user", "content": message}],
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def open_client(options: EngineOptions) -> AsyncIterator[Client]:
-    """Starts an engine with a client to it."""
+    """Starts an engine and a client for it."""
     async with (
         start_engine(options) as engine,
         aiohttp.ClientSession() as session,
@@ -82,7 +82,7 @@
 def run_scenario(
     options: EngineOptions, scenario: Callable[[Client], Awaitable[None]]
 ) -> None:
-    """Runs a scene against an engine."""
+    """Starts an engine and runs a scenario against it."""
 
     async def run() -> None:
         async with asyncio.timeout(20), open_client(options) as client:
@@ -92,7 +92,7 @@
 
 
 def parse_events(body: bytes) -> list[Any]:
-    """Reads the events of a stream; `[DONE]` stays a string."""
+    """Parses the events of a stream; `[DONE]` stays a string."""
     lines = [part[6:] for part in body.split(b"\n\n") if part]
     return ["[DONE]" if x == b"[DONE]" else orjson.loads(x) for x in lines]
 
@@ -106,10 +106,10 @@
 
 
 class TestAnswers:
-    """The OpenAI shapes, whole, streamed and resumed."""
+    """OpenAI answers: complete, streamed and resumed."""
 
     @pytest.mark.parametrize("interval_s", [0.0, 0.001])
-    def test_stream_has_the_whole_answer(self, interval_s: float) -> None:
+    def test_stream_has_the_complete_answer(self, interval_s: float) -> None:
         async def scenario(client: Client) -> None:
             async with client.ask("r1", 'hé "you"', stream=True) as answer:
                 events = parse_events(await answer.read())
@@ -123,7 +123,7 @@
         )
         run_scenario(options, scenario)
 
-    def test_whole_answer_and_what_ran(self) -> None:
+    def test_unstreamed_answer_is_complete_and_counted(self) -> None:
         async def scenario(client: Client) -> None:
             async with client.ask("r1") as answer:
                 body = await answer.json()
@@ -135,7 +135,7 @@
 
         run_scenario(EngineOptions(), scenario)
 
-    def test_completions_and_bad_bodies(self) -> None:
+    def test_completions_are_answered_and_bad_bodies_rejected(self) -> None:
         async def scenario(client: Client) -> None:
             body = {"prompt": "hi", "max_tokens": 2}
             status, answer = await client.send("POST", "/v1/completions", body)
@@ -145,11 +145,11 @@
 
         run_scenario(EngineOptions(), scenario)
 
-    def test_resume_gives_the_rest(self) -> None:
-        """Resuming works after a cut and on an engine that imported it.
+    def test_resume_returns_the_remaining_tokens(self) -> None:
+        """Guards against lost or repeated tokens when a stream is resumed.
 
-        Symptom: an answer ends midway. Sequence: the stream is cut after
-        three tokens; the reader resumes after those. Cause: the fault.
+        The stream is cut off after three tokens. The rest must come from the
+        same engine, and from another engine that imported the prompt.
         """
 
         async def scenario(client: Client) -> None:
@@ -177,9 +177,9 @@
 
 
 class TestBatch:
-    """Slots, the queue, cancelling and refusals."""
+    """Slots, the queue, cancellation and refusals."""
 
-    def test_draining_and_full_refuse(self) -> None:
+    def test_draining_or_full_engine_refuses(self) -> None:
         async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True):
                 await client.send("POST", "/control", {"draining": True})
@@ -194,7 +194,7 @@
         run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
     @pytest.mark.parametrize("way", ["cancel", "close"])
-    def test_ending_frees_the_slot(self, way: str) -> None:
+    def test_cancelled_or_closed_stream_frees_its_slot(self, way: str) -> None:
         async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.readany()
@@ -207,7 +207,7 @@
 
         run_scenario(ENDLESS, scenario)
 
-    def test_queue_goes_by_priority(self) -> None:
+    def test_queue_is_ordered_by_priority(self) -> None:
         async def scenario(client: Client) -> None:
             async def ask(request_id: str, priority: int) -> None:
                 async with client.ask(request_id, priority=priority) as answer:
@@ -231,9 +231,9 @@
 
 
 class TestCacheAndOrders:
-    """What the prefix cache tells, and fencing."""
+    """Events of the prefix cache, and fencing of orders."""
 
-    def test_events_have_gaps_and_evictions(self) -> None:
+    def test_cache_events_have_gaps_and_evictions(self) -> None:
         async def scenario(client: Client) -> None:
             cached = []
             for message in ("a" * 300, "a" * 300, "b" * 900, "a" * 300):
@@ -251,7 +251,9 @@
         run_scenario(EngineOptions(cache_blocks=2, cache_gap=3), scenario)
 
     @pytest.mark.parametrize(("is_fenced", "late"), [(True, 409), (False, 200)])
-    def test_late_order(self, is_fenced: bool, late: int) -> None:
+    def test_outdated_order_is_refused_if_fenced(
+        self, is_fenced: bool, late: int
+    ) -> None:
         async def scenario(client: Client) -> None:
             orders = [
                 {"fence": 2, "model": "new"},
@@ -266,14 +268,13 @@
 
 
 class TestFaults:
-    """Faults on command."""
+    """Faults that are set while the engine runs."""
 
-    def test_poison_crashes_and_is_recorded(self) -> None:
-        """A poison request takes the engine's other requests with it.
+    def test_crash_on_text_ends_all_streams_and_is_counted(self) -> None:
+        """Guards against a crash that spares the engine's other requests.
 
-        Symptom: all streams of an engine end and it refuses connections.
-        Sequence: a stream runs; a request with the marker starts. Cause: the
-        marker in its body.
+        A request with the text of `crash_on` starts while a stream runs: all
+        streams must end, and the engine must refuse connections.
         """
 
         async def scenario(client: Client) -> None:
@@ -293,12 +294,12 @@
 
         run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
-    def test_open_connections_go_silent(self) -> None:
-        """An old connection is silent for good while a new one works.
+    def test_silenced_connections_stay_silent(self) -> None:
+        """Guards against a silenced connection that breaks or recovers.
 
-        Symptom: a stream stands still, unbroken. Sequence: a stream runs; the
-        open connections are silenced; its answer ends unseen; a new request
-        is answered. Cause: the fault.
+        The open connections are silenced while a stream runs: its answer ends
+        without reaching the reader, and a request on a new connection is
+        answered.
         """
 
         async def scenario(client: Client) -> None:
@@ -314,19 +315,19 @@
 
         run_scenario(EngineOptions(interval_s=0.001), scenario)
 
-    def test_all_silent_and_crash_with_restart(self) -> None:
-        """A silent engine crashes, and comes back with its faults undone.
+    def test_silent_engine_crashes_and_restarts(self) -> None:
+        """Guards against a silent engine that can't crash or restart.
 
-        Symptom: a request hangs, then its connection breaks; later ones are
-        answered. Sequence: the engine goes silent, crashes and restarts by
-        itself. Cause: the faults.
+        The engine becomes silent, crashes and restarts by itself. A request
+        that hangs must fail with the crash; once the fault is cleared, later
+        requests are answered.
         """
 
         async def scenario(client: Client) -> None:
             await client.send("POST", "/control", {"silent": True})
             asking = asyncio.create_task(client.send("POST", "/v1/cancel/r1"))
-            # Lets the request take the pooled connection, so that it is sent
-            # before the crash is, which has to open a new one.
+            # Lets the request use the pooled connection, so that it is sent
+            # before the crash command, which needs a new connection.
             await asyncio.sleep(0)
             commands = {"crash": True, "restart_after_s": 0.001}
             with contextlib.suppress(aiohttp.ClientError):
@@ -342,11 +343,11 @@
 
         run_scenario(EngineOptions(), scenario)
 
-    def test_truncated_whole_answer_is_no_answer(self) -> None:
-        """A whole answer is cut below its stated length.
+    def test_truncated_unstreamed_answer_is_detectable(self) -> None:
+        """Guards against a truncated answer that looks complete.
 
-        Symptom: the reader's library reports a short body. Sequence: a whole
-        request ends at its third token. Cause: the fault.
+        An answer without streaming is cut off after three tokens: its body
+        must be shorter than its Content-Length, which the client reports.
         """
 
         async def scenario(client: Client) -> None:
@@ -357,12 +358,12 @@
 
         run_scenario(EngineOptions(), scenario)
 
-    def test_held_stream_waits_until_it_is_let_go(self) -> None:
-        """A stream stops at a token, however long its reader waits there.
+    def test_held_stream_waits_until_the_hold_is_cleared(self) -> None:
+        """Guards against a stream that completes before a test's next step.
 
-        Symptom: on a busy machine a stream is complete before the fault that
-        a test has in store for it. Sequence: the reader has the first tokens,
-        then the engine is told to go on. Cause: only a slow pace kept it.
+        A long interval between tokens alone does not prevent this on a busy
+        machine. A held stream must stop at its token until the hold is
+        cleared, however long that takes.
         """
 
         async def scenario(client: Client) -> None:
@@ -381,13 +382,12 @@
 
         run_scenario(EngineOptions(), scenario)
 
-    def test_a_new_pace_holds_for_the_next_token(self) -> None:
-        """An engine that was slow is silent long after it is fast again.
+    def test_new_pace_applies_to_the_next_token(self) -> None:
+        """Guards against an engine that stays slow after its fault is cleared.
 
-        Symptom: requests of the next test wait for the engine, and are lost.
-        Sequence: a stream is slowed to an hour a token, then set free, or its
-        engine crashes and comes back. Cause: the next token was planned at
-        the slow pace.
+        A stream is slowed to an hour per token, then the factor is reset, or
+        the engine crashes and restarts. If the next step stayed scheduled at
+        the slow pace, later requests would wait for it and time out.
         """
 
         async def scenario(client: Client) -> None:
@@ -409,7 +409,7 @@
     @pytest.mark.parametrize(
         "command", [{"no_such": 1}, {"draining": 1}, {"ran": {}}]
     )
-    def test_wrong_commands_are_refused(self, command: Any) -> None:
+    def test_invalid_commands_are_rejected(self, command: Any) -> None:
         async def scenario(client: Client) -> None:
             status, _ = await client.send("POST", "/control", command)
             assert status == 400
--- a/packages/standins/src/hollyknot_standins/tests/test_others.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_others.py
@@ -1,4 +1,4 @@
-"""The plain service, the platform's two services, and the processes."""
+"""Tests of the plain service, the platform services and the processes."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 def run_scenario(
     start: Any, options: Any, scenario: Callable[[Any, Get], Any]
 ) -> None:
-    """Runs a scene against a stand-in, with a reader of JSON."""
+    """Runs a scenario against a stand-in, with a function that GETs JSON."""
 
     async def run() -> None:
         async with (
@@ -49,14 +49,16 @@
 
 
 class TestService:
-    """Calls are recorded exactly when they run."""
+    """The service records exactly the calls that it runs."""
 
     @pytest.mark.parametrize(("when", "count"), [("before", 0), ("after", 1)])
-    def test_crash(self, when: str, count: int) -> None:
-        """A crash leaves the caller unsure and the record exact.
+    def test_crash_before_or_after_a_call_is_recorded_exactly(
+        self, when: str, count: int
+    ) -> None:
+        """Guards against a record that differs from what ran before a crash.
 
-        Symptom: the connection breaks without an answer. Sequence: a call
-        arrives; the service crashes before or after it runs. Cause: the fault.
+        The service crashes before or after it runs a call. The caller gets no
+        answer in either case; only the record tells the cases apart.
         """
 
         async def scenario(service: Any, get: Get) -> None:
@@ -72,7 +74,7 @@
 
         run_scenario(start_service, ServiceOptions(), scenario)
 
-    def test_draining_does_not_run(self) -> None:
+    def test_draining_service_runs_nothing(self) -> None:
         async def scenario(service: Any, get: Get) -> None:
             service.control.draining = True
             assert (await get("/x"))[0] == 503
@@ -82,9 +84,9 @@
 
 
 class TestConfiguration:
-    """Reads, watches, and the ways in which they fail."""
+    """Reads and watches of the configuration, and their faults."""
 
-    def test_watch_is_one_read(self) -> None:
+    def test_watch_counts_as_one_read(self) -> None:
         async def scenario(service: Any, get: Get) -> None:
             watch = asyncio.create_task(get(f"{VALUES}?after=1&wait_s=10"))
             while not (await get("/control/reads"))[1]["reads"]:
@@ -96,12 +98,12 @@
 
         run_scenario(start_configuration, ConfigurationOptions(), scenario)
 
-    def test_down_and_stale(self) -> None:
-        """A watcher feels an outage, and is then offered an older version.
+    def test_outage_ends_a_watch_and_stale_returns_an_old_version(self) -> None:
+        """Guards against faults that do not reach a waiting watcher.
 
-        Symptom: a watch ends with 503; later reads give version 1 again.
-        Sequence: version 2 is published; the service goes down, and comes
-        back restored from an old copy. Cause: the faults.
+        Version 2 is published, then the service goes down and comes back
+        restored from an older copy: the watch must end with 503, and later
+        reads must return version 1.
         """
 
         async def scenario(service: Any, get: Get) -> None:
@@ -120,9 +122,9 @@
 
 
 class TestHostList:
-    """Entries are set and patched, at once or late."""
+    """Changes of the host list's entries, at once or after a lag."""
 
-    def test_patch_and_lag(self) -> None:
+    def test_patches_are_published_after_the_lag(self) -> None:
         async def scenario(hosts: Any, get: Get) -> None:
             a, b, c = ({"name": name} for name in "abc")
             hosts.control.command("set", [a, b])
@@ -139,12 +141,12 @@
 
 
 class TestProcess:
-    """Each stand-in as a process."""
+    """Stand-ins as separate processes."""
 
     @pytest.mark.parametrize(
         "kind", ["engine", "service", "configuration", "host-list"]
     )
-    def test_starts_and_stops(self, kind: str) -> None:
+    def test_process_starts_and_stops_on_sigterm(self, kind: str) -> None:
         code = "from hollyknot_standins import main; main()"
         command = [sys.executable, "-c", code, kind, "--port", "0"]
         with contextlib.ExitStack() as stack:
