--- a/packages/ctl/src/hollyknot_ctl/reference/_pages.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_pages.py
@@ -96,11 +96,11 @@
         # Publishing assigns the version; a document that has one is
         # refused.
         frozenset({"version"}),
-        "Over the whole: a customer's classes are declared, its default class"
-        " is among them and no two customers have one key; no model and"
-        " service share a name, since both are pools of upstreams; a first"
-        " token is not later than the whole answer; no pattern is both"
-        " non-idempotent and idempotent.",
+        "Checks that span several fields: a customer's classes are declared,"
+        " its default class is one of them and no two customers have the same"
+        " key; no model has the name of a service, since both are pools of"
+        " upstreams; the target of the first token is not later than that of"
+        " the whole answer; no pattern is both non-idempotent and idempotent.",
     ),
     "settings.md": _Page(
         "Settings",
@@ -108,8 +108,8 @@
         SETTINGS_EXAMPLE,
         MAX_SETTINGS_BYTES,
         frozenset(),
-        "The files of `tls` are looked for when the host starts and by"
-        " `hollyknotctl check`.",
+        "The files of `tls` must exist, which the host checks when it starts;"
+        " `hollyknotctl check` checks it too.",
     ),
 }
 
@@ -127,7 +127,7 @@
         summary(page.root),
         f"The document is JSON in UTF-8, {page.max_bytes:,} bytes at most."
         " Unknown fields, repeated keys and values of another JSON type are"
-        " refused; `hollyknotctl check FILE` tells all mistakes at once.",
+        " rejected; `hollyknotctl check FILE` reports all mistakes at once.",
         f"```json\n{example}\n```",
     ]
     for cls in (page.root, *nested_classes(page.root)):
--- a/packages/ctl/src/hollyknot_ctl/reference/_types.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_types.py
@@ -104,7 +104,7 @@
 
 def _check(validator: Any) -> str:
     text = validator.__doc__ if validator is not None else ""
-    phrases = re.sub(r"Holds that (\w)", lambda m: m[1].upper(), text)
+    phrases = re.sub(r"Checks that (\w)", lambda m: m[1].upper(), text)
     return " ".join(phrases.split())
 
 
--- a/packages/state/src/hollyknot_state/_declarations.py
+++ b/packages/state/src/hollyknot_state/_declarations.py
@@ -35,12 +35,12 @@
 
 @attrs.frozen
 class Target:
-    """A class's latency target. A zero part is not a target.
+    """The latency target of a class; a value of 0 sets no target.
 
     Attributes:
         first_token_ms: Milliseconds from arrival to the first token.
-        between_tokens_ms: Milliseconds between tokens, the mean over an answer.
-        whole_answer_ms: Milliseconds from arrival to the answer's end.
+        between_tokens_ms: Mean milliseconds between two tokens of an answer.
+        whole_answer_ms: Milliseconds from arrival to the end of the answer.
     """
 
     first_token_ms: int = attrs.field(
@@ -64,11 +64,11 @@
 
 @attrs.frozen
 class ClassDeclaration:
-    """A class of work.
+    """A class of requests.
 
     Attributes:
-        tier: 1 is the highest of the three.
-        target: What its callers wait for.
+        tier: Service tier; 1 is the highest and 3 the lowest.
+        target: Latency target of the class.
     """
 
     tier: int = attrs.field(validator=is_between(TIERS[0], TIERS[-1]))
@@ -77,12 +77,12 @@
 
 @attrs.frozen
 class CustomerDeclaration:
-    """A customer and the classes it may use.
+    """A customer and the classes that it may use.
 
     Attributes:
-        key_sha256: The hexadecimal SHA-256 of its bearer key.
-        classes: Names of the classes it may use.
-        default_class: The class of a request that names none.
+        key_sha256: SHA-256 hash of the customer's bearer key, in hexadecimal.
+        classes: Names of the classes that the customer may use.
+        default_class: Class of the customer's requests that name none.
     """
 
     key_sha256: str = attrs.field(validator=is_sha256)
@@ -97,7 +97,8 @@
     """A model that callers may name.
 
     Attributes:
-        description: For `GET /v1/models` and the operators' pages.
+        description: Description of the model, for `GET /v1/models` and for
+            operators.
     """
 
     description: str = attrs.field(default="", validator=is_short(1_000))
@@ -105,11 +106,11 @@
 
 @attrs.frozen
 class CallPattern:
-    """Some calls of a service, by method and path.
+    """A pattern of calls of a service, by method and path.
 
     Attributes:
-        method: An HTTP method in capitals, or `*`.
-        path: The path below the service; a trailing `*` matches any rest.
+        method: HTTP method in capitals, or `*` for any method.
+        path: Path within the service; a trailing `*` matches any suffix.
     """
 
     method: str = attrs.field(validator=is_method)
@@ -126,13 +127,14 @@
 
 @attrs.frozen
 class ServiceDeclaration:
-    """A plain service.
+    """A plain HTTP service.
 
     Attributes:
-        non_idempotent: Calls that run at most once.
-        idempotent: Calls by POST or PATCH that may be repeated all the same.
-        remember_s: Seconds for which a key of a non-idempotent call is
-            remembered; an older key is refused, never run.
+        non_idempotent: Patterns of calls that run at most once.
+        idempotent: Patterns of calls by POST or PATCH that may nevertheless be
+            repeated.
+        remember_s: Seconds for which the idempotency key of a non-idempotent
+            call is remembered; a call with an older key is refused, never run.
     """
 
     non_idempotent: tuple[CallPattern, ...] = ()
@@ -158,12 +160,14 @@
 
 @attrs.frozen
 class Declarations:
-    """One whole version of what the operators declare.
+    """All declarations of the operators, as one version.
 
     Attributes:
-        version: Rises with every change; a lower one is never applied.
-        data_centres: Names of all data centres, for the home of a key.
-        classes: Classes of work by name.
+        version: Version number, which rises with every change; a lower one is
+            never applied.
+        data_centres: Names of all data centres, among which each idempotency
+            key has its home.
+        classes: Classes of requests by name.
         customers: Customers by name.
         models: Models by name.
         services: Plain services by name.
--- a/packages/state/src/hollyknot_state/_settings.py
+++ b/packages/state/src/hollyknot_state/_settings.py
@@ -24,11 +24,11 @@
 
 @attrs.frozen
 class Address:
-    """Where to listen or to connect.
+    """An address to listen on or to connect to.
 
     Attributes:
-        ip: An IP address; names are not resolved.
-        port: 1 to 65535; 0 to listen on a free port.
+        ip: IP address; host names are not resolved.
+        port: Port, 1 to 65535, or 0 to listen on a free port.
     """
 
     ip: str = attrs.field(validator=is_ip)
@@ -37,12 +37,13 @@
 
 @attrs.frozen
 class Tls:
-    """Files of the TLS of the links between hosts, in PEM.
+    """Paths of the PEM files for TLS on the links between hosts.
 
     Attributes:
-        certificate: This host's certificate, with its chain.
-        key: Its private key.
-        authority: The authority that signed the peers' certificates.
+        certificate: Certificate of this host, with its chain.
+        key: Private key of this host.
+        authority: Certificate of the authority that signed the certificates of
+            the peers.
     """
 
     certificate: str = attrs.field(validator=has_items)
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class Platform:
-    """Where the platform's two services answer.
+    """The addresses of the platform's two services.
 
     Attributes:
         configuration: Addresses of the configuration service.
@@ -69,26 +70,28 @@
 
 @attrs.frozen
 class Settings:
-    """All that a host has to be told.
+    """The settings of a host.
 
     Attributes:
-        host: This host's name, as the host list has it.
-        data_centre: This host's data centre.
-        callers: Where callers connect (HTTP).
-        links: Where other hosts connect (thrift over TCP).
-        operators: Where health, metrics and status are served (HTTP).
-        platform: The platform's addresses.
-        link_keys: One or two shared keys of the links; the first signs, each
-            is accepted, so that a key can be changed host by host.
-        tls: TLS of the links; absent for none.
-        max_body_bytes: The largest request body that is accepted.
-        trace_file: Where spans are written, one JSON object a line; empty for
-            none.
-        stop_grace_s: Seconds that a graceful stop waits for requests in
-            flight before it ends them; 0 for as long as they take.
-        handover_s: Seconds that it then waits at most for the host list to
-            call this host leaving and for other hosts to learn its claims;
-            without that wait, stopping most hosts at once loses claims.
+        host: Name of this host, as in the host list.
+        data_centre: Data centre of this host.
+        callers: Address on which callers connect (HTTP).
+        links: Address on which other hosts connect (thrift over TCP).
+        operators: Address on which health, metrics and status are served
+            (HTTP).
+        platform: Addresses of the platform's services.
+        link_keys: One or two shared keys of the links; the first signs and
+            each is accepted, so that a key can be replaced host by host.
+        tls: TLS files of the links; absent for links without TLS.
+        max_body_bytes: Largest request body that is accepted, in bytes.
+        trace_file: File to which spans are written, one JSON object per line;
+            empty for none.
+        stop_grace_s: Seconds that a graceful stop waits for in-flight requests
+            before it ends them; 0 to wait as long as they take.
+        handover_s: Longest time in seconds that a graceful stop then waits
+            until the host list shows this host as leaving and other hosts have
+            learned its claims; without this wait, stopping most hosts at once
+            loses claims.
     """
 
     host: str = attrs.field(validator=is_long_name)
--- a/packages/state/src/hollyknot_state/_validators.py
+++ b/packages/state/src/hollyknot_state/_validators.py
@@ -2,7 +2,7 @@
 
 Each is an attrs validator that depends on the attribute's value only, so that
 the reader of documents can run it for one attribute and continue with the next.
-The reference pages show the docstrings of validators, without "Holds that".
+The reference pages show the docstrings of validators without "Checks that".
 """
 
 import ipaddress
@@ -46,7 +46,7 @@
 
 
 def is_name(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is letters, digits, `.`, `_` and `-`, 63 at most."""
+    """Checks that it is a name of 1 to 63 letters, digits, `.`, `_` or `-`."""
     del attribute
     if not _NAME.fullmatch(value):
         raise check_error(
@@ -55,7 +55,7 @@
 
 
 def is_long_name(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is letters, digits, `._-:/`, 127 at most."""
+    """Checks that it is a name of 1 to 127 letters, digits or `._-:/`."""
     del attribute
     if not _MODEL_NAME.fullmatch(value):
         raise check_error(
@@ -64,7 +64,7 @@
 
 
 def is_sha256(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is a SHA-256 in lower-case hexadecimal."""
+    """Checks that it is a SHA-256 hash in lower-case hexadecimal."""
     del attribute
     if not _SHA256.fullmatch(value):
         # The value is not shown, since it may be a key pasted by mistake, which
@@ -76,7 +76,7 @@
 
 
 def is_ip(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is the literal of an IP address."""
+    """Checks that it is an IP address, not a host name."""
     del attribute
     if not _is_ipv4(value) and not _is_ip(value):
         raise check_error(
@@ -107,7 +107,7 @@
 
 
 def is_connectable(_: Any, attribute: Any, value: Any) -> None:
-    """Holds that it has a port to connect to."""
+    """Checks that its port is not 0."""
     del attribute
     if value.port == 0:
         raise CheckError(
@@ -116,7 +116,7 @@
 
 
 def are_link_keys(_: Any, attribute: Any, value: tuple[str, ...]) -> None:
-    """Holds that they are one or two distinct keys of 32 characters or more."""
+    """Checks that it has one or two distinct keys of 32 characters or more."""
     del attribute
     if not 1 <= len(value) <= MAX_LINK_KEYS:
         raise check_error(
@@ -139,7 +139,7 @@
 
 
 def is_usable_target(_: Any, attribute: Any, value: Any) -> None:
-    """Holds that it has `first_token_ms`, `whole_answer_ms` or both."""
+    """Checks that it has `first_token_ms`, `whole_answer_ms` or both."""
     del attribute
     first, whole = value.first_token_ms, value.whole_answer_ms
     # A target between tokens alone gives no time by which to begin: every
@@ -157,7 +157,7 @@
 
 
 def is_method(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is an HTTP method in capitals, or `*`."""
+    """Checks that it is an HTTP method in capitals or `*`."""
     del attribute
     if not _METHOD.fullmatch(value):
         raise check_error(
@@ -167,7 +167,7 @@
 
 
 def is_call_path(_: Any, attribute: Any, value: str) -> None:
-    """Holds that it is a path in its one spelling, with `*` at its end only."""
+    """Checks that it is a normalised path, with `*` only at its end."""
     del attribute
     body = value.removesuffix("*")
     normal = normalise_path(body)
@@ -205,7 +205,7 @@
                 f"choose {_format_range(low, high)}{suffix}",
             )
 
-    check.__doc__ = f"Holds that it is {_format_range(low, high)}{suffix}."
+    check.__doc__ = f"Checks that it is {_format_range(low, high)}{suffix}."
     return check
 
 
@@ -217,19 +217,19 @@
         if len(value) > limit:
             raise check_error(f"{len(value)} is too long", f"keep to {limit}")
 
-    check.__doc__ = f"Holds that its length is {limit} at most."
+    check.__doc__ = f"Checks that its length is at most {limit}."
     return check
 
 
 def has_items(_: Any, attribute: Any, value: Any) -> None:
-    """Holds that it is not empty."""
+    """Checks that it is not empty."""
     del attribute
     if not value:
         raise check_error("is empty", "give at least one")
 
 
 def has_distinct_items(_: Any, attribute: Any, value: Iterable[Any]) -> None:
-    """Holds that no item stands twice."""
+    """Checks that no item occurs twice."""
     del attribute
     seen: set[Any] = set()
     findings = []
@@ -244,7 +244,7 @@
 
 
 def has_distinct_names(_: Any, attribute: Any, value: Iterable[Any]) -> None:
-    """Holds that no two items have the same name."""
+    """Checks that no two items have the same name."""
     del attribute
     # Counts and health signs of upstreams are kept by name: two upstreams with
     # the same name would share their counts, and a sign that one of them ended
