--- a/packages/ctl/src/hollyknot_ctl/_check.py
+++ b/packages/ctl/src/hollyknot_ctl/_check.py
@@ -1,13 +1,13 @@
-"""`hollyknotctl check`."""
+"""The command `hollyknotctl check`, which validates documents."""
 
 import sys
 
 import click
 
-from hollyknot_ctl._documents import Checked, Kind, problem_lines, read_file
+from hollyknot_ctl._documents import CheckedFile, Kind, problem_lines, read_file
 from hollyknot_ctl._output import (
-    BAD_INPUT,
-    FINE,
+    EXIT_BAD_INPUT,
+    EXIT_OK,
     echo_json,
     examples,
     json_option,
@@ -27,14 +27,14 @@
 @click.option(
     "--kind",
     type=click.Choice([kind.value for kind in Kind]),
-    help="What the files hold; told by their content if left out.",
+    help="The kind of the files; detected from their content by default.",
 )
 @json_option
 def check(files: tuple[str, ...], kind: str | None, as_json: bool) -> None:
     """Check declarations, settings or a host list before they are used.
 
-    Each mistake is one line: file, path, problem, remedy. Exits with 0 if all
-    files are good and with 2 if one is not.
+    Prints one line for each mistake: file, path, problem, remedy. Exits with
+    0 if all files are valid and with 2 if any is not.
     """
     expected = Kind(kind) if kind else None
     checked = [read_file(name, expected) for name in files]
@@ -43,17 +43,17 @@
     else:
         for one in checked:
             _echo(one)
-    sys.exit(BAD_INPUT if any(c.problems for c in checked) else FINE)
+    sys.exit(EXIT_BAD_INPUT if any(c.problems for c in checked) else EXIT_OK)
 
 
-def _echo(checked: Checked) -> None:
+def _echo(checked: CheckedFile) -> None:
     for line in problem_lines(checked):
         click.echo(line, err=True)
     if not checked.problems:
         click.echo(printable(f"{checked.name}: good {checked.kind.value}"))
 
 
-def _as_json(checked: Checked) -> dict[str, object]:
+def _as_json(checked: CheckedFile) -> dict[str, object]:
     is_refused = isinstance(checked.result, Problems)
     return {
         "file": checked.name,
--- a/packages/ctl/src/hollyknot_ctl/_diff.py
+++ b/packages/ctl/src/hollyknot_ctl/_diff.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl diff`."""
+"""The command `hollyknotctl diff`, which compares two declarations."""
 
 import click
 
@@ -6,7 +6,7 @@
 from hollyknot_ctl._documents import read_declarations
 from hollyknot_ctl._output import echo_json, examples, json_option
 
-_NAMED_CUSTOMERS = 5
+_MAX_SHOWN_CUSTOMERS = 5
 
 
 @click.command(
@@ -18,7 +18,7 @@
 @click.argument("new", metavar="NEW")
 @json_option
 def diff(old: str, new: str, as_json: bool) -> None:
-    """Show what NEW declarations change, and for whom, against OLD."""
+    """Show what NEW declarations change against OLD, and for whom."""
     found = find_differences(read_declarations(old), read_declarations(new))
     if as_json:
         echo_json(found)
@@ -34,6 +34,6 @@
     customers = difference.customers
     if difference.section == "customers" or not customers:
         return line
-    shown = ", ".join(customers[:_NAMED_CUSTOMERS])
-    more = len(customers) - _NAMED_CUSTOMERS
+    shown = ", ".join(customers[:_MAX_SHOWN_CUSTOMERS])
+    more = len(customers) - _MAX_SHOWN_CUSTOMERS
     return f"{line} (for {shown}{f' and {more} more' if more > 0 else ''})"
--- a/packages/ctl/src/hollyknot_ctl/_documents.py
+++ b/packages/ctl/src/hollyknot_ctl/_documents.py
@@ -1,4 +1,4 @@
-"""Reads the files that operators name."""
+"""Reads and checks the files that operators pass to the tool."""
 
 import enum
 import json
@@ -9,7 +9,7 @@
 import attrs
 import click
 
-from hollyknot_ctl._output import BAD_INPUT, printable
+from hollyknot_ctl._output import EXIT_BAD_INPUT, printable
 from hollyknot_state import (
     Declarations,
     HostList,
@@ -22,11 +22,12 @@
 )
 
 _UNPUBLISHED = 0
+"""Version of declarations that have not been published."""
 _MAX_BYTES = 17 * 1024 * 1024
 
 
 class Kind(enum.Enum):
-    """What a file holds."""
+    """The kind of document in a file."""
 
     DECLARATIONS = "declarations"
     SETTINGS = "settings"
@@ -34,13 +35,13 @@
 
 
 @attrs.frozen
-class Checked:
-    """A file that was read.
+class CheckedFile:
+    """A file that was read and checked.
 
     Attributes:
-        name: As the operator named it.
-        kind: What it holds.
-        result: The value, or what is wrong.
+        name: Path of the file, as the operator wrote it.
+        kind: Kind of document that it was checked as.
+        result: The parsed document, or the problems found in it.
     """
 
     name: str
@@ -49,18 +50,19 @@
 
     @property
     def problems(self) -> tuple[Problem, ...]:
-        """What is wrong; empty if the file is good."""
+        """The problems found; empty if the file is valid."""
         if isinstance(self.result, Problems):
             return self.result.problems
         return ()
 
 
-def read_file(name: str, kind: Kind | None) -> Checked:
+def read_file(name: str, kind: Kind | None) -> CheckedFile:
     """Reads and checks a file.
 
     Args:
-        name: Its path.
-        kind: What it has to hold; None to tell it by the content.
+        name: Path of the file.
+        kind: Kind of document to check it as; None to detect it from the
+            content.
     """
     path = pathlib.Path(name)
     try:
@@ -68,23 +70,25 @@
             data = file.read(_MAX_BYTES)
     except OSError as e:
         problem = Problem("", f"can't be read: {e.strerror}", "check the path")
-        return Checked(name, kind or Kind.DECLARATIONS, Problems((problem,)))
+        return CheckedFile(
+            name, kind or Kind.DECLARATIONS, Problems((problem,))
+        )
     found = kind or _guess_kind(data)
-    return Checked(name, found, _parse(data, found, path.parent))
+    return CheckedFile(name, found, _parse(data, found, path.parent))
 
 
 def read_declarations(name: str) -> Declarations:
-    """Reads declarations, or ends the program with what is wrong."""
+    """Reads declarations; prints the problems and exits if it can't."""
     checked = read_file(name, Kind.DECLARATIONS)
     if not isinstance(checked.result, Declarations):
         for line in problem_lines(checked):
             click.echo(line, err=True)
-        sys.exit(BAD_INPUT)
+        sys.exit(EXIT_BAD_INPUT)
     return checked.result
 
 
-def problem_lines(checked: Checked) -> Iterator[str]:
-    """Returns one line for each mistake: file, path, problem, remedy."""
+def problem_lines(checked: CheckedFile) -> Iterator[str]:
+    """Returns one line for each problem: file, path, problem, remedy."""
     for problem in checked.problems:
         yield printable(f"{checked.name}: {problem}")
     if isinstance(checked.result, Problems) and checked.result.more:
@@ -121,7 +125,7 @@
 
 
 def _guess_kind(data: bytes) -> Kind:
-    """Tells a document by its top-level fields; in doubt, declarations."""
+    """Detects the kind from the top-level fields; declarations by default."""
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
--- a/packages/ctl/src/hollyknot_ctl/_explain.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl explain`."""
+"""The command `hollyknotctl explain`, which explains a request."""
 
 import sys
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 from hollyknot_coordination.retries import http_status
 from hollyknot_ctl._documents import read_declarations
 from hollyknot_ctl._output import (
-    BAD_INPUT,
+    EXIT_BAD_INPUT,
     echo_json,
     examples,
     fail,
@@ -40,9 +40,11 @@
 @click.option(
     "--key", is_flag=True, help="Read the bearer key from standard input."
 )
-@click.option("--class", "class_name", help="The header X-Request-Class.")
-@click.option("--model", help="The model that is called.")
-@click.option("--service", help="The service that is called.")
+@click.option(
+    "--class", "class_name", help="Value of the header X-Request-Class."
+)
+@click.option("--model", help="Name of the model that is called.")
+@click.option("--service", help="Name of the service that is called.")
 @click.option("--method", default="GET", show_default=True)
 @click.option("--path", default="/", show_default=True)
 @json_option
@@ -57,16 +59,16 @@
     path: str,
     as_json: bool,
 ) -> None:
-    """Explain what would happen to a request, and why.
+    """Explain how a request would be handled, and why.
 
-    The customer is named or found by its key, which is read from standard
-    input so that it stays out of the shell's history.
+    The customer is given by name or by its bearer key. The key is read from
+    standard input, so that it stays out of the shell's history.
     """
     if (customer is None) != key or (model is None) == (service is None):
         fail(
             "give one of --customer and --key, and one of --model and"
             " --service",
-            BAD_INPUT,
+            EXIT_BAD_INPUT,
         )
     declared = read_declarations(declarations)
     name = _find_customer(declared, customer)
@@ -111,8 +113,8 @@
     yield f"target: {_target(result.target)}"
     yield f"pool: {result.pool}"
     yield from _nature_lines(result)
-    yield f"retried if proved not run: {_yes(found.is_retried_if_not_run)}"
-    yield f"retried if it may have run: {_yes(found.is_retried_if_lost)}"
+    yield f"retried if proved not run: {_yes_no(found.is_retried_if_not_run)}"
+    yield f"retried if it may have run: {_yes_no(found.is_retried_if_lost)}"
     yield "possible refusals:"
     for refusal in found.refusals:
         status = refusal.status or "the upstream's status"
@@ -145,5 +147,5 @@
     return ", ".join(f"{text} {ms} ms" for text, ms in parts if ms)
 
 
-def _yes(value: bool) -> str:
+def _yes_no(value: bool) -> str:
     return "yes" if value else "no"
--- a/packages/ctl/src/hollyknot_ctl/_explain_failure.py
+++ b/packages/ctl/src/hollyknot_ctl/_explain_failure.py
@@ -1,4 +1,4 @@
-"""`hollyknotctl explain-failure`: what became of one request, from the logs."""
+"""The command `hollyknotctl explain-failure`: one request in hosts' logs."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -8,22 +8,26 @@
 import click
 
 from hollyknot_ctl._output import (
-    BAD_INPUT,
+    EXIT_BAD_INPUT,
     echo_json,
     examples,
     fail,
     json_option,
 )
 
-NEAR_S = 3.0
-"""Lines on the same upstream or host within this time may tell the cause: a
-crash is judged, and a silent data centre seen, within a second or two."""
+CONTEXT_S = 3.0
+"""Seconds before and after a request's own lines whose lines are included.
+
+A crash is classified, and a silent data centre detected, within one or two
+seconds, so lines on the same upstream or host within this time may show the
+cause.
+"""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_OF_A_REQUEST = frozenset(
+_REQUEST_EVENTS = frozenset(
     {"try", "failed_try", "refused", "cut_off", "caller_gone"}
 )
-_OF_AN_UPSTREAM = frozenset(
+_UPSTREAM_EVENTS = frozenset(
     {
         "unreachable",
         "reachable",
@@ -33,7 +37,7 @@
         "upstream_gone",
     }
 )
-_OF_A_HOST = frozenset(
+_HOST_EVENTS = frozenset(
     {
         "source_lost",
         "source_regained",
@@ -54,8 +58,8 @@
     """One line of a host's log.
 
     Attributes:
-        at_s: When it was written, in seconds since 1970.
-        fields: Its pairs.
+        at_s: Time of writing, in seconds since 1970.
+        fields: Values of the line by key.
     """
 
     at_s: float
@@ -63,17 +67,17 @@
 
     @property
     def event(self) -> str:
-        """What it tells of."""
+        """The name of the logged event; empty if the line has none."""
         return self.fields.get("event", "")
 
     @property
     def host(self) -> str:
-        """Who wrote it."""
+        """The host that wrote the line; empty if the line has none."""
         return self.fields.get("host", "")
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Reads lines of hosts, and passes over whatever else stands between."""
+    """Parses the lines of hosts' logs and skips any other text."""
     for text in texts:
         fields = {
             name: value[1:-1] if value.startswith('"') else value
@@ -85,40 +89,41 @@
             continue
 
 
-def story(request: str, lines: Iterable[Line]) -> list[Line]:
-    """Returns a request's lines and those that may tell why, in order of time.
+def request_timeline(request: str, lines: Iterable[Line]) -> list[Line]:
+    """Returns a request's lines and those that may explain it, by time.
 
     Args:
-        request: Its id.
-        lines: Of any number of hosts, in any order.
+        request: Identifier of the request.
+        lines: Log lines of any number of hosts, in any order.
     """
-    every = sorted(lines, key=lambda line: line.at_s)
+    by_time = sorted(lines, key=lambda line: line.at_s)
     own = [
         line
-        for line in every
-        if line.event in _OF_A_REQUEST and line.fields.get("request") == request
+        for line in by_time
+        if line.event in _REQUEST_EVENTS
+        and line.fields.get("request") == request
     ]
     if not own:
         return []
-    since_s = own[0].at_s - NEAR_S
-    until_s = own[-1].at_s + NEAR_S
+    since_s = own[0].at_s - CONTEXT_S
+    until_s = own[-1].at_s + CONTEXT_S
     upstreams = {line.fields.get("upstream") for line in own}
     hosts = {line.host for line in own}
-    near = [line for line in every if since_s <= line.at_s <= until_s]
+    near = [line for line in by_time if since_s <= line.at_s <= until_s]
     return [
         line
         for line in near
         if line in own
         or (
-            line.event in _OF_AN_UPSTREAM
+            line.event in _UPSTREAM_EVENTS
             and line.fields.get("upstream") in upstreams
         )
-        or (line.event in _OF_A_HOST and line.host in hosts)
+        or (line.event in _HOST_EVENTS and line.host in hosts)
     ]
 
 
-def told(line: Line, first_s: float) -> str:
-    """Returns a line as a person reads it."""
+def format_line(line: Line, first_s: float) -> str:
+    """Formats a line for people, with the time since `first_s`."""
     left_out = {"at", "event", "host", "data_centre", "request"}
     pairs = " ".join(
         f"{name}={value}"
@@ -141,18 +146,18 @@
 def explain_failure(
     request: str, files: tuple[TextIO, ...], as_json: bool
 ) -> None:
-    """Print what became of the REQUEST of this id, from hosts' log FILES.
+    """Print what happened to a REQUEST, given by id, from hosts' log FILES.
 
-    Beside the request's own lines it prints those of the same seconds on the
-    upstreams and hosts that it met. "-" reads standard input.
+    Besides the lines of the request it prints those of the same seconds about
+    the upstreams and hosts that handled it. "-" reads standard input.
     """
     lines = (line for file in files for line in read_lines(file))
-    found = story(request, lines)
+    found = request_timeline(request, lines)
     if not found:
         fail(
-            f"no line tells of request {request!r}; give the files of all"
-            " hosts, and look for lines_dropped in them",
-            BAD_INPUT,
+            f"no log line mentions request {request!r}; give the log files of"
+            " all hosts, and look for lines_dropped in them",
+            EXIT_BAD_INPUT,
         )
     if as_json:
         echo_json([line.fields for line in found])
@@ -161,4 +166,4 @@
         line.at_s for line in found if line.fields.get("request") == request
     )
     for line in found:
-        click.echo(told(line, first_s))
+        click.echo(format_line(line, first_s))
--- a/packages/ctl/src/hollyknot_ctl/reference/_pages.py
+++ b/packages/ctl/src/hollyknot_ctl/reference/_pages.py
@@ -1,4 +1,4 @@
-"""The reference pages as Markdown."""
+"""Renders the reference pages as Markdown."""
 
 import json
 from collections.abc import Iterator
@@ -6,7 +6,11 @@
 
 import attrs
 
-from hollyknot_ctl.reference._types import describe, nested, summary
+from hollyknot_ctl.reference._types import (
+    describe_fields,
+    nested_classes,
+    summary,
+)
 from hollyknot_state import (
     MAX_DECLARATIONS_BYTES,
     MAX_SETTINGS_BYTES,
@@ -64,14 +68,23 @@
 
 @attrs.frozen
 class _Page:
-    """What makes up a page beside the types."""
+    """What a page shows besides the fields of its types.
+
+    Attributes:
+        title: Heading of the page.
+        root: Class of the document.
+        example: Valid document.
+        max_bytes: Largest accepted size of the document in bytes.
+        omitted: Names of fields that the page leaves out.
+        cross_field_rules: Text about the checks that span several fields.
+    """
 
     title: str
     root: type
     example: dict[str, Any]
     max_bytes: int
     omitted: frozenset[str]
-    whole: str
+    cross_field_rules: str
 
 
 _PAGES = {
@@ -80,13 +93,14 @@
         Declarations,
         DECLARATIONS_EXAMPLE,
         MAX_DECLARATIONS_BYTES,
-        # Publishing gives the version; a document that states one is refused.
+        # Publishing assigns the version; a document that has one is
+        # refused.
         frozenset({"version"}),
-        "Over the whole: a customer's classes are declared, its default class"
-        " is among them and no two customers have one key; no model and"
-        " service share a name, since both are pools of upstreams; a first"
-        " token is not later than the whole answer; no pattern is both"
-        " non-idempotent and idempotent.",
+        "Checks that span several fields: a customer's classes are declared,"
+        " its default class is one of them and no two customers have the same"
+        " key; no model has the name of a service, since both are pools of"
+        " upstreams; the target of the first token is not later than that of"
+        " the whole answer; no pattern is both non-idempotent and idempotent.",
     ),
     "settings.md": _Page(
         "Settings",
@@ -94,14 +108,14 @@
         SETTINGS_EXAMPLE,
         MAX_SETTINGS_BYTES,
         frozenset(),
-        "The files of `tls` are looked for when the host starts and by"
-        " `hollyknotctl check`.",
+        "The files of `tls` must exist, which the host checks when it starts;"
+        " `hollyknotctl check` checks it too.",
     ),
 }
 
 
 def render_pages() -> dict[str, str]:
-    """Returns the pages' text by file name."""
+    """Returns the text of each page by file name."""
     return {name: _render(page) for name, page in _PAGES.items()}
 
 
@@ -113,21 +127,21 @@
         summary(page.root),
         f"The document is JSON in UTF-8, {page.max_bytes:,} bytes at most."
         " Unknown fields, repeated keys and values of another JSON type are"
-        " refused; `hollyknotctl check FILE` tells all mistakes at once.",
+        " rejected; `hollyknotctl check FILE` reports all mistakes at once.",
         f"```json\n{example}\n```",
     ]
-    for cls in (page.root, *nested(page.root)):
+    for cls in (page.root, *nested_classes(page.root)):
         if cls is not page.root:
             parts += [f"## {cls.__name__}", summary(cls)]
         parts.append("\n".join(_table(cls, page.omitted)))
-    parts.append(page.whole)
+    parts.append(page.cross_field_rules)
     return "\n\n".join(parts) + "\n"
 
 
 def _table(cls: type, omitted: frozenset[str]) -> Iterator[str]:
     yield "| field | type | default | meaning | check |"
     yield "| --- | --- | --- | --- | --- |"
-    for field in describe(cls):
+    for field in describe_fields(cls):
         if field.name in omitted:
             continue
         default = field.default or "required"
--- a/packages/standins/src/hollyknot_standins/tests/test_engine.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: answers, batching, the prefix cache, orders and faults."""
+"""Tests of the engine: answers, batching, prefix cache, orders, faults."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,12 @@
     start_engine,
 )
 
-FOREVER = EngineOptions(slots=1, queue=0, min_tokens=10**9, max_tokens=10**9)
+ENDLESS = EngineOptions(slots=1, queue=0, min_tokens=10**9, max_tokens=10**9)
 Engine = Standin[EngineControl]
 
 
 class Client:
-    """Speaks to one engine."""
+    """An HTTP client of one engine."""
 
     def __init__(self, engine: Engine, session: aiohttp.ClientSession) -> None:
         self.engine = engine
@@ -39,14 +39,14 @@
         ) as answer:
             return answer.status, orjson.loads(await answer.read())
 
-    async def until(self, part: str, value: int) -> None:
-        """Reads the load until a part of it has a value."""
+    async def wait_for_load(self, part: str, value: int) -> None:
+        """Reads the load until one of its fields has a value."""
         load: dict[str, Any] = {}
         while load.get(part) != value:
             _, load = await self.send("GET", "/v1/load")
 
-    async def refuses(self, request_id: str) -> None:
-        """Asks, and checks that the answer proves that nothing ran."""
+    async def assert_refused(self, request_id: str) -> None:
+        """Sends a request and checks that it is refused as not run."""
         async with self.ask(request_id) as answer:
             assert answer.status == 503
             assert answer.headers["X-Not-Run"] == "true"
@@ -58,7 +58,7 @@
         stream: bool = False,
         priority: int = 1,
     ) -> Any:
-        """Opens a chat request."""
+        """Starts a chat request."""
         body = {
             "stream": stream,
             "messages": [{"role": "user", "content": message}],
@@ -70,8 +70,8 @@
 
 
 @contextlib.asynccontextmanager
-async def client_of(options: EngineOptions) -> AsyncIterator[Client]:
-    """Starts an engine with a client to it."""
+async def open_client(options: EngineOptions) -> AsyncIterator[Client]:
+    """Starts an engine and a client for it."""
     async with (
         start_engine(options) as engine,
         aiohttp.ClientSession() as session,
@@ -79,25 +79,25 @@
         yield Client(engine, session)
 
 
-def play(
-    options: EngineOptions, scene: Callable[[Client], Awaitable[None]]
+def run_scenario(
+    options: EngineOptions, scenario: Callable[[Client], Awaitable[None]]
 ) -> None:
-    """Runs a scene against an engine."""
+    """Starts an engine and runs a scenario against it."""
 
     async def run() -> None:
-        async with asyncio.timeout(20), client_of(options) as client:
-            await scene(client)
+        async with asyncio.timeout(20), open_client(options) as client:
+            await scenario(client)
 
     asyncio.run(run())
 
 
-def events_of(body: bytes) -> list[Any]:
-    """Reads the events of a stream; `[DONE]` stays a string."""
+def parse_events(body: bytes) -> list[Any]:
+    """Parses the events of a stream; `[DONE]` stays a string."""
     lines = [part[6:] for part in body.split(b"\n\n") if part]
     return ["[DONE]" if x == b"[DONE]" else orjson.loads(x) for x in lines]
 
 
-def text_of(events: list[Any]) -> str:
+def join_tokens(events: list[Any]) -> str:
     """Joins the tokens of a stream's events."""
     choices = [
         e["choices"][0] for e in events if e != "[DONE]" and e["choices"]
@@ -106,14 +106,14 @@
 
 
 class TestAnswers:
-    """The OpenAI shapes, whole, streamed and resumed."""
+    """OpenAI answers: complete, streamed and resumed."""
 
     @pytest.mark.parametrize("interval_s", [0.0, 0.001])
-    def test_stream_has_the_whole_answer(self, interval_s: float) -> None:
-        async def scene(client: Client) -> None:
+    def test_stream_has_the_complete_answer(self, interval_s: float) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", 'hé "you"', stream=True) as answer:
-                events = events_of(await answer.read())
-            assert text_of(events) == expected_text('hé "you"', 40)
+                events = parse_events(await answer.read())
+            assert join_tokens(events) == expected_text('hé "you"', 40)
             assert {e["id"] for e in events[:-1]} == {"r1"}
             assert events[-2]["usage"]["completion_tokens"] == 40
             assert events[-1] == "[DONE]"
@@ -121,10 +121,10 @@
         options = EngineOptions(
             interval_s=interval_s, min_tokens=40, max_tokens=40
         )
-        play(options, scene)
+        run_scenario(options, scenario)
 
-    def test_whole_answer_and_what_ran(self) -> None:
-        async def scene(client: Client) -> None:
+    def test_unstreamed_answer_is_complete_and_counted(self) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1") as answer:
                 body = await answer.json()
             text = body["choices"][0]["message"]["content"]
@@ -133,67 +133,69 @@
             assert status == 200
             assert ran == {"ran": {"r1": 1}, "resumed": {}, "tokens": 16}
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
-    def test_completions_and_bad_bodies(self) -> None:
-        async def scene(client: Client) -> None:
+    def test_completions_are_answered_and_bad_bodies_rejected(self) -> None:
+        async def scenario(client: Client) -> None:
             body = {"prompt": "hi", "max_tokens": 2}
             status, answer = await client.send("POST", "/v1/completions", body)
             assert (status, answer["choices"][0]["text"]) == (200, "echo:hi t1")
             status, _ = await client.send("POST", "/v1/completions", {})
             assert status == 400
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
-    def test_resume_gives_the_rest(self) -> None:
-        """Resuming works after a cut and on an engine that imported it.
+    def test_resume_returns_the_remaining_tokens(self) -> None:
+        """Guards against lost or repeated tokens when a stream is resumed.
 
-        Symptom: an answer ends midway. Sequence: the stream is cut after
-        three tokens; the reader resumes after those. Cause: the fault.
+        The stream is cut off after three tokens. The rest must come from the
+        same engine, and from another engine that imported the prompt.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.truncate = 3
             async with client.ask("r1", stream=True) as answer:
-                first = events_of(await answer.read())
+                first = parse_events(await answer.read())
             assert "[DONE]" not in first
             client.engine.control.truncate = 0
             path = "/v1/resume/r1?after=3"
             async with client.session.get(client.url + path) as answer:
-                rest = events_of(await answer.read())
-            assert text_of(first) + text_of(rest) == expected_text("hello", 16)
+                rest = parse_events(await answer.read())
+            assert join_tokens(first) + join_tokens(rest) == expected_text(
+                "hello", 16
+            )
             body = {"request_id": "r1"}
             _, exported = await client.send("POST", "/v1/kv/export", body)
-            async with client_of(EngineOptions()) as other:
+            async with open_client(EngineOptions()) as other:
                 assert (await other.send("GET", path))[0] == 404
                 await other.send("POST", "/v1/kv/import", exported)
                 async with other.session.get(other.url + path) as answer:
-                    assert events_of(await answer.read()) == rest
+                    assert parse_events(await answer.read()) == rest
                 assert other.engine.control.resumed == {"r1": 1}
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
 
 class TestBatch:
-    """Slots, the queue, cancelling and refusals."""
+    """Slots, the queue, cancellation and refusals."""
 
-    def test_draining_and_full_refuse(self) -> None:
-        async def scene(client: Client) -> None:
+    def test_draining_or_full_engine_refuses(self) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True):
                 await client.send("POST", "/control", {"draining": True})
-                await client.refuses("r2")
+                await client.assert_refused("r2")
                 _, load = await client.send("GET", "/v1/load")
                 assert (load["running"], load["draining"]) == (1, True)
                 await client.send("POST", "/control", {"draining": False})
                 async with client.ask("r3", stream=True):
-                    await client.refuses("r4")
+                    await client.assert_refused("r4")
             assert client.engine.control.ran == {"r1": 1, "r3": 1}
 
-        play(attrs.evolve(FOREVER, slots=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
     @pytest.mark.parametrize("way", ["cancel", "close"])
-    def test_ending_frees_the_slot(self, way: str) -> None:
-        async def scene(client: Client) -> None:
+    def test_cancelled_or_closed_stream_frees_its_slot(self, way: str) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.readany()
                 if way == "cancel":
@@ -201,38 +203,38 @@
                     assert not (await answer.read()).endswith(b"[DONE]\n\n")
                 else:
                     answer.close()
-            await client.until("running", 0)
+            await client.wait_for_load("running", 0)
 
-        play(FOREVER, scene)
+        run_scenario(ENDLESS, scenario)
 
-    def test_queue_goes_by_priority(self) -> None:
-        async def scene(client: Client) -> None:
+    def test_queue_is_ordered_by_priority(self) -> None:
+        async def scenario(client: Client) -> None:
             async def ask(request_id: str, priority: int) -> None:
                 async with client.ask(request_id, priority=priority) as answer:
                     assert answer.status == 499
 
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(ask("first", 3))
-                await client.until("running", 1)
+                await client.wait_for_load("running", 1)
                 tasks.create_task(ask("low", 3))
-                await client.until("queued", 1)
+                await client.wait_for_load("queued", 1)
                 tasks.create_task(ask("high", 1))
-                await client.until("queued", 2)
+                await client.wait_for_load("queued", 2)
                 for request_id, queued in [("first", 1), ("high", 0)]:
                     await client.send("POST", f"/v1/cancel/{request_id}")
-                    await client.until("queued", queued)
+                    await client.wait_for_load("queued", queued)
                 await client.send("POST", "/v1/cancel/low")
             ran = list(client.engine.control.ran)
             assert ran == ["first", "high", "low"]
 
-        play(attrs.evolve(FOREVER, queue=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, queue=2), scenario)
 
 
 class TestCacheAndOrders:
-    """What the prefix cache tells, and fencing."""
+    """Events of the prefix cache, and fencing of orders."""
 
-    def test_events_have_gaps_and_evictions(self) -> None:
-        async def scene(client: Client) -> None:
+    def test_cache_events_have_gaps_and_evictions(self) -> None:
+        async def scenario(client: Client) -> None:
             cached = []
             for message in ("a" * 300, "a" * 300, "b" * 900, "a" * 300):
                 async with client.ask("r", message) as answer:
@@ -241,16 +243,18 @@
                 cached.append(details["cached_tokens"] * 4)
             assert cached == [0, 256, 0, 0]
             _, body = await client.send("GET", "/v1/cache-events?after=1")
-            told = [(e["seq"], e["kind"]) for e in body["events"]]
+            observed = [(e["seq"], e["kind"]) for e in body["events"]]
             stored, evicted = "stored", "evicted"
             first = [(2, stored), (4, evicted), (5, stored)]
-            assert told == [*first, (7, stored), (8, evicted)]
+            assert observed == [*first, (7, stored), (8, evicted)]
 
-        play(EngineOptions(cache_blocks=2, cache_gap=3), scene)
+        run_scenario(EngineOptions(cache_blocks=2, cache_gap=3), scenario)
 
     @pytest.mark.parametrize(("is_fenced", "late"), [(True, 409), (False, 200)])
-    def test_late_order(self, is_fenced: bool, late: int) -> None:
-        async def scene(client: Client) -> None:
+    def test_outdated_order_is_refused_if_fenced(
+        self, is_fenced: bool, late: int
+    ) -> None:
+        async def scenario(client: Client) -> None:
             orders = [
                 {"fence": 2, "model": "new"},
                 {"fence": 1, "model": "old"},
@@ -260,21 +264,20 @@
             _, state = await client.send("GET", "/v1/orders")
             assert state["model"] == ("new" if is_fenced else "old")
 
-        play(EngineOptions(is_fenced=is_fenced), scene)
+        run_scenario(EngineOptions(is_fenced=is_fenced), scenario)
 
 
 class TestFaults:
-    """Faults on command."""
+    """Faults that are set while the engine runs."""
 
-    def test_poison_crashes_and_is_recorded(self) -> None:
-        """A poison request takes the engine's other requests with it.
+    def test_crash_on_text_ends_all_streams_and_is_counted(self) -> None:
+        """Guards against a crash that spares the engine's other requests.
 
-        Symptom: all streams of an engine end and it refuses connections.
-        Sequence: a stream runs; a request with the marker starts. Cause: the
-        marker in its body.
+        A request with the text of `crash_on` starts while a stream runs: all
+        streams must end, and the engine must refuse connections.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.crash_on = "poison"
             async with client.ask("r1", stream=True) as answer:
                 with pytest.raises(aiohttp.ClientError):
@@ -289,42 +292,42 @@
             _, load = await client.send("GET", "/v1/load")
             assert load["running"] == 0
 
-        play(attrs.evolve(FOREVER, slots=2), scene)
+        run_scenario(attrs.evolve(ENDLESS, slots=2), scenario)
 
-    def test_open_connections_go_silent(self) -> None:
-        """An old connection is silent for good while a new one works.
+    def test_silenced_connections_stay_silent(self) -> None:
+        """Guards against a silenced connection that breaks or recovers.
 
-        Symptom: a stream stands still, unbroken. Sequence: a stream runs; the
-        open connections are silenced; its answer ends unseen; a new request
-        is answered. Cause: the fault.
+        The open connections are silenced while a stream runs: its answer ends
+        without reaching the reader, and a request on a new connection is
+        answered.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.readany()
                 client.engine.silence_open()
                 reading = asyncio.create_task(answer.read())
-                await client.until("running", 0)
+                await client.wait_for_load("running", 0)
                 async with client.ask("r2", stream=True) as other:
                     assert (await other.read()).endswith(b"[DONE]\n\n")
                 assert not reading.done()
                 reading.cancel()
 
-        play(EngineOptions(interval_s=0.001), scene)
+        run_scenario(EngineOptions(interval_s=0.001), scenario)
 
-    def test_all_silent_and_crash_with_restart(self) -> None:
-        """A silent engine crashes, and comes back with its faults undone.
+    def test_silent_engine_crashes_and_restarts(self) -> None:
+        """Guards against a silent engine that can't crash or restart.
 
-        Symptom: a request hangs, then its connection breaks; later ones are
-        answered. Sequence: the engine goes silent, crashes and restarts by
-        itself. Cause: the faults.
+        The engine becomes silent, crashes and restarts by itself. A request
+        that hangs must fail with the crash; once the fault is cleared, later
+        requests are answered.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             await client.send("POST", "/control", {"silent": True})
             asking = asyncio.create_task(client.send("POST", "/v1/cancel/r1"))
-            # Lets the request take the pooled connection, so that it is sent
-            # before the crash is, which has to open a new one.
+            # Lets the request use the pooled connection, so that it is sent
+            # before the crash command, which needs a new connection.
             await asyncio.sleep(0)
             commands = {"crash": True, "restart_after_s": 0.001}
             with contextlib.suppress(aiohttp.ClientError):
@@ -336,78 +339,79 @@
                 with contextlib.suppress(aiohttp.ClientError):
                     command = {"silent": False}
                     status, _ = await client.send("POST", "/control", command)
-            await client.until("running", 0)
+            await client.wait_for_load("running", 0)
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
-    def test_truncated_whole_answer_is_no_answer(self) -> None:
-        """A whole answer is cut below its stated length.
+    def test_truncated_unstreamed_answer_is_detectable(self) -> None:
+        """Guards against a truncated answer that looks complete.
 
-        Symptom: the reader's library reports a short body. Sequence: a whole
-        request ends at its third token. Cause: the fault.
+        An answer without streaming is cut off after three tokens: its body
+        must be shorter than its Content-Length, which the client reports.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.truncate = 3
             with pytest.raises(aiohttp.ClientPayloadError):
                 async with client.ask("r1") as answer:
                     await answer.read()
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
-    def test_held_stream_waits_until_it_is_let_go(self) -> None:
-        """A stream stops at a token, however long its reader waits there.
+    def test_held_stream_waits_until_the_hold_is_cleared(self) -> None:
+        """Guards against a stream that completes before a test's next step.
 
-        Symptom: on a busy machine a stream is complete before the fault that
-        a test has in store for it. Sequence: the reader has the first tokens,
-        then the engine is told to go on. Cause: only a slow pace kept it.
+        A long interval between tokens alone does not prevent this on a busy
+        machine. A held stream must stop at its token until the hold is
+        cleared, however long that takes.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.hold = 3
             async with client.ask("r1", stream=True) as answer:
                 first = b""
-                while text_of(events_of(first)) != expected_text("hello", 3):
+                while join_tokens(parse_events(first)) != expected_text(
+                    "hello", 3
+                ):
                     first += await answer.content.readany()
                 _, load = await client.send("GET", "/v1/load")
                 assert load["running"] == 1
                 client.engine.control.hold = 0
-                whole = events_of(first + await answer.read())
-            assert text_of(whole) == expected_text("hello", 16)
+                whole = parse_events(first + await answer.read())
+            assert join_tokens(whole) == expected_text("hello", 16)
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
 
-    def test_a_new_pace_holds_for_the_next_token(self) -> None:
-        """An engine that was slow is silent long after it is fast again.
+    def test_new_pace_applies_to_the_next_token(self) -> None:
+        """Guards against an engine that stays slow after its fault is cleared.
 
-        Symptom: requests of the next test wait for the engine, and are lost.
-        Sequence: a stream is slowed to an hour a token, then set free, or its
-        engine crashes and comes back. Cause: the next token was planned at
-        the slow pace.
+        A stream is slowed to an hour per token, then the factor is reset, or
+        the engine crashes and restarts. If the next step stayed scheduled at
+        the slow pace, later requests would wait for it and time out.
         """
 
-        async def scene(client: Client) -> None:
+        async def scenario(client: Client) -> None:
             client.engine.control.straggle = 720_000.0
             async with client.ask("r1", stream=True) as answer:
                 await answer.content.read(0)
                 client.engine.control.straggle = 1.0
-                assert "[DONE]" in events_of(await answer.read())
+                assert "[DONE]" in parse_events(await answer.read())
             client.engine.control.straggle = 720_000.0
             async with client.ask("r2", stream=True):
                 client.engine.crash()
                 await client.engine.restart()
             client.engine.control.straggle = 1.0
             async with client.ask("r3", stream=True) as answer:
-                assert "[DONE]" in events_of(await answer.read())
+                assert "[DONE]" in parse_events(await answer.read())
 
-        play(EngineOptions(interval_s=0.005), scene)
+        run_scenario(EngineOptions(interval_s=0.005), scenario)
 
     @pytest.mark.parametrize(
         "command", [{"no_such": 1}, {"draining": 1}, {"ran": {}}]
     )
-    def test_wrong_commands_are_refused(self, command: Any) -> None:
-        async def scene(client: Client) -> None:
+    def test_invalid_commands_are_rejected(self, command: Any) -> None:
+        async def scenario(client: Client) -> None:
             status, _ = await client.send("POST", "/control", command)
             assert status == 400
 
-        play(EngineOptions(), scene)
+        run_scenario(EngineOptions(), scenario)
--- a/packages/standins/src/hollyknot_standins/tests/test_others.py
+++ b/packages/standins/src/hollyknot_standins/tests/test_others.py
@@ -1,4 +1,4 @@
-"""The plain service, the platform's two services, and the processes."""
+"""Tests of the plain service, the platform services and the processes."""
 
 import asyncio
 import contextlib
@@ -24,8 +24,10 @@
 Get = Callable[[str], Coroutine[Any, Any, tuple[int, Any]]]
 
 
-def play(start: Any, options: Any, scene: Callable[[Any, Get], Any]) -> None:
-    """Runs a scene against a stand-in, with a reader of JSON."""
+def run_scenario(
+    start: Any, options: Any, scenario: Callable[[Any, Get], Any]
+) -> None:
+    """Runs a scenario against a stand-in, with a function that GETs JSON."""
 
     async def run() -> None:
         async with (
@@ -41,23 +43,25 @@
                         return answer.status, None
                     return answer.status, await answer.json()
 
-            await scene(standin, get)
+            await scenario(standin, get)
 
     asyncio.run(run())
 
 
 class TestService:
-    """Calls are recorded exactly when they run."""
+    """The service records exactly the calls that it runs."""
 
     @pytest.mark.parametrize(("when", "count"), [("before", 0), ("after", 1)])
-    def test_crash(self, when: str, count: int) -> None:
-        """A crash leaves the caller unsure and the record exact.
+    def test_crash_before_or_after_a_call_is_recorded_exactly(
+        self, when: str, count: int
+    ) -> None:
+        """Guards against a record that differs from what ran before a crash.
 
-        Symptom: the connection breaks without an answer. Sequence: a call
-        arrives; the service crashes before or after it runs. Cause: the fault.
+        The service crashes before or after it runs a call. The caller gets no
+        answer in either case; only the record tells the cases apart.
         """
 
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.crash = when
             with pytest.raises(aiohttp.ClientError):
                 await get("/crews?a=1")
@@ -68,22 +72,22 @@
             _, record = await get("/control/calls")
             assert len(record["calls"]) == count + 1
 
-        play(start_service, ServiceOptions(), scene)
+        run_scenario(start_service, ServiceOptions(), scenario)
 
-    def test_draining_does_not_run(self) -> None:
-        async def scene(service: Any, get: Get) -> None:
+    def test_draining_service_runs_nothing(self) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.draining = True
             assert (await get("/x"))[0] == 503
             assert service.control.calls == []
 
-        play(start_service, ServiceOptions(), scene)
+        run_scenario(start_service, ServiceOptions(), scenario)
 
 
 class TestConfiguration:
-    """Reads, watches, and the ways in which they fail."""
+    """Reads and watches of the configuration, and their faults."""
 
-    def test_watch_is_one_read(self) -> None:
-        async def scene(service: Any, get: Get) -> None:
+    def test_watch_counts_as_one_read(self) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             watch = asyncio.create_task(get(f"{VALUES}?after=1&wait_s=10"))
             while not (await get("/control/reads"))[1]["reads"]:
                 pass
@@ -92,17 +96,17 @@
             assert (await get(f"{VALUES}?after=2&wait_s=0.01"))[0] == 304
             assert (await get("/control/reads"))[1]["reads"] == 2
 
-        play(start_configuration, ConfigurationOptions(), scene)
+        run_scenario(start_configuration, ConfigurationOptions(), scenario)
 
-    def test_down_and_stale(self) -> None:
-        """A watcher feels an outage, and is then offered an older version.
+    def test_outage_ends_a_watch_and_stale_returns_an_old_version(self) -> None:
+        """Guards against faults that do not reach a waiting watcher.
 
-        Symptom: a watch ends with 503; later reads give version 1 again.
-        Sequence: version 2 is published; the service goes down, and comes
-        back restored from an old copy. Cause: the faults.
+        Version 2 is published, then the service goes down and comes back
+        restored from an older copy: the watch must end with 503, and later
+        reads must return version 1.
         """
 
-        async def scene(service: Any, get: Get) -> None:
+        async def scenario(service: Any, get: Get) -> None:
             service.control.publish({"a": 1})
             watch = asyncio.create_task(get(f"{VALUES}?after=2&wait_s=10"))
             while not (await get("/control/reads"))[1]["reads"]:
@@ -114,14 +118,14 @@
             _, old = await get(f"{VALUES}?after=2&wait_s=10")
             assert old == {"version": 1, "value": {}}
 
-        play(start_configuration, ConfigurationOptions(), scene)
+        run_scenario(start_configuration, ConfigurationOptions(), scenario)
 
 
 class TestHostList:
-    """Entries are set and patched, at once or late."""
+    """Changes of the host list's entries, at once or after a lag."""
 
-    def test_patch_and_lag(self) -> None:
-        async def scene(hosts: Any, get: Get) -> None:
+    def test_patches_are_published_after_the_lag(self) -> None:
+        async def scenario(hosts: Any, get: Get) -> None:
             a, b, c = ({"name": name} for name in "abc")
             hosts.control.command("set", [a, b])
             hosts.control.lag_s = 3600.0
@@ -133,16 +137,16 @@
             _, after = await get("/v1/hosts?after=2&wait_s=10")
             assert after == {"revision": 3, "entries": [b, c]}
 
-        play(start_host_list, HostListOptions(), scene)
+        run_scenario(start_host_list, HostListOptions(), scenario)
 
 
 class TestProcess:
-    """Each stand-in as a process."""
+    """Stand-ins as separate processes."""
 
     @pytest.mark.parametrize(
         "kind", ["engine", "service", "configuration", "host-list"]
     )
-    def test_starts_and_stops(self, kind: str) -> None:
+    def test_process_starts_and_stops_on_sigterm(self, kind: str) -> None:
         code = "from hollyknot_standins import main; main()"
         command = [sys.executable, "-c", code, kind, "--port", "0"]
         with contextlib.ExitStack() as stack:
