--- a/packages/bench/src/hollyknot_bench/slopes/__main__.py
+++ b/packages/bench/src/hollyknot_bench/slopes/__main__.py
@@ -46,7 +46,7 @@
 from hollyknot_coordination.spread import READ_PAUSE_S
 from hollyknot_daemon._probes import REPORTS_PER_S
 
-SIDE_BY_SIDE: dict[str, Measurement] = {
+IN_PARALLEL: dict[str, Measurement] = {
     "hosts": _real_hosts.measure,
     "gossip": _gossip.measure,
     "centres": _centres.measure,
@@ -59,7 +59,7 @@
 }
 """Hosts at rest, and decisions under a virtual clock; a process for each."""
 
-ALONE: dict[str, Measurement] = {
+IN_SEQUENCE: dict[str, Measurement] = {
     "links": _real_links.measure,
     "reports": _reports.measure,
     "data-path": _real_data_path.measure,
@@ -80,7 +80,7 @@
 )
 @click.option(
     "--only",
-    type=click.Choice(("all", *SIDE_BY_SIDE, *ALONE)),
+    type=click.Choice(("all", *IN_PARALLEL, *IN_SEQUENCE)),
     default="all",
     show_default=True,
     help="What to measure; a part alone writes no file but the plots.",
@@ -125,12 +125,12 @@
 
 
 def _measure(only: str, is_quick: bool) -> Iterator[Series]:
-    names = [n for n in SIDE_BY_SIDE if only in ("all", n)]
+    names = [n for n in IN_PARALLEL if only in ("all", n)]
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
-        running = [pool.submit(SIDE_BY_SIDE[n], is_quick) for n in names]
+        running = [pool.submit(IN_PARALLEL[n], is_quick) for n in names]
         for one in running:
             yield from one.result()
-    for name, measure in ALONE.items():
+    for name, measure in IN_SEQUENCE.items():
         if only in ("all", name):
             yield from measure(is_quick)
 
--- a/packages/bench/src/hollyknot_bench/slopes/_admission.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_admission.py
@@ -5,7 +5,7 @@
 
 import click
 
-from hollyknot_bench.slopes._measure import MEGA, cpu_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.admission import (
     AdmissionOptions,
@@ -42,7 +42,7 @@
                 "admission", "request cpu", against, "us a request", cpu
             )
         )
-    return [*found, _waiting_memory(), _known_memory()]
+    return [*found, _waiting_memory(), _served_memory()]
 
 
 def _info(number: int, customers: int, classes: int) -> RequestInfo:
@@ -91,12 +91,12 @@
 def _waiting_memory() -> Series:
     memory = []
     for waiting in WAITING:
-        _, kept = traced(functools.partial(_fill, waiting, 64, 3))
+        _, kept = measure_memory(functools.partial(_fill, waiting, 64, 3))
         memory.append((waiting, kept / MEGA))
     return make_series("admission", "memory", "requests waiting", "MB", memory)
 
 
-def _known_memory() -> Series:
+def _served_memory() -> Series:
     """Measures what is remembered of customers that were served."""
     memory = []
     for customers in CUSTOMERS:
@@ -110,6 +110,6 @@
                 queue.on_finished(info.request_id, 1.0, 200, 0.0)
             return queue
 
-        _, kept = traced(serve)
+        _, kept = measure_memory(serve)
         memory.append((customers, kept / MEGA))
     return make_series("admission", "memory", "customers", "MB", memory)
--- a/packages/bench/src/hollyknot_bench/slopes/_centres.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_centres.py
@@ -7,26 +7,26 @@
 from hollyknot_bench.slopes._documents import DATA_CENTRES
 from hollyknot_bench.slopes._gossip import (
     change_declarations,
-    is_everywhere,
+    is_applied_everywhere,
     make_network,
 )
 from hollyknot_bench.slopes._network import Network
 from hollyknot_bench.slopes._series import Series, make_series
 
-HOSTS_EACH = 8
+HOSTS_PER_CENTRE = 8
 CENTRES = (1, 2, 4, 8, 16)
 HOSTS = (16, 32, 64, 128, 256)
-RATES = (1, 2, 4, 8, 16)
+CHANGE_COUNTS = (1, 2, 4, 8, 16)
 """Changes within `WINDOW_S`."""
 
 QUICK_HOSTS = (2, 4, 8, 16, 32)
 WINDOW_S = 40.0
 QUIET_S = 20.0
-CUT_S = 30.0
-LIMIT_S = 120.0
+PARTITION_S = 30.0
+SETTLE_LIMIT_S = 120.0
 ROUNDS = 5
 RATE_HOSTS = 32
-REGION = 3
+REGION_CENTRES = 3
 """Data centres of a region."""
 
 Point = tuple[float, float]
@@ -46,21 +46,23 @@
     lost: list[Point] = []
     bodies: list[Point] = []
     for centres in CENTRES:
-        click.echo(f"{centres} data centres of {HOSTS_EACH} hosts", err=True)
-        network = make_network(centres * HOSTS_EACH, centres)
+        click.echo(
+            f"{centres} data centres of {HOSTS_PER_CENTRE} hosts", err=True
+        )
+        network = make_network(centres * HOSTS_PER_CENTRE, centres)
         network.run(5.0)
-        network.take_spent()
+        network.pop_spent()
         network.run(QUIET_S)
-        spent = network.take_spent()
+        spent = network.pop_spent()
         found = [_change_everywhere_s(network) for _ in range(ROUNDS)]
-        changed = network.take_spent()
+        changed = network.pop_spent()
         bodies.append((centres, changed.bodies / ROUNDS))
         each = QUIET_S * len(network.nodes)
         reads.append((centres, spent.reads / QUIET_S))
         sent.append((centres, spent.total_wire() / each))
         delays.append((centres, sum(found) / ROUNDS))
         worst.append((centres, max(found)))
-        lost.append((centres, _lose_a_centre(network)))
+        lost.append((centres, _kill_centre(network)))
     against = "data centres"
     return [
         make_series("spread", "reads", against, "reads/s", reads),
@@ -76,13 +78,15 @@
 
 def _change_everywhere_s(network: Network) -> float:
     version = change_declarations(network)
-    found = network.run_until(lambda: is_everywhere(network, version), LIMIT_S)
+    found = network.run_until(
+        lambda: is_applied_everywhere(network, version), SETTLE_LIMIT_S
+    )
     # So that the next change meets another moment of the readers' pauses.
     network.run(network.rng.uniform(0.5, 3.0))
     return found
 
 
-def _lose_a_centre(network: Network) -> float:
+def _kill_centre(network: Network) -> float:
     """Ends a data centre; returns the time of a change among the others.
 
     With one data centre in all, half of its hosts end instead.
@@ -101,22 +105,23 @@
     bytes_: list[Point] = []
     delays: list[Point] = []
     cpu: list[Point] = []
-    for changes in RATES:
+    for changes in CHANGE_COUNTS:
         click.echo(f"{changes} changes in {WINDOW_S:g} s ...", err=True)
         network = make_network(RATE_HOSTS)
         network.run(5.0)
-        network.take_spent()
+        network.pop_spent()
         version = 0
         for _ in range(changes):
             version = change_declarations(network)
             network.run(WINDOW_S / changes)
-        spent = network.take_spent()
+        spent = network.pop_spent()
         each = RATE_HOSTS * WINDOW_S
         rate = changes / WINDOW_S
         bytes_.append((rate, spent.total_wire() / each))
         cpu.append((rate, spent.cpu_s * 1e6 / each))
         done = network.run_until(
-            functools.partial(is_everywhere, network, version), LIMIT_S
+            functools.partial(is_applied_everywhere, network, version),
+            SETTLE_LIMIT_S,
         )
         delays.append((rate, done))
     against = "changes/s"
@@ -137,13 +142,13 @@
         click.echo(f"mass restart and cut of {hosts} hosts ...", err=True)
         network = make_network(hosts, with_documents=False)
         took = network.run_until(
-            functools.partial(_all_ready, network), LIMIT_S
+            functools.partial(_all_ready, network), SETTLE_LIMIT_S
         )
-        spent = network.take_spent()
+        spent = network.pop_spent()
         restart.append((hosts, took))
         reads.append((hosts, spent.reads))
         messages.append((hosts, spent.total_messages() / hosts))
-        took, sent = _cut_and_heal(hosts)
+        took, sent = _partition_and_heal(hosts)
         heal.append((hosts, took))
         heal_messages.append((hosts, sent))
     against = "hosts"
@@ -178,14 +183,14 @@
     return all(n.state.is_ready for n in network.nodes.values())
 
 
-def _cut_and_heal(hosts: int) -> tuple[float, float]:
+def _partition_and_heal(hosts: int) -> tuple[float, float]:
     """Cuts a third off, from the rest and the platform, and heals it.
 
     Returns:
         Seconds from the end of the cut until all hosts have the change that
         was made meanwhile, and the messages a host and second in that time.
     """
-    centres = min(2 * REGION, hosts)
+    centres = min(2 * REGION_CENTRES, hosts)
     network = make_network(hosts, centres)
     far = set(DATA_CENTRES[: centres // 3 or 1])
 
@@ -193,13 +198,15 @@
         return network.nodes[name].data_centre in far
 
     network.run(5.0)
-    network.is_cut = lambda a, b: is_far(a) != is_far(b)
-    network.is_platform_cut = is_far
+    network.is_partitioned = lambda a, b: is_far(a) != is_far(b)
+    network.is_platform_unreachable = is_far
     version = change_declarations(network)
-    network.run(CUT_S)
-    network.is_cut = lambda _a, _b: False
-    network.is_platform_cut = lambda _name: False
-    network.take_spent()
-    took = network.run_until(lambda: is_everywhere(network, version), LIMIT_S)
-    spent = network.take_spent()
+    network.run(PARTITION_S)
+    network.is_partitioned = lambda _a, _b: False
+    network.is_platform_unreachable = lambda _name: False
+    network.pop_spent()
+    took = network.run_until(
+        lambda: is_applied_everywhere(network, version), SETTLE_LIMIT_S
+    )
+    spent = network.pop_spent()
     return took, spent.total_messages() / max(took, 0.05) / hosts
--- a/packages/bench/src/hollyknot_bench/slopes/_claims.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_claims.py
@@ -11,7 +11,7 @@
     host_list,
     spread_names,
 )
-from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.claims import (
     SLOTS,
@@ -23,7 +23,7 @@
 
 HOSTS = (8, 16, 32, 64, 128)
 RECORDS = (1_024, 2_048, 4_096, 8_192, 16_384)
-LEARNT = (256, 512, 1_024, 2_048, 4_096)
+LEARNED_RECORDS = (256, 512, 1_024, 2_048, 4_096)
 LIST_HOSTS = (156, 312, 625, 1_250, 2_500)
 UPSTREAMS = 10_000
 CENTRE_HOSTS = (17, 35, 70, 139, 278)
@@ -41,9 +41,9 @@
     return [
         *_against_hosts(HOSTS if not is_quick else (2, 4, 8, 16, 32)),
         *_against_records(tuple(n // factor for n in RECORDS)),
-        *_learning(tuple(n // factor for n in LEARNT)),
+        *_learning(tuple(n // factor for n in LEARNED_RECORDS)),
         *_placing(tuple(n // factor for n in LIST_HOSTS)),
-        _most_slots(),
+        _max_slots(),
     ]
 
 
@@ -58,10 +58,10 @@
         fleet = ClaimsFleet(_names(hosts))
         fleet.settle()
         steps = fleet.steps
-        started = fleet.take_spent()
+        started = fleet.pop_spent()
         fleet.now_s += 10.0
         _claim_many(fleet, CLAIMS)
-        spent = fleet.take_spent()
+        spent = fleet.pop_spent()
         for name, value in (
             ("messages", spent.messages / CLAIMS),
             ("bytes", spent.wire_bytes / CLAIMS),
@@ -112,14 +112,14 @@
         fleet = ClaimsFleet(_names(1))
         fleet.settle()
         fleet.now_s += 10.0
-        _, kept = traced(functools.partial(_claim_many, fleet, records))
+        _, kept = measure_memory(functools.partial(_claim_many, fleet, records))
         memory.append((records, kept / MEGA))
-        fleet.take_spent()
+        fleet.pop_spent()
         slots = fleet.own_slots
         for number in range(CLAIMS):
             key = fleet.key(records + number, slots[number % len(slots)])
             fleet.claim("host-00000", key)
-        cpu.append((records, fleet.take_spent().cpu_s * _US / CLAIMS))
+        cpu.append((records, fleet.pop_spent().cpu_s * _US / CLAIMS))
     against = "records held"
     return [
         make_series("claims", "memory", against, "MB", memory),
@@ -139,15 +139,15 @@
         slot = fleet.own_slots[0]
         lost = fleet.placement.group(slot)[0]
         _claim_many(fleet, records, [slot])
-        fleet.take_spent()
+        fleet.pop_spent()
         del fleet.hosts[lost]
         fleet.publish([n for n in names if n != lost])
         for name in fleet.hosts:
-            fleet.see(name)
+            fleet.read_list(name)
         before = fleet.steps
         fleet.settle()
         steps = fleet.steps - before
-        spent = fleet.take_spent()
+        spent = fleet.pop_spent()
         found.setdefault("bytes", []).append((records, spent.wire_bytes))
         found.setdefault("cpu", []).append((records, spent.cpu_s * _US))
         found.setdefault("steps", []).append((records, steps))
@@ -201,19 +201,19 @@
     placements = [make_placement(listed, PLAN_CENTRES)]
     holder.update(placements[0], now)
 
-    def take(revision: int) -> None:
+    def update_list(revision: int) -> None:
         before = placements[-1] if is_kept else None
         again = HostList(revision, listed.entries)
         placements.append(make_placement(again, PLAN_CENTRES, before))
         holder.update(placements[-1], now)
 
     return min(
-        cpu_once_us(functools.partial(take, revision))
+        cpu_once_us(functools.partial(update_list, revision))
         for revision in range(2, 5)
     )
 
 
-def _most_slots() -> Series:
+def _max_slots() -> Series:
     """Counts the slots of the host that holds most in all data centres."""
     points: list[Point] = []
     centres = len(PLAN_CENTRES)
--- a/packages/bench/src/hollyknot_bench/slopes/_claims_fleet.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_claims_fleet.py
@@ -42,7 +42,7 @@
 class _Host:
     holder: Holder
     coordinator: Coordinator
-    ended: list[Any] = attrs.Factory(list)
+    results: list[Any] = attrs.Factory(list)
 
 
 class ClaimsFleet:
@@ -58,11 +58,11 @@
         )
         self.hosts: dict[str, _Host] = {}
         self.steps = 0
-        self._under_way: list[tuple[str, str, Any]] = []
+        self._in_transit: list[tuple[str, str, Any]] = []
         self.publish(names)
         for name in names:
             self.start(name)
-            self.see(name)
+            self.read_list(name)
 
     @property
     def own_slots(self) -> list[int]:
@@ -88,7 +88,7 @@
             ),
         )
 
-    def see(self, name: str) -> None:
+    def read_list(self, name: str) -> None:
         """Lets a host read the newest list."""
         host = self.hosts[name]
         self._timed(name, host.holder.update, self.placement, self.now())
@@ -110,10 +110,10 @@
     def claim(self, name: str, key: bytes) -> bool:
         """Claims a key and delivers all messages; tells whether it was had."""
         host = self.hosts[name]
-        host.ended.clear()
+        host.results.clear()
         self._timed(name, host.coordinator.claim, key, self.now(), 2.0)
         self.deliver()
-        return any(isinstance(e, ClaimGranted) for e in host.ended)
+        return any(isinstance(e, ClaimGranted) for e in host.results)
 
     def finish(self, name: str, key: bytes, outcome: Any) -> None:
         """Ends a claim and delivers what follows."""
@@ -134,16 +134,16 @@
             self.deliver()
         return self.now_s - began_s
 
-    def take_spent(self) -> Spent:
+    def pop_spent(self) -> Spent:
         """Returns what was spent since the last call."""
         spent, self.spent = self.spent, Spent()
         return spent
 
     def deliver(self) -> None:
         """Delivers until nothing is under way."""
-        while self._under_way:
+        while self._in_transit:
             # What is sent meanwhile arrives one transit later.
-            arriving, self._under_way = self._under_way, []
+            arriving, self._in_transit = self._in_transit, []
             self.steps += 1
             for sender, receiver, message in arriving:
                 self._receive(sender, receiver, message)
@@ -152,12 +152,12 @@
         host = self.hosts.get(receiver)
         if host is None:
             return
-        half = (
+        role = (
             host.coordinator
             if isinstance(message, ClaimAnswer)
             else host.holder
         )
-        self._timed(receiver, half.receive, sender, message, self.now())
+        self._timed(receiver, role.receive, sender, message, self.now())
 
     def _timed(self, name: str, call: Any, *args: Any) -> None:
         began_s = time.process_time()
@@ -167,7 +167,7 @@
             if isinstance(command, SendClaim):
                 self._send(name, command.host, command.message)
             elif isinstance(command, ClaimGranted | ClaimRefused):
-                self.hosts[name].ended.append(command)
+                self.hosts[name].results.append(command)
 
     def _send(self, sender: str, receiver: str, message: Any) -> None:
         if sender != receiver:
@@ -177,4 +177,4 @@
             self.spent.cpu_s += time.process_time() - began_s
             self.spent.messages += 1
             self.spent.wire_bytes += wire_bytes(size)
-        self._under_way.append((sender, receiver, message))
+        self._in_transit.append((sender, receiver, message))
--- a/packages/bench/src/hollyknot_bench/slopes/_cost.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_cost.py
@@ -7,7 +7,7 @@
 from hollyknot_bench.slopes._lookup import Lookup
 from hollyknot_bench.slopes._plan import ASSUMED, DAY_S, PLAN
 
-CENTRE = "hosts of a data centre"
+CENTRE_HOSTS = "hosts of a data centre"
 """What most measures of peers are against."""
 
 PERCENT = 100 / 1e6
@@ -69,7 +69,7 @@
     state: str
     bound: str
     basis: str
-    one: Cost
+    cost_per_host: Cost
     share: float
     after: Cost
     kind: Kind
@@ -77,7 +77,7 @@
     @property
     def mean(self) -> Cost:
         """What it costs the mean host."""
-        return self.one.times(self.share)
+        return self.cost_per_host.times(self.share)
 
     @property
     def mean_after(self) -> Cost:
@@ -86,7 +86,7 @@
 
 
 def make_row(
-    look: Lookup,
+    lookup: Lookup,
     role: str,
     state: str,
     bound: str,
@@ -110,44 +110,44 @@
         after: With the changes on paper; as now by default.
         kind: What it is counted under.
     """
-    basis = look.take_basis(assumed)
+    basis = lookup.pop_basis(assumed)
     later = cost if after is None else after
     return Row(role, state, bound, basis, cost, share, later, kind)
 
 
-def records_in_all() -> float:
+def total_records() -> float:
     """Returns the claims that are remembered, each counted once."""
     rate = PLAN.requests_s * ASSUMED.non_idempotent_share
     return rate * ASSUMED.remember_s
 
 
-def records_a_slot(look: Lookup) -> float:
+def records_per_slot(lookup: Lookup) -> float:
     """Returns the claims that a slot's holders remember."""
-    return records_in_all() / look.design.slots
+    return total_records() / lookup.design.slots
 
 
-def mean_slots(look: Lookup) -> float:
+def mean_slots(lookup: Lookup) -> float:
     """Returns the slots that the mean host holds."""
-    return look.design.slots * look.design.holders / PLAN.hosts
+    return lookup.design.slots * lookup.design.holders / PLAN.hosts
 
 
-def worst_slots(look: Lookup) -> float:
+def worst_slots(lookup: Lookup) -> float:
     """Returns the slots that the worst host of a data centre holds."""
-    name = f"claims/slots of the worst host/{CENTRE}"
-    return look.at(name, PLAN.hosts_a_centre)
+    name = f"claims/slots of the worst host/{CENTRE_HOSTS}"
+    return lookup.at(name, PLAN.hosts_per_centre)
 
 
-def bodies_a_reader(look: Lookup) -> float:
+def bodies_per_reader(lookup: Lookup) -> float:
     """Returns the part of changes that one reader reads as a whole body."""
-    bodies = look.at("spread/bodies a change/data centres", PLAN.centres)
-    return bodies / PLAN.centres / look.design.readers
+    bodies = lookup.at("spread/bodies a change/data centres", PLAN.centres)
+    return bodies / PLAN.centres / lookup.design.readers
 
 
-def moves_s(look: Lookup) -> float:
+def holder_changes_s(lookup: Lookup) -> float:
     """Returns how often a second some slot's holders change."""
-    return 2 * PLAN.replaced_a_day * mean_slots(look) / DAY_S
+    return 2 * PLAN.replaced_per_day * mean_slots(lookup) / DAY_S
 
 
 def shared_reports_s() -> float:
     """Returns a host's load reports, were each asked for by one host."""
-    return PLAN.replicas / PLAN.hosts / ASSUMED.report_use_s
+    return PLAN.replicas / PLAN.hosts / ASSUMED.report_max_age_s
--- a/packages/bench/src/hollyknot_bench/slopes/_document_host.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_document_host.py
@@ -53,28 +53,32 @@
             )
         )
 
-    def take(self, peer: str, message: Any) -> list[Any]:
+    def receive(self, peer: str, message: Any) -> list[Any]:
         """Takes a message; returns what is sent."""
         commands = self.state.on_message(peer, message, self._now_s)
         self._apply(commands)
         return [c.message for c in commands if isinstance(c, Send)]
 
-    def take_encoded(self, peer: str, message: Any) -> list[Any]:
+    def receive_encoded(self, peer: str, message: Any) -> list[Any]:
         """Takes a message, after it was encoded and decoded."""
-        return self.take(peer, read_back(message))
+        return self.receive(peer, read_back(message))
 
     def answer(
-        self, peer: str, question: Any, kind: type[Any], took_us: list[float]
+        self,
+        peer: str,
+        question: Any,
+        kind: type[Any],
+        cpu_samples_us: list[float],
     ) -> Any:
         """Returns the one answer of a kind; notes its processor time."""
         found: list[Any] = []
 
         def answer() -> None:
-            found.extend(self.take(peer, question))
+            found.extend(self.receive(peer, question))
             for message in found:
                 frame_of(message)
 
-        took_us.append(cpu_once_us(answer))
+        cpu_samples_us.append(cpu_once_us(answer))
         wanted = [m for m in found if isinstance(m, kind)]
         if len(wanted) != 1:
             raise RuntimeError(f"{kind.__name__}: {len(wanted)}, not one")
@@ -105,8 +109,8 @@
     """
 
     wire_bytes: int
-    give_us: float
-    take_us: float
+    send_us: float
+    receive_us: float
 
 
 def transfer(
@@ -115,22 +119,22 @@
     """Gives a document in pages to a host that has none."""
     wanted = source.version(document)
     size, page, pages = 0, 0, 1
-    give_us: list[float] = []
-    take_us = cpu_once_us(
-        lambda: new.take(source.name, Gossip(versions=(wanted,)))
+    send_us: list[float] = []
+    receive_us = cpu_once_us(
+        lambda: new.receive(source.name, Gossip(versions=(wanted,)))
     )
     while page < pages:
         ask = FetchDocument(document, version=wanted.version, page=page)
-        found = source.answer(new.name, ask, DocumentPage, give_us)
+        found = source.answer(new.name, ask, DocumentPage, send_us)
         pages = found.pages
         size += wire_bytes(len(frame_of(found)))
         size += wire_bytes(len(frame_of(ask)))
-        take_us += _taken_us(new, source.name, found)
+        receive_us += _receive_us(new, source.name, found)
         page += 1
     if new.version(document) != wanted:
         raise RuntimeError(f"{document.value}: the pages made no document")
-    return Transfer(size, sum(give_us), take_us)
+    return Transfer(size, sum(send_us), receive_us)
 
 
-def _taken_us(new: DocumentHost, peer: str, message: Any) -> float:
-    return cpu_once_us(lambda: new.take_encoded(peer, message))
+def _receive_us(new: DocumentHost, peer: str, message: Any) -> float:
+    return cpu_once_us(lambda: new.receive_encoded(peer, message))
--- a/packages/bench/src/hollyknot_bench/slopes/_faults.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_faults.py
@@ -5,7 +5,11 @@
 
 import attrs
 
-from hollyknot_bench.slopes._cost import CENTRE, mean_slots, records_a_slot
+from hollyknot_bench.slopes._cost import (
+    CENTRE_HOSTS,
+    mean_slots,
+    records_per_slot,
+)
 from hollyknot_bench.slopes._lookup import Lookup
 from hollyknot_bench.slopes._plan import (
     ASSUMED,
@@ -35,46 +39,48 @@
     basis: str
 
 
-def faults(look: Lookup) -> tuple[Effect, ...]:
+def faults(lookup: Lookup) -> tuple[Effect, ...]:
     """Returns the effects of all faults."""
     return (
-        *_rack(look),
-        *_centre(look),
-        *_region(look),
-        *_restart(look),
+        *_rack(lookup),
+        *_centre(lookup),
+        *_region(lookup),
+        *_restart(lookup),
     )
 
 
-def _rack(look: Lookup) -> Iterator[Effect]:
-    fault = f"rack: {ASSUMED.rack_hosts:.0f} of {PLAN.hosts_a_centre} hosts"
-    hosts = PLAN.hosts_a_centre
-    seconds = look.at(f"membership/rack lost until known/{CENTRE}", hosts)
-    messages = look.at(f"membership/rack lost messages/{CENTRE}", hosts)
+def _rack(lookup: Lookup) -> Iterator[Effect]:
+    fault = f"rack: {ASSUMED.rack_hosts:.0f} of {PLAN.hosts_per_centre} hosts"
+    hosts = PLAN.hosts_per_centre
+    seconds = lookup.at(
+        f"membership/rack lost until known/{CENTRE_HOSTS}", hosts
+    )
+    messages = lookup.at(f"membership/rack lost messages/{CENTRE_HOSTS}", hosts)
     yield Effect(
         fault,
         "membership, gossip, readers",
         f"{messages:.1f} messages/s a host meanwhile",
         f"{seconds:.0f} s until no survivor holds one of them for alive",
-        look.take_basis("1 host in 16 goes"),
+        lookup.pop_basis("1 host in 16 goes"),
     )
-    lost = ASSUMED.rack_hosts * mean_slots(look)
-    moved = look.at(
-        f"claims/one holder replaced bytes/{_RECORDS}", records_a_slot(look)
+    lost = ASSUMED.rack_hosts * mean_slots(lookup)
+    moved = lookup.at(
+        f"claims/one holder replaced bytes/{_RECORDS}", records_per_slot(lookup)
     )
-    cpu = look.at(
-        f"claims/one holder replaced cpu/{_RECORDS}", records_a_slot(look)
+    cpu = lookup.at(
+        f"claims/one holder replaced cpu/{_RECORDS}", records_per_slot(lookup)
     )
-    steps = look.at(
-        f"claims/one holder replaced steps/{_RECORDS}", records_a_slot(look)
+    steps = lookup.at(
+        f"claims/one holder replaced steps/{_RECORDS}", records_per_slot(lookup)
     )
-    busy = cpu / _US / look.design.holders
+    busy = cpu / _US / lookup.design.holders
     seconds = busy + steps * ASSUMED.transit_s
     yield Effect(
         fault,
         "claims, once the host list says so",
         f"{lost:.0f} slots are learnt anew, {moved / 1e6:.0f} MB each",
         f"{seconds:.0f} s a slot, {busy:.0f} s of a core at each holder",
-        look.take_basis("1% non-idempotent, for 1 day; 2 ms one way"),
+        lookup.pop_basis("1% non-idempotent, for 1 day; 2 ms one way"),
     )
     yield Effect(
         fault,
@@ -85,9 +91,9 @@
     )
 
 
-def _centre(look: Lookup) -> Iterator[Effect]:
-    fault = f"data centre: {PLAN.hosts_a_centre} hosts"
-    seconds = look.at(
+def _centre(lookup: Lookup) -> Iterator[Effect]:
+    fault = f"data centre: {PLAN.hosts_per_centre} hosts"
+    seconds = lookup.at(
         "spread/change everywhere, one centre lost/data centres", PLAN.centres
     )
     yield Effect(
@@ -95,7 +101,7 @@
         "configuration spread",
         "none besides those that are lost on the way there",
         f"a change is everywhere else {seconds:.1f} s after it was made",
-        look.take_basis("8 hosts a data centre when measured"),
+        lookup.pop_basis("8 hosts a data centre when measured"),
     )
     share = 1 / PLAN.centres
     refused = PLAN.requests_s * ASSUMED.non_idempotent_share * share
@@ -116,18 +122,20 @@
     )
 
 
-def _region(look: Lookup) -> Iterator[Effect]:
-    cut = PLAN.centres / PLAN.regions
-    fault = f"region: {cut:.0f} data centres cut off, platform too, for 1 h"
-    seconds = look.at("spread/cut healed until everywhere/hosts", PLAN.hosts)
-    messages = look.at("spread/cut healed messages/hosts", PLAN.hosts)
+def _region(lookup: Lookup) -> Iterator[Effect]:
+    partitioned = PLAN.centres / PLAN.regions
+    fault = (
+        f"region: {partitioned:.0f} data centres cut off, platform too, for 1 h"
+    )
+    seconds = lookup.at("spread/cut healed until everywhere/hosts", PLAN.hosts)
+    messages = lookup.at("spread/cut healed messages/hosts", PLAN.hosts)
     missed = PLAN.changes_s * 3600
     yield Effect(
         fault,
         "configuration spread, after the cut",
         f"{messages:.1f} messages/s a host meanwhile",
         f"{seconds:.1f} s until both sides have the newest version",
-        look.take_basis("a cut of 30 s and one change when measured"),
+        lookup.pop_basis("a cut of 30 s and one change when measured"),
     )
     yield Effect(
         fault,
@@ -149,37 +157,37 @@
     )
 
 
-def _restart(look: Lookup) -> Iterator[Effect]:
-    hosts = PLAN.hosts_a_centre
+def _restart(lookup: Lookup) -> Iterator[Effect]:
+    hosts = PLAN.hosts_per_centre
     fault = f"all {hosts} hosts of a data centre start at once"
-    seconds = look.at("spread/mass restart until ready/hosts", hosts)
-    messages = look.at("spread/mass restart messages/hosts", hosts)
-    reads = look.at("spread/mass restart reads/hosts", hosts)
+    seconds = lookup.at("spread/mass restart until ready/hosts", hosts)
+    messages = lookup.at("spread/mass restart messages/hosts", hosts)
+    reads = lookup.at("spread/mass restart reads/hosts", hosts)
     yield Effect(
         fault,
         "configuration spread, small documents",
         f"{messages:.0f} messages a host; {reads:.0f} reads of the platform",
         f"{seconds:.1f} s until all are ready",
-        look.take_basis("documents of 20 customers"),
+        lookup.pop_basis("documents of 20 customers"),
     )
-    take = _whole(look, "whole taken cpu")
-    give = _whole(look, "whole given cpu")
-    size = _whole(look, "whole in pages")
+    receive_us = _whole(lookup, "whole taken cpu")
+    send_us = _whole(lookup, "whole given cpu")
+    size = _whole(lookup, "whole in pages")
     rounds = math.ceil(math.log2(hosts))
-    busy = rounds * (take + give) / _US
+    busy = rounds * (receive_us + send_us) / _US
     yield Effect(
         fault,
         "configuration spread, whole documents",
         f"{size / 1e6:.2f} MB to each host",
         f"{busy:.0f} s of processor time in a row at the last host",
-        look.take_basis(
+        lookup.pop_basis(
             f"hosts that have them double {rounds} times, one gives to one"
         ),
     )
-    messages = look.at(f"claims/mass restart messages/{CENTRE}", hosts)
-    size = look.at(f"claims/mass restart bytes/{CENTRE}", hosts)
-    cpu = look.at(f"claims/mass restart cpu/{CENTRE}", hosts)
-    steps = look.at(f"claims/mass restart steps/{CENTRE}", hosts)
+    messages = lookup.at(f"claims/mass restart messages/{CENTRE_HOSTS}", hosts)
+    size = lookup.at(f"claims/mass restart bytes/{CENTRE_HOSTS}", hosts)
+    cpu = lookup.at(f"claims/mass restart cpu/{CENTRE_HOSTS}", hosts)
+    steps = lookup.at(f"claims/mass restart steps/{CENTRE_HOSTS}", hosts)
     seconds = steps * ASSUMED.transit_s + cpu / _US
     yield Effect(
         fault,
@@ -187,11 +195,11 @@
         f"{messages:.0f} messages, {size / 1e3:.0f} KB a host",
         f"{seconds:.2f} s until learnt; keys up to 3 s beyond the start are"
         " refused, older ones for good",
-        look.take_basis("2 ms one way"),
+        lookup.pop_basis("2 ms one way"),
     )
 
 
-def _whole(look: Lookup, measure: str) -> float:
-    return look.at(
+def _whole(lookup: Lookup, measure: str) -> float:
+    return lookup.at(
         f"declarations/{measure}/customers", PLAN.customers
-    ) + look.at(f"host list/{measure}/upstreams", PLAN.replicas)
+    ) + lookup.at(f"host list/{measure}/upstreams", PLAN.replicas)
--- a/packages/bench/src/hollyknot_bench/slopes/_gossip.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_gossip.py
@@ -12,7 +12,7 @@
     hosts_body,
 )
 from hollyknot_bench.slopes._links import dial_wire_bytes, ping_wire_bytes
-from hollyknot_bench.slopes._measure import MEGA, traced
+from hollyknot_bench.slopes._measure import MEGA, measure_memory
 from hollyknot_bench.slopes._network import Network, Node
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_bench.slopes._spent import Spent
@@ -30,7 +30,7 @@
 QUIET_S = 20.0
 CHANGES = 8
 CHANGE_EVERY_S = 2.5
-RACK_SHARE = 16
+RACK_DIVISOR = 16
 """One host in so many dies at one moment: a rack."""
 
 SETTLE_LIMIT_S = 120.0
@@ -52,7 +52,7 @@
     for name, centre in names.items():
         network.add(name, centre)
     if with_documents:
-        network.give_documents()
+        network.load_documents()
     return network
 
 
@@ -107,7 +107,7 @@
         names = rank_hosts(f"dc-1-host-{n:05d}" for n in range(hosts))
         membership = Membership(names[0], random.Random(1), 0.0)
         fill = functools.partial(membership.set_hosts, names, 0.0)
-        _, kept = traced(fill)
+        _, kept = measure_memory(fill)
         points.append((hosts, kept / MEGA))
     against = "hosts of a data centre"
     return make_series("membership", "memory", against, "MB", points)
@@ -116,15 +116,15 @@
 def _run(hosts: int) -> _Run:
     network = make_network(hosts)
     network.run(LINKS_SETTLE_S)
-    network.take_spent()
+    network.pop_spent()
     network.run(QUIET_S)
-    quiet = network.take_spent()
+    quiet = network.pop_spent()
     began_s = network.now_s
     delays = _change(network)
-    changing = network.take_spent()
+    changing = network.pop_spent()
     share = (network.now_s - began_s) / QUIET_S
-    rack_s = _lose_rack(network)
-    after = network.take_spent()
+    rack_s = _kill_rack(network)
+    after = network.pop_spent()
     each = hosts * QUIET_S
     extra = changing.total_wire() - quiet.total_wire() * share
     dying = after.total_messages() / max(rack_s, 1e-9) / len(network.nodes)
@@ -154,14 +154,16 @@
         published.append((change_declarations(network), network.now_s))
         network.run(CHANGE_EVERY_S)
     last = published[-1][0]
-    network.run_until(lambda: is_everywhere(network, last), SETTLE_LIMIT_S)
+    network.run_until(
+        lambda: is_applied_everywhere(network, last), SETTLE_LIMIT_S
+    )
     return [
         max(_reached_s(n, version) for n in network.nodes.values()) - at_s
         for version, at_s in published
     ]
 
 
-def is_everywhere(network: Network, version: int) -> bool:
+def is_applied_everywhere(network: Network, version: int) -> bool:
     """Whether all hosts have a version of the declarations, or a newer one."""
     return all(
         n.state.version_in_force(DECLARATIONS) >= version
@@ -178,10 +180,10 @@
     )
 
 
-def _lose_rack(network: Network) -> float:
+def _kill_rack(network: Network) -> float:
     """Ends a share of the hosts at once; returns when all others know."""
     names = sorted(network.nodes)
-    lost = set(network.rng.sample(names, max(1, len(names) // RACK_SHARE)))
+    lost = set(network.rng.sample(names, max(1, len(names) // RACK_DIVISOR)))
     for name in lost:
         network.kill(name)
 
--- a/packages/bench/src/hollyknot_bench/slopes/_limit_tables.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_limit_tables.py
@@ -1,8 +1,12 @@
 """Tables of limits beside a host's budget: platform, claims, data path."""
 
-from hollyknot_bench.slopes._cost import CENTRE, mean_slots, records_a_slot
+from hollyknot_bench.slopes._cost import (
+    CENTRE_HOSTS,
+    mean_slots,
+    records_per_slot,
+)
 from hollyknot_bench.slopes._lookup import Lookup
-from hollyknot_bench.slopes._markdown import NOTHING, figure, table
+from hollyknot_bench.slopes._markdown import NO_VALUE, figure, table
 from hollyknot_bench.slopes._plan import ASSUMED, BUDGET, PLAN
 from hollyknot_bench.slopes._series import Slopes
 
@@ -12,21 +16,21 @@
 
 def platform_table(slopes: Slopes) -> str:
     """Returns changes' time and the platform's reads next to the budget."""
-    look = Lookup(slopes)
-    seconds = look.at(
-        f"spread/change everywhere worst/{CENTRE}", PLAN.hosts_a_centre
+    lookup = Lookup(slopes)
+    seconds = lookup.at(
+        f"spread/change everywhere worst/{CENTRE_HOSTS}", PLAN.hosts_per_centre
     )
-    one = look.take_basis()
-    several = look.at(
+    one = lookup.pop_basis()
+    several = lookup.at(
         "spread/change everywhere worst/data centres", PLAN.centres
     )
-    centres = look.take_basis("8 hosts a data centre")
-    taken = look.at("declarations/delta taken cpu/customers", PLAN.customers)
-    parse = look.take_basis("4 hops, each waits for the check")
-    reads = look.at("spread/reads/data centres", PLAN.centres)
-    read_basis = look.take_basis()
-    body = look.at("declarations/body/customers", PLAN.customers)
-    body_basis = look.take_basis()
+    centres = lookup.pop_basis("8 hosts a data centre")
+    taken = lookup.at("declarations/delta taken cpu/customers", PLAN.customers)
+    parse = lookup.pop_basis("4 hops, each waits for the check")
+    reads = lookup.at("spread/reads/data centres", PLAN.centres)
+    read_basis = lookup.pop_basis()
+    body = lookup.at("declarations/body/customers", PLAN.customers)
+    body_basis = lookup.pop_basis()
     hops = 4 * taken / 1e6
     rows = [
         _limit("a change in one data centre, the worst of 8", "s", seconds,
@@ -52,12 +56,12 @@
 
 def claims_table(slopes: Slopes) -> str:
     """Returns the claims' memory for several shares."""
-    look = Lookup(slopes)
-    each = look.slope("claims/memory/records held") * 1e6
+    lookup = Lookup(slopes)
+    each = lookup.slope("claims/memory/records held") * 1e6
     rows = []
     for share in (0.001, 0.01, 0.05):
         factor = share / ASSUMED.non_idempotent_share
-        records = records_a_slot(look) * factor * mean_slots(look)
+        records = records_per_slot(lookup) * factor * mean_slots(lookup)
         memory = records * each / 1e6
         rows.append((f"{share:.1%}", f"{records:,.0f}", figure(memory)))
     head = ("non-idempotent share", "records at the mean host", "MB")
@@ -66,46 +70,46 @@
 
 def data_path_table(slopes: Slopes) -> str:
     """Returns what a host's requests and tokens cost against one core."""
-    look = Lookup(slopes)
+    lookup = Lookup(slopes)
     rows = [
-        *_data_path(look, "mean", 1.0, ""),
+        *_data_path(lookup, "mean", 1.0, ""),
         *_data_path(
-            look,
+            lookup,
             "worst",
-            ASSUMED.worst_load,
-            f"{ASSUMED.worst_load:g} times the mean",
+            ASSUMED.worst_load_factor,
+            f"{ASSUMED.worst_load_factor:g} times the mean",
         ),
     ]
     decisions = (
-        look.at("admission/request cpu/requests waiting", WAITING)
-        + look.at("routing/request cpu/upstreams", PLAN.replicas)
-        + look.at("fingerprints/request cpu/requests in flight", WAITING)
+        lookup.at("admission/request cpu/requests waiting", WAITING)
+        + lookup.at("routing/request cpu/upstreams", PLAN.replicas)
+        + lookup.at("fingerprints/request cpu/requests in flight", WAITING)
     )
     rows.append(
         (
             "a request's admission, routing and fingerprint (part of it)",
             f"{decisions:.0f} us",
-            NOTHING,
-            look.take_basis(f"{WAITING:.0f} requests wait"),
+            NO_VALUE,
+            lookup.pop_basis(f"{WAITING:.0f} requests wait"),
         )
     )
-    stream = look.slope("processes/resident memory/open streams") * 1e3
+    stream = lookup.slope("processes/resident memory/open streams") * 1e3
     rows.append(
-        ("an open stream", f"{stream:.1f} KB", NOTHING, look.take_basis())
+        ("an open stream", f"{stream:.1f} KB", NO_VALUE, lookup.pop_basis())
     )
     head = ("data path", "cost a host", "against one core", "basis")
     return table(head, rows)
 
 
 def _data_path(
-    look: Lookup, name: str, load: float, assumed: str
+    lookup: Lookup, name: str, load: float, assumed: str
 ) -> list[tuple[str, ...]]:
-    tokens = PLAN.tokens_a_host_s * load
-    relayed = look.at("processes/stream cpu/tokens/s", tokens)
-    relayed_basis = look.take_basis(assumed)
-    requests = PLAN.requests_a_host_s * load
-    begun = look.at("processes/request cpu/requests/s", requests)
-    begun_basis = look.take_basis(assumed)
+    tokens = PLAN.tokens_per_host_s * load
+    relayed = lookup.at("processes/stream cpu/tokens/s", tokens)
+    relayed_basis = lookup.pop_basis(assumed)
+    requests = PLAN.requests_per_host_s * load
+    begun = lookup.at("processes/request cpu/requests/s", requests)
+    begun_basis = lookup.pop_basis(assumed)
     return [
         (
             f"{name} host: {tokens:,.0f} tokens/s relayed",
--- a/packages/bench/src/hollyknot_bench/slopes/_links.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_links.py
@@ -35,11 +35,11 @@
 
 @attrs.define
 class _LinkTimes:
-    used_s: float
-    unanswered_s: float
+    last_used_s: float
+    unanswered_since_s: float
 
 
-class LinkLedger:
+class LinkTracker:
     """The links of all hosts, by sender and receiver."""
 
     def __init__(
@@ -59,16 +59,16 @@
     def on_message(self, sender: str, receiver: str, now_s: float) -> None:
         """Takes a one-way message."""
         link = self._links.get((sender, receiver))
-        if link is None or now_s - link.used_s >= self._limits.idle_s:
+        if link is None or now_s - link.last_used_s >= self._limits.idle_s:
             self._on_dial()
             self._on_ping()
             self._links[sender, receiver] = _LinkTimes(now_s, now_s)
             return
-        if now_s - link.unanswered_s >= self._limits.one_way_ping_after_s:
+        if now_s - link.unanswered_since_s >= self._limits.one_way_ping_after_s:
             # The ping of the earlier messages was answered since.
             self._on_ping()
-            link.unanswered_s = now_s
-        link.used_s = now_s
+            link.unanswered_since_s = now_s
+        link.last_used_s = now_s
 
 
 def dial_wire_bytes() -> int:
--- a/packages/bench/src/hollyknot_bench/slopes/_lookup.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_lookup.py
@@ -4,7 +4,7 @@
 
 from hollyknot_bench.slopes._series import Design, Slopes
 
-_NEARLY_ONE = 1.005
+_MAX_ROUNDING_FACTOR = 1.005
 
 
 @attrs.define
@@ -18,8 +18,8 @@
     slopes: Slopes
     _factor: float = 1.0
     _is_used: bool = False
-    _is_each: bool = False
-    _is_between: bool = False
+    _is_multiplied: bool = False
+    _is_interpolated: bool = False
 
     @property
     def design(self) -> Design:
@@ -32,26 +32,26 @@
         self._factor = max(self._factor, found.factor)
         self._is_used = True
         if not found.is_measured:
-            self._is_between = True
+            self._is_interpolated = True
         return found.value
 
     def slope(self, name: str) -> float:
         """Returns what one more of a size costs."""
-        self._is_used = self._is_each = True
+        self._is_used = self._is_multiplied = True
         return self.slopes.find(name).fit.slope
 
-    def take_basis(self, assumed: str = "") -> str:
+    def pop_basis(self, assumed: str = "") -> str:
         """Returns how the values since the last call were come by."""
         if not self._is_used:
             basis = "not measured"
-        elif self._factor > _NEARLY_ONE:
+        elif self._factor > _MAX_ROUNDING_FACTOR:
             basis = f"extrapolated x {self._factor:.3g}"
-        elif self._is_each:
+        elif self._is_multiplied:
             basis = "measured for one, multiplied"
-        elif self._is_between:
+        elif self._is_interpolated:
             basis = "measured on both sides"
         else:
             basis = "measured at this size"
         self._factor = 1.0
-        self._is_used = self._is_each = self._is_between = False
+        self._is_used = self._is_multiplied = self._is_interpolated = False
         return f"{basis}; assumed: {assumed}" if assumed else basis
--- a/packages/bench/src/hollyknot_bench/slopes/_markdown.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_markdown.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Sequence
 
-NOTHING = "-"
+NO_VALUE = "-"
 _THOUSAND = 1000
 
 
@@ -15,7 +15,7 @@
 def figure(value: float) -> str:
     """Returns three digits of a value, all of a large one."""
     if value == 0:
-        return NOTHING
+        return NO_VALUE
     if value >= _THOUSAND:
         return f"{value:,.0f}"
     return f"{value:.3g}"
--- a/packages/bench/src/hollyknot_bench/slopes/_measure.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_measure.py
@@ -39,7 +39,7 @@
     return (time.process_time() - began_s) * MICRO
 
 
-def traced(make: Callable[[], T]) -> tuple[T, int]:
+def measure_memory(make: Callable[[], T]) -> tuple[T, int]:
     """Returns what a call makes, and the bytes that it keeps."""
     gc.collect()
     tracemalloc.start()
--- a/packages/bench/src/hollyknot_bench/slopes/_network.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_network.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hollyknot_bench.slopes._links import LinkLedger
+from hollyknot_bench.slopes._links import LinkTracker
 from hollyknot_bench.slopes._spent import Spent
 from hollyknot_bench.slopes._wire import frame_of, read_back
 from hollyknot_coordination.checks import check_declarations, check_hosts
@@ -35,7 +35,7 @@
     name: str
     data_centre: str
     state: PeerState
-    watching: set[DocumentKind] = attrs.Factory(set)
+    polled: set[DocumentKind] = attrs.Factory(set)
     applied: dict[tuple[DocumentKind, int], float] = attrs.Factory(dict)
     ready_s: float = float("inf")
     reports: list[Any] = attrs.Factory(list)
@@ -59,10 +59,12 @@
         self.nodes: dict[str, Node] = {}
         self.documents: dict[DocumentKind, tuple[int, bytes]] = {}
         self.spent = Spent()
-        self.is_cut: Callable[[str, str], bool] = lambda _a, _b: False
-        self.is_platform_cut: Callable[[str], bool] = lambda _name: False
-        self.each_tick: EachTick = lambda _node, _now_s: None
-        self._links = LinkLedger(self._on_dial, self._on_ping)
+        self.is_partitioned: Callable[[str, str], bool] = lambda _a, _b: False
+        self.is_platform_unreachable: Callable[[str], bool] = lambda _name: (
+            False
+        )
+        self.before_tick: EachTick = lambda _node, _now_s: None
+        self._links = LinkTracker(self._on_dial, self._on_ping)
         self._events: list[tuple[float, int, Call]] = []
         self._count = itertools.count()
         self._checked: dict[DocumentVersion, object] = {}
@@ -80,7 +82,7 @@
         self._later(rng.uniform(0, TICK_S), lambda: self._tick(node))
         return node
 
-    def give_documents(self) -> None:
+    def load_documents(self) -> None:
         """Gives every host what the platform has."""
         for node in self.nodes.values():
             for document, (version, body) in self.documents.items():
@@ -108,7 +110,7 @@
             self.run(0.05)
         return self.now_s - began_s
 
-    def take_spent(self) -> Spent:
+    def pop_spent(self) -> Spent:
         """Returns what was spent since the last call."""
         spent, self.spent = self.spent, Spent()
         return spent
@@ -141,7 +143,7 @@
     def _tick(self, node: Node) -> None:
         if self.nodes.get(node.name) is not node:
             return
-        self.each_tick(node, self.now_s)
+        self.before_tick(node, self.now_s)
         began_s = time.process_time()
         commands = node.state.on_tick(self.now_s)
         self.spent.cpu_s += time.process_time() - began_s
@@ -158,10 +160,10 @@
                 case Apply(document=document, version=version):
                     node.applied[document, version] = self.now_s
                 case StartPolling(document=document, pause_s=pause_s):
-                    node.watching.add(document)
+                    node.polled.add(document)
                     self._read(node, document, pause_s)
                 case StopPolling(document=document):
-                    node.watching.discard(document)
+                    node.polled.discard(document)
                 case _:
                     node.reports.append(command)
 
@@ -176,7 +178,7 @@
 
     def _deliver(self, sender: str, receiver: str, message: Any) -> None:
         node = self.nodes.get(receiver)
-        if node is None or self.is_cut(sender, receiver):
+        if node is None or self.is_partitioned(sender, receiver):
             return
         began_s = time.process_time()
         commands = node.state.on_message(sender, message, self.now_s)
@@ -186,13 +188,13 @@
     def _read(self, node: Node, document: DocumentKind, pause_s: float) -> None:
         if self.nodes.get(node.name) is not node:
             return
-        if document not in node.watching:
+        if document not in node.polled:
             return
         self._later(
             pause_s * self.rng.uniform(0.5, 1.5),
             lambda: self._read(node, document, pause_s),
         )
-        if self.is_platform_cut(node.name):
+        if self.is_platform_unreachable(node.name):
             return
         self.spent.reads += 1
         version, body = self.documents.get(document, (0, b""))
--- a/packages/bench/src/hollyknot_bench/slopes/_page.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_page.py
@@ -5,7 +5,7 @@
 from hollyknot_bench.slopes._series import Slopes
 from hollyknot_bench.slopes._tables import TABLES
 
-_PART = re.compile(
+_TABLE_PATTERN = re.compile(
     r"(<!-- table ([a-z-]+) -->\n).*?(<!-- end of \2 -->)", re.DOTALL
 )
 
@@ -20,7 +20,7 @@
     Raises:
         ValueError: The page lacks a table, or has one that is unknown.
     """
-    found = [match.group(2) for match in _PART.finditer(page)]
+    found = [match.group(2) for match in _TABLE_PATTERN.finditer(page)]
     if sorted(found) != sorted(TABLES):
         raise ValueError(
             f"docs/CAPACITY.md has the tables {found}; write the markers"
@@ -32,4 +32,4 @@
         table = TABLES[match.group(2)](slopes)
         return f"{match.group(1)}\n{table}\n\n{match.group(3)}"
 
-    return _PART.sub(replace, page)
+    return _TABLE_PATTERN.sub(replace, page)
--- a/packages/bench/src/hollyknot_bench/slopes/_plan.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_plan.py
@@ -49,13 +49,13 @@
 
     non_idempotent_share: float = 0.01
     remember_s: float = DAY_S
-    revisions_a_process: float = 3.0
+    revisions_per_process: float = 3.0
     rack_hosts: float = 17.0
     transit_s: float = 0.002
-    report_use_s: float = 3.0
+    report_max_age_s: float = 3.0
     shards: float = 64.0
-    worst_load: float = 2.0
-    estimates: float = 4_096.0
+    worst_load_factor: float = 2.0
+    max_estimates: float = 4_096.0
 
 
 @attrs.frozen
@@ -71,45 +71,45 @@
     tiers: float = 3
     centres: float = 9
     regions: float = 3
-    changes_a_day: float = 19_000
-    replaced_a_day: float = 1_100
-    failed_a_day: float = 82
+    changes_per_day: float = 19_000
+    replaced_per_day: float = 1_100
+    failed_per_day: float = 82
 
     @property
-    def hosts_a_centre(self) -> float:
+    def hosts_per_centre(self) -> float:
         """Hosts of one data centre."""
         return math.ceil(self.hosts / self.centres)
 
     @property
     def changes_s(self) -> float:
         """Changes of the declarations a second."""
-        return self.changes_a_day / DAY_S
+        return self.changes_per_day / DAY_S
 
     @property
-    def requests_a_host_s(self) -> float:
+    def requests_per_host_s(self) -> float:
         """Requests a second at one host."""
         return self.requests_s / self.hosts
 
     @property
-    def tokens_a_host_s(self) -> float:
+    def tokens_per_host_s(self) -> float:
         """Tokens a second at one host."""
         return self.tokens_s / self.hosts
 
     @property
-    def replaced_upstreams_a_day(self) -> float:
+    def replaced_upstreams_per_day(self) -> float:
         """Replicas replaced a day, if they are as often as hosts (assumed)."""
-        return self.replaced_a_day * self.replicas / self.hosts
+        return self.replaced_per_day * self.replicas / self.hosts
 
     @property
     def host_share(self) -> float:
         """The part of replaced processes that are hosts."""
-        hosts = self.replaced_a_day
-        return hosts / (hosts + self.replaced_upstreams_a_day)
+        hosts = self.replaced_per_day
+        return hosts / (hosts + self.replaced_upstreams_per_day)
 
     def revisions_s(self, assumed: Assumed) -> float:
         """Returns the host list's revisions a second."""
-        processes = self.replaced_a_day + self.replaced_upstreams_a_day
-        return processes * assumed.revisions_a_process / DAY_S
+        processes = self.replaced_per_day + self.replaced_upstreams_per_day
+        return processes * assumed.revisions_per_process / DAY_S
 
 
 PLAN = Plan()
--- a/packages/bench/src/hollyknot_bench/slopes/_remedies.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_remedies.py
@@ -5,11 +5,11 @@
 import attrs
 
 from hollyknot_bench.slopes._cost import (
-    CENTRE,
+    CENTRE_HOSTS,
     PERCENT,
-    bodies_a_reader,
+    bodies_per_reader,
     mean_slots,
-    records_a_slot,
+    records_per_slot,
     shared_reports_s,
     worst_slots,
 )
@@ -59,7 +59,7 @@
 def _claims(look: Lookup) -> Iterator[Remedy]:
     name = "claims/one holder replaced bytes/records of the slot"
     moved = look.slope(name)
-    wire = look.at(name, records_a_slot(look))
+    wire = look.at(name, records_per_slot(look))
     yield Remedy(
         "claims: all holders of a slot learn all of it",
         f"{wire / 1e6:.0f} MB when one of {look.design.holders} holders is"
@@ -67,10 +67,10 @@
         "holders that stay ask for digests by minute of key time, and for"
         " the records of minutes that differ",
         f"{wire / look.design.holders / 1e6:.0f} MB: the new holder learns",
-        look.take_basis("the others ask for next to nothing"),
+        look.pop_basis("the others ask for next to nothing"),
     )
     worst, mean = worst_slots(look), mean_slots(look)
-    records = records_a_slot(look)
+    records = records_per_slot(look)
     memory = look.at("claims/memory/records held", records * worst)
     share = BUDGET.memory_mb / memory * ASSUMED.non_idempotent_share
     yield Remedy(
@@ -81,7 +81,7 @@
         " keys in sorted arrays by minute in place of tables",
         f"64 MB, and nothing else, would be spent at a share of {share:.1%}"
         " today; the arrays: not measured",
-        look.take_basis("1% non-idempotent at the peak all day, for 1 day"),
+        look.pop_basis("1% non-idempotent at the peak all day, for 1 day"),
     )
 
 
@@ -101,17 +101,17 @@
         " the index of keys, and share what didn't change",
         f"not measured; with the other changes the mean host fits at"
         f" {wanted:.2f}%",
-        look.take_basis(),
+        look.pop_basis(),
     )
 
 
 def _bytes(look: Lookup) -> Iterator[Remedy]:
     rows = roles(Lookup(look.slopes))
     after = sum(row.mean_after.bytes_s for row in rows)
-    rate = PLAN.requests_a_host_s * ASSUMED.non_idempotent_share
-    hosts = PLAN.hosts_a_centre
-    asked = look.at(f"claims/bytes/{CENTRE}", hosts) * rate
-    messages = look.at(f"claims/messages/{CENTRE}", hosts) * rate
+    rate = PLAN.requests_per_host_s * ASSUMED.non_idempotent_share
+    hosts = PLAN.hosts_per_centre
+    asked = look.at(f"claims/bytes/{CENTRE_HOSTS}", hosts) * rate
+    messages = look.at(f"claims/messages/{CENTRE_HOSTS}", hosts) * rate
     headers = messages * 2 * SEGMENT_HEADER_BYTES / asked
     yield Remedy(
         "claims asked for: a message to each holder, then one with the end",
@@ -121,27 +121,27 @@
         " its answer ride on gossip to the same peer",
         f"not measured; with the other changes the mean host sends"
         f" {after:,.0f} bytes/s and does not fit",
-        look.take_basis("1% of requests non-idempotent"),
+        look.pop_basis("1% of requests non-idempotent"),
     )
 
 
 def _estimates(look: Lookup) -> Iterator[Remedy]:
     name = "admission/memory/customers"
     known = look.at(name, PLAN.customers)
-    fewer = look.at(name, ASSUMED.estimates)
+    fewer = look.at(name, ASSUMED.max_estimates)
     yield Remedy(
         "admission: estimates of service times for every customer",
         f"{known:.1f} MB of {BUDGET.memory_mb:.0f} MB",
-        f"remember the latest {ASSUMED.estimates:,.0f} customers; the others"
+        f"remember the latest {ASSUMED.max_estimates:,.0f} customers; the others"
         " go by their class",
         f"{fewer:.1f} MB; the estimates' error: not measured",
-        look.take_basis(),
+        look.pop_basis(),
     )
 
 
 def _values(look: Lookup) -> Iterator[Remedy]:
     body = look.at(f"{_DECLARATIONS}/body/customers", PLAN.customers)
-    received = bodies_a_reader(look) * PLAN.changes_s * body
+    received = bodies_per_reader(look) * PLAN.changes_s * body
     shards = ASSUMED.shards
     readers = PLAN.centres * look.design.readers
     reads = readers * (shards + 1) / look.design.read_pause_s
@@ -154,7 +154,7 @@
         f"{body / shards / 1e3:.0f} KB a value; a reader receives"
         f" {received / shards / 1e3:.1f} KB/s; {reads:.0f} reads/s of"
         f" {BUDGET.reads_s:.0f}",
-        look.take_basis(f"{shards:.0f} values"),
+        look.pop_basis(f"{shards:.0f} values"),
     )
 
 
@@ -162,15 +162,15 @@
     used = look.at("routing/upstreams in use/upstreams", PLAN.replicas)
     age = used / look.design.reports_s
     here = PLAN.replicas / PLAN.centres
-    each = here / PLAN.hosts_a_centre
+    each = here / PLAN.hosts_per_centre
     rate = shared_reports_s()
     yield Remedy(
         "load reports: a few a second for all upstreams in use",
         f"{used:.0f} upstreams in use: each is asked every {age:.0f} s, while"
         " a report counts for half after 1 s",
         f"one host asks an upstream for its data centre"
-        f" ({each:.0f} upstreams a host, every {ASSUMED.report_use_s:.0f} s)"
+        f" ({each:.0f} upstreams a host, every {ASSUMED.report_max_age_s:.0f} s)"
         " and tells what changed with the gossip",
         f"{rate:.1f} reports/s a host; the gossip's part: not measured",
-        look.take_basis("every 3 s is often enough"),
+        look.pop_basis("every 3 s is often enough"),
     )
--- a/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
@@ -3,15 +3,15 @@
 from collections.abc import Iterator
 
 from hollyknot_bench.slopes._cost import (
-    CENTRE,
+    CENTRE_HOSTS,
     PERCENT,
     Cost,
     Kind,
     Row,
     make_row,
     mean_slots,
-    moves_s,
-    records_a_slot,
+    holder_changes_s,
+    records_per_slot,
     worst_slots,
 )
 from hollyknot_bench.slopes._lookup import Lookup
@@ -31,7 +31,7 @@
     yield _routing_state(look)
     waiting = look.at("admission/memory/requests waiting", MAX_WAITING)
     known = look.at("admission/memory/customers", PLAN.customers)
-    fewer = look.at("admission/memory/customers", ASSUMED.estimates)
+    fewer = look.at("admission/memory/customers", ASSUMED.max_estimates)
     yield make_row(
         look,
         "entry host",
@@ -49,17 +49,17 @@
         Cost(memory_mb=crashes),
         assumed="48 fingerprints a crash",
     )
-    rate = PLAN.requests_a_host_s * ASSUMED.non_idempotent_share
-    hosts = PLAN.hosts_a_centre
+    rate = PLAN.requests_per_host_s * ASSUMED.non_idempotent_share
+    hosts = PLAN.hosts_per_centre
     yield make_row(
         look,
         "entry host",
         "claims asked for: messages and bytes of each, all hosts' part",
         f"{look.design.holders} holders; idempotent requests don't pay",
         Cost(
-            rate * look.at(f"claims/messages/{CENTRE}", hosts),
-            rate * look.at(f"claims/bytes/{CENTRE}", hosts),
-            rate * look.at(f"claims/cpu/{CENTRE}", hosts) * PERCENT,
+            rate * look.at(f"claims/messages/{CENTRE_HOSTS}", hosts),
+            rate * look.at(f"claims/bytes/{CENTRE_HOSTS}", hosts),
+            rate * look.at(f"claims/cpu/{CENTRE_HOSTS}", hosts) * PERCENT,
         ),
         assumed=_SHARE,
         kind=Kind.CLAIMS,
@@ -83,7 +83,7 @@
 def holder(look: Lookup) -> Iterator[Row]:
     """Returns what is kept and told for claims of others."""
     worst, mean = worst_slots(look), mean_slots(look)
-    records = records_a_slot(look)
+    records = records_per_slot(look)
     memory = look.at("claims/memory/records held", records * worst)
     yield make_row(
         look,
@@ -112,7 +112,7 @@
     name = "claims/one holder replaced {}/records of the slot"
     moved = look.at(name.format("bytes"), records)
     cpu = look.at(name.format("cpu"), records)
-    each = moves_s(look) / PLAN.hosts
+    each = holder_changes_s(look) / PLAN.hosts
     learnt = Cost(bytes_s=moved * each, core_percent=cpu * each * PERCENT)
     yield make_row(
         look,
--- a/packages/bench/src/hollyknot_bench/slopes/_routing.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_routing.py
@@ -10,7 +10,7 @@
     model,
     spread_names,
 )
-from hollyknot_bench.slopes._measure import MEGA, cpu_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.routing import (
     Choice,
@@ -77,7 +77,7 @@
         table.on_host_list(listed, 0.0)
         return table
 
-    table, kept = traced(make)
+    table, kept = measure_memory(make)
     again = HostList(2, listed.entries)
     names = [p.upstream for p in table.report_targets()]
     return {
--- a/packages/bench/src/hollyknot_bench/slopes/_signals.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_signals.py
@@ -8,7 +8,7 @@
 
 from hollyknot_bench.slopes._documents import model
 from hollyknot_bench.slopes._gossip import make_network
-from hollyknot_bench.slopes._measure import MEGA, cpu_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_us, measure_memory
 from hollyknot_bench.slopes._network import Network, Node
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.signals import SignalStore
@@ -50,9 +50,9 @@
         network = make_network(HOSTS)
         noting(network, size)
         network.run(WARM_S)
-        network.take_spent()
+        network.pop_spent()
         network.run(window_s)
-        spent = network.take_spent()
+        spent = network.pop_spent()
         each = HOSTS * window_s
         bytes_.append((size, spent.total_wire("Gossip") / each))
         messages.append((size, spent.total_messages("Gossip") / each))
@@ -81,7 +81,7 @@
     def note(node: Node, now_s: float) -> None:
         node.state.note_signals(now_s, pressures=pressures)
 
-    network.each_tick = note
+    network.before_tick = note
 
 
 def _note_signs(network: Network, rate: int) -> None:
@@ -103,7 +103,7 @@
         )
         node.state.note_signals(now_s, signs=signs)
 
-    network.each_tick = note
+    network.before_tick = note
 
 
 def _stored() -> list[Series]:
@@ -117,7 +117,7 @@
                 store.note_sign(sign, 0.0)
             return store
 
-        store, kept = traced(make)
+        store, kept = measure_memory(make)
         memory.append((size, kept / MEGA))
         told = functools.partial(store.next_updates, 278, 1.0)
         cpu.append((size, cpu_us(told, 3, 3)))
--- a/packages/bench/src/hollyknot_bench/slopes/_suspects.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_suspects.py
@@ -4,7 +4,7 @@
 
 import click
 
-from hollyknot_bench.slopes._measure import MEGA, cpu_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.suspects import SuspectOptions, SuspectRegister
 from hollyknot_state import Outcome, Reason, SuspectRecord, Verdict
@@ -30,7 +30,7 @@
 def _against_crashes() -> list[Series]:
     memory, heard, gate = [], [], []
     for crashes in CRASHES:
-        register, kept = traced(functools.partial(_crashed, crashes))
+        register, kept = measure_memory(functools.partial(_crashed, crashes))
         memory.append((crashes, kept / MEGA))
         record = SuspectRecord(1, "engine-0", 3, 0)
         now_s = crashes * MERGE_S
--- a/packages/bench/src/hollyknot_bench/slopes/_tables.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_tables.py
@@ -31,15 +31,15 @@
     """Returns the plan's sizes for a host, and what is assumed."""
     machine = slopes.machine
     rows = [
-        ("hosts of a data centre", f"{PLAN.hosts_a_centre:.0f}", "plan"),
-        ("requests/s a host", f"{PLAN.requests_a_host_s:.0f}", "plan"),
-        ("tokens/s a host", f"{PLAN.tokens_a_host_s:,.0f}", "plan"),
+        ("hosts of a data centre", f"{PLAN.hosts_per_centre:.0f}", "plan"),
+        ("requests/s a host", f"{PLAN.requests_per_host_s:.0f}", "plan"),
+        ("tokens/s a host", f"{PLAN.tokens_per_host_s:,.0f}", "plan"),
         ("changes/s of the declarations", f"{PLAN.changes_s:.3f}", "plan"),
         (
             "revisions/s of the host list",
             f"{PLAN.revisions_s(ASSUMED):.3f}",
             "assumed: replicas are replaced as often as hosts,"
-            f" {ASSUMED.revisions_a_process:.0f} revisions each",
+            f" {ASSUMED.revisions_per_process:.0f} revisions each",
         ),
         (
             "non-idempotent requests",
@@ -72,10 +72,10 @@
         (
             row.role,
             row.state,
-            figure(row.one.messages_s),
-            figure(row.one.bytes_s),
-            figure(row.one.core_percent),
-            figure(row.one.memory_mb),
+            figure(row.cost_per_host.messages_s),
+            figure(row.cost_per_host.bytes_s),
+            figure(row.cost_per_host.core_percent),
+            figure(row.cost_per_host.memory_mb),
             row.bound,
             row.basis,
         )
@@ -128,7 +128,7 @@
         return sum(float(getattr(cost_of(row), field)) for row in rows)
 
     mean = total(lambda row: row.mean)
-    worst = total(lambda row: row.one)
+    worst = total(lambda row: row.cost_per_host)
     after = total(lambda row: row.mean_after)
     fits, later = (
         ("", "")
--- a/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
@@ -14,7 +14,7 @@
     hosts_body,
     spread_names,
 )
-from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_bench.slopes._wire import frame_of, wire_bytes
 from hollyknot_coordination.spread._records import Records, read_records
@@ -88,7 +88,7 @@
     first = body(1)
     reader, peer = new_host(READER), new_host(PEER)
     reader.read(document, 1, first)
-    _, memory = traced(functools.partial(peer.read, document, 1, first))
+    _, memory = measure_memory(functools.partial(peer.read, document, 1, first))
     read_us, answer_us, delta_us = [], [], []
     delta_bytes = 0
     for generation in range(2, 2 + ROUNDS):
@@ -99,8 +99,8 @@
         answered: list[float] = []
         delta = reader.answer(PEER, ask, DocumentDelta, answered)
         answer_us.append(answered[0])
-        take = functools.partial(peer.take_encoded, READER, delta)
-        delta_us.append(cpu_once_us(take))
+        receive = functools.partial(peer.receive_encoded, READER, delta)
+        delta_us.append(cpu_once_us(receive))
         delta_bytes = wire_bytes(len(frame_of(delta)))
     whole = transfer(document, reader, new_host(NEW))
     return _Found(
@@ -112,8 +112,8 @@
         delta_us=min(delta_us),
         delta_bytes=delta_bytes,
         whole_bytes=whole.wire_bytes,
-        whole_give_us=whole.give_us,
-        whole_take_us=whole.take_us,
+        whole_give_us=whole.send_us,
+        whole_take_us=whole.receive_us,
     )
 
 
@@ -147,8 +147,8 @@
     for size in CUSTOMERS:
         body = declarations(size // factor)
         read = functools.partial(read_records, DECLARATIONS, body)
-        records, as_kept = traced(read)
-        _, as_copied = traced(functools.partial(_copies, records))
+        records, as_kept = measure_memory(read)
+        _, as_copied = measure_memory(functools.partial(_copies, records))
         paths = sum(sys.getsizeof(path) for path in records)
         kept.append((size // factor, as_kept - paths))
         copied.append((size // factor, as_copied))
