--- a/packages/bench/src/hollyknot_bench/slopes/_cost.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_cost.py
@@ -150,4 +150,4 @@
 
 def shared_reports_s() -> float:
     """Returns a host's load reports, were each asked for by one host."""
-    return PLAN.replicas / PLAN.hosts / ASSUMED.report_max_age_s
+    return PLAN.replicas / PLAN.hosts / ASSUMED.report_valid_s
--- a/packages/bench/src/hollyknot_bench/slopes/_plan.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_plan.py
@@ -52,10 +52,10 @@
     revisions_per_process: float = 3.0
     rack_hosts: float = 17.0
     transit_s: float = 0.002
-    report_max_age_s: float = 3.0
+    report_valid_s: float = 3.0
     shards: float = 64.0
     worst_load_factor: float = 2.0
-    max_estimates: float = 4_096.0
+    estimates: float = 4_096.0
 
 
 @attrs.frozen
--- a/packages/bench/src/hollyknot_bench/slopes/_remedies.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_remedies.py
@@ -128,11 +128,11 @@
 def _estimates(look: Lookup) -> Iterator[Remedy]:
     name = "admission/memory/customers"
     known = look.at(name, PLAN.customers)
-    fewer = look.at(name, ASSUMED.max_estimates)
+    fewer = look.at(name, ASSUMED.estimates)
     yield Remedy(
         "admission: estimates of service times for every customer",
         f"{known:.1f} MB of {BUDGET.memory_mb:.0f} MB",
-        f"remember the latest {ASSUMED.max_estimates:,.0f} customers; the others"
+        f"remember the latest {ASSUMED.estimates:,.0f} customers; the others"
         " go by their class",
         f"{fewer:.1f} MB; the estimates' error: not measured",
         look.pop_basis(),
@@ -169,7 +169,7 @@
         f"{used:.0f} upstreams in use: each is asked every {age:.0f} s, while"
         " a report counts for half after 1 s",
         f"one host asks an upstream for its data centre"
-        f" ({each:.0f} upstreams a host, every {ASSUMED.report_max_age_s:.0f} s)"
+        f" ({each:.0f} upstreams a host, every {ASSUMED.report_valid_s:.0f} s)"
         " and tells what changed with the gossip",
         f"{rate:.1f} reports/s a host; the gossip's part: not measured",
         look.pop_basis("every 3 s is often enough"),
--- a/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
@@ -8,9 +8,9 @@
     Cost,
     Kind,
     Row,
+    holder_changes_s,
     make_row,
     mean_slots,
-    holder_changes_s,
     records_per_slot,
     worst_slots,
 )
@@ -31,7 +31,7 @@
     yield _routing_state(look)
     waiting = look.at("admission/memory/requests waiting", MAX_WAITING)
     known = look.at("admission/memory/customers", PLAN.customers)
-    fewer = look.at("admission/memory/customers", ASSUMED.max_estimates)
+    fewer = look.at("admission/memory/customers", ASSUMED.estimates)
     yield make_row(
         look,
         "entry host",
