--- a/packages/bench/src/hollyknot_bench/slopes/__init__.py
+++ b/packages/bench/src/hollyknot_bench/slopes/__init__.py
@@ -1,7 +1,8 @@
-"""`make slopes`: how the cost of each mechanism grows, and what follows.
+"""Capacity model: how each mechanism's cost grows with the system's size.
 
-The measures run this project's own code. `docs/capacity/slopes.json` keeps
-them; the tables of `docs/CAPACITY.md` are worked out from that file alone.
+`make slopes` runs this project's own code at several sizes and stores the
+results in `docs/capacity/slopes.json`. The tables of `docs/CAPACITY.md` are
+computed from that file alone.
 """
 
 from hollyknot_bench.slopes._page import render_page
--- a/packages/bench/src/hollyknot_bench/slopes/__main__.py
+++ b/packages/bench/src/hollyknot_bench/slopes/__main__.py
@@ -1,6 +1,6 @@
-"""`make slopes`: measures all slopes, and writes the page's figures.
+"""Command `make slopes`: measures all slopes and writes the capacity page.
 
-Prints one JSON object a line; progress goes to standard error.
+It prints one JSON object per line; progress goes to standard error.
 """
 
 import concurrent.futures
@@ -57,17 +57,17 @@
     "routing": _routing.measure,
     "admission": _admission.measure,
 }
-"""Hosts at rest, and decisions under a virtual clock; a process for each."""
+"""Idle hosts and code under a virtual clock; each runs in its own process."""
 
 IN_SEQUENCE: dict[str, Measurement] = {
     "links": _real_links.measure,
     "reports": _reports.measure,
     "data-path": _real_data_path.measure,
 }
-"""With sockets under load, one after the other, once the others have ended."""
+"""Measurements that load sockets; they run one by one after the others."""
 
 WORKERS = 4
-"""Measured at once; more would take each other's caches."""
+"""Processes at a time; more would evict each other's processor caches."""
 
 _FILE = pathlib.Path
 _SLOPES = pathlib.Path("docs/capacity/slopes.json")
--- a/packages/bench/src/hollyknot_bench/slopes/_admission.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_admission.py
@@ -1,4 +1,4 @@
-"""Admission against waiting requests, customers and classes."""
+"""Measures admission against waiting requests, customers and classes."""
 
 import functools
 import random
@@ -24,7 +24,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures the queue's processor time and memory."""
+    """Measures the admission queue's processor time and memory."""
     del is_quick
     click.echo("admission ...", err=True)
     found = []
@@ -73,7 +73,7 @@
 
 
 def _request_us(waiting: int, customers: int, classes: int) -> float:
-    """Returns the cost of a request that comes, starts and ends."""
+    """Returns the microseconds to queue, admit and finish one request."""
     queue = _fill(waiting, customers, classes)
     number = waiting
 
@@ -97,7 +97,7 @@
 
 
 def _served_memory() -> Series:
-    """Measures what is remembered of customers that were served."""
+    """Measures the memory kept for customers whose requests have ended."""
     memory = []
     for customers in CUSTOMERS:
 
--- a/packages/bench/src/hollyknot_bench/slopes/_centres.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_centres.py
@@ -1,4 +1,4 @@
-"""Several data centres: spread between them, their loss, cuts and restarts."""
+"""Measures gossip between data centres, and their losses and restarts."""
 
 import functools
 
@@ -17,7 +17,7 @@
 CENTRES = (1, 2, 4, 8, 16)
 HOSTS = (16, 32, 64, 128, 256)
 CHANGE_COUNTS = (1, 2, 4, 8, 16)
-"""Changes within `WINDOW_S`."""
+"""Changes of the declarations within `WINDOW_S`."""
 
 QUICK_HOSTS = (2, 4, 8, 16, 32)
 WINDOW_S = 40.0
@@ -27,13 +27,13 @@
 ROUNDS = 5
 RATE_HOSTS = 32
 REGION_CENTRES = 3
-"""Data centres of a region."""
+"""Data centres per region."""
 
 Point = tuple[float, float]
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures several data centres, losses, cuts and restarts."""
+    """Measures several data centres, losses, partitions and restarts."""
     hosts = QUICK_HOSTS if is_quick else HOSTS
     return [*_against_centres(), *_against_rate(), *_against_hosts(hosts)]
 
@@ -81,15 +81,19 @@
     found = network.run_until(
         lambda: is_applied_everywhere(network, version), SETTLE_LIMIT_S
     )
-    # So that the next change meets another moment of the readers' pauses.
+    # A random wait places the next change at another phase of the readers'
+    # pauses.
     network.run(network.rng.uniform(0.5, 3.0))
     return found
 
 
 def _kill_centre(network: Network) -> float:
-    """Ends a data centre; returns the time of a change among the others.
+    """Kills a data centre and times a change among the remaining hosts.
 
-    With one data centre in all, half of its hosts end instead.
+    If there is only one data centre, half of its hosts are killed instead.
+
+    Returns:
+        Seconds until all remaining hosts have the change.
     """
     names = sorted(network.nodes)
     lost = [n for n in names if network.nodes[n].data_centre == "dc-1"]
@@ -101,7 +105,7 @@
 
 
 def _against_rate() -> list[Series]:
-    """Measures bytes and time against the rate of changes."""
+    """Measures bytes, processor time and backlog against the change rate."""
     bytes_: list[Point] = []
     delays: list[Point] = []
     cpu: list[Point] = []
@@ -139,7 +143,7 @@
     heal: list[Point] = []
     heal_messages: list[Point] = []
     for hosts in sizes:
-        click.echo(f"mass restart and cut of {hosts} hosts ...", err=True)
+        click.echo(f"mass restart and partition, {hosts} hosts ...", err=True)
         network = make_network(hosts, with_documents=False)
         took = network.run_until(
             functools.partial(_all_ready, network), SETTLE_LIMIT_S
@@ -184,11 +188,11 @@
 
 
 def _partition_and_heal(hosts: int) -> tuple[float, float]:
-    """Cuts a third off, from the rest and the platform, and heals it.
+    """Partitions a third of the data centres from the rest and the platform.
 
     Returns:
-        Seconds from the end of the cut until all hosts have the change that
-        was made meanwhile, and the messages a host and second in that time.
+        Seconds from the end of the partition until all hosts have the change
+        that was made during it, and messages per host and second in that time.
     """
     centres = min(2 * REGION_CENTRES, hosts)
     network = make_network(hosts, centres)
--- a/packages/bench/src/hollyknot_bench/slopes/_claims.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_claims.py
@@ -1,4 +1,4 @@
-"""Claims: messages, bytes, processor time, memory and learning."""
+"""Measures claims: messages, bytes, processor time, memory and learning."""
 
 import collections
 import functools
@@ -36,7 +36,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures claims against hosts and records."""
+    """Measures the cost of claims against hosts and stored records."""
     factor = QUICK_FACTOR if is_quick else 1
     return [
         *_against_hosts(HOSTS if not is_quick else (2, 4, 8, 16, 32)),
@@ -92,19 +92,21 @@
 def _claim_many(
     fleet: ClaimsFleet, count: int, slots: list[int] | None = None
 ) -> None:
-    """Claims and completes keys, by each host in turn."""
+    """Claims and completes keys, each by the next host in turn."""
     slots = slots or fleet.own_slots
     names = list(fleet.hosts)
     for number in range(count):
         key = fleet.key(number, slots[number % len(slots)])
         name = names[number % len(names)]
         if not fleet.claim(name, key):
-            raise RuntimeError(f"claim {number} was refused")
+            raise RuntimeError(
+                f"claim {number} of {count}, by {name}, was refused"
+            )
         fleet.finish(name, key, Outcome.COMPLETE)
 
 
 def _against_records(sizes: tuple[int, ...]) -> list[Series]:
-    """Fills one holder and measures what a record costs."""
+    """Measures the memory and processor time that each stored record adds."""
     memory: list[Point] = []
     cpu: list[Point] = []
     for records in sizes:
@@ -128,7 +130,7 @@
 
 
 def _learning(sizes: tuple[int, ...]) -> list[Series]:
-    """Replaces one holder and measures what its successors cost."""
+    """Measures the cost of replacing one holder of a slot."""
     found: dict[str, list[Point]] = {}
     for records in sizes:
         click.echo(f"learning {records} records ...", err=True)
@@ -171,10 +173,11 @@
 
 
 def _placing(sizes: tuple[int, ...]) -> list[Series]:
-    """Measures what a newer list costs a holder, with the plan's upstreams.
+    """Measures what a newer host list costs a holder.
 
-    Most lists change no host of the holder's data centre: there the placement
-    takes the groups over from the one before.
+    Most lists change no host of the holder's data centre; the placement then
+    reuses the groups of the previous placement. The list has the upstreams of
+    the plan.
     """
     moved: list[Point] = []
     kept: list[Point] = []
@@ -214,7 +217,7 @@
 
 
 def _max_slots() -> Series:
-    """Counts the slots of the host that holds most in all data centres."""
+    """Counts the slots of the host that holds the most, for each size."""
     points: list[Point] = []
     centres = len(PLAN_CENTRES)
     for hosts in CENTRE_HOSTS:
--- a/packages/bench/src/hollyknot_bench/slopes/_claims_fleet.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_claims_fleet.py
@@ -1,4 +1,4 @@
-"""Holders and coordinators of one data centre, with their messages counted."""
+"""Simulates the claims of one data centre and counts what they cost."""
 
 import random
 import time
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Spent:
-    """What all hosts spent: messages to others, bytes and processor time."""
+    """Messages between hosts, their bytes, and all hosts' processor time."""
 
     messages: int = 0
     wire_bytes: int = 0
@@ -46,10 +46,14 @@
 
 
 class ClaimsFleet:
-    """The hosts of the first of the plan's data centres."""
+    """Holders and coordinators on the hosts of one data centre."""
 
     def __init__(self, names: list[str]) -> None:
-        """Starts all at the same moment."""
+        """Builds a fleet whose hosts all start at the same time.
+
+        Args:
+            names: Names of the hosts.
+        """
         self.now_s = 0.0
         self.spent = Spent()
         self.revision = 0
@@ -70,7 +74,7 @@
         return [n for n in range(SLOTS) if self.placement.home(n) == CENTRE]
 
     def publish(self, names: list[str]) -> None:
-        """Makes a newer host list, which no host has seen yet."""
+        """Publishes a newer host list, which no host has read yet."""
         self.revision += 1
         hosts = dict.fromkeys(names, CENTRE)
         self.placement = make_placement(
@@ -78,7 +82,7 @@
         )
 
     def start(self, name: str) -> None:
-        """Starts a host that knows no list yet."""
+        """Starts a host that has read no host list yet."""
         number = len(self.hosts) + 1
         options = ClaimOptions()
         self.hosts[name] = _Host(
@@ -89,26 +93,29 @@
         )
 
     def read_list(self, name: str) -> None:
-        """Lets a host read the newest list."""
+        """Makes a host read the newest host list."""
         host = self.hosts[name]
         self._timed(name, host.holder.update, self.placement, self.now())
         self._timed(name, host.coordinator.update, self.placement, self.now())
 
     def now(self) -> Instant:
-        """Returns the time of all hosts."""
+        """Returns the virtual time, which all hosts share."""
         return Instant(self.now_s, START_MS + int(self.now_s * 1000))
 
     def key(self, number: int, slot: int) -> bytes:
-        """Returns a key of this moment and of a slot."""
+        """Returns a claim key of the current time in the given slot."""
         time_ms = self.now().wall_ms
         key = time_ms.to_bytes(6, "big") + number.to_bytes(8, "big")
         key += slot.to_bytes(2, "big")
         if slot_of(key) != slot:
-            raise RuntimeError("claim keys have another layout; adapt 'key'")
+            raise RuntimeError(
+                f"key() built a key of slot {slot_of(key)}, not {slot}: the"
+                " layout of claim keys has changed; adapt key()"
+            )
         return key
 
     def claim(self, name: str, key: bytes) -> bool:
-        """Claims a key and delivers all messages; tells whether it was had."""
+        """Claims a key and delivers all messages; returns whether granted."""
         host = self.hosts[name]
         host.results.clear()
         self._timed(name, host.coordinator.claim, key, self.now(), 2.0)
@@ -116,12 +123,12 @@
         return any(isinstance(e, ClaimGranted) for e in host.results)
 
     def finish(self, name: str, key: bytes, outcome: Any) -> None:
-        """Ends a claim and delivers what follows."""
+        """Ends a claim with an outcome and delivers all messages."""
         self._timed(name, self.hosts[name].coordinator.finish, key, outcome)
         self.deliver()
 
     def settle(self) -> float:
-        """Lets time pass until no host learns; returns how long that took."""
+        """Advances time until no host learns a slot; returns the seconds."""
         began_s = self.now_s
         self.deliver()
         while self.now_s - began_s < SETTLE_LIMIT_S:
@@ -135,14 +142,14 @@
         return self.now_s - began_s
 
     def pop_spent(self) -> Spent:
-        """Returns what was spent since the last call."""
+        """Returns the costs since the last call and resets them."""
         spent, self.spent = self.spent, Spent()
         return spent
 
     def deliver(self) -> None:
-        """Delivers until nothing is under way."""
+        """Delivers messages until none is in transit."""
         while self._in_transit:
-            # What is sent meanwhile arrives one transit later.
+            # Messages sent during a step arrive in the next step.
             arriving, self._in_transit = self._in_transit, []
             self.steps += 1
             for sender, receiver, message in arriving:
--- a/packages/bench/src/hollyknot_bench/slopes/_cost.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_cost.py
@@ -1,4 +1,4 @@
-"""A role's cost, and what several roles are worked out from."""
+"""Costs of the roles of a host, and quantities that several roles share."""
 
 import enum
 
@@ -8,15 +8,22 @@
 from hollyknot_bench.slopes._plan import ASSUMED, DAY_S, PLAN
 
 CENTRE_HOSTS = "hosts of a data centre"
-"""What most measures of peers are against."""
+"""Size against which most measurements of peers were taken."""
 
 PERCENT = 100 / 1e6
-"""From microseconds of processor time a second to percent of a core."""
+"""Converts microseconds of processor time per second to percent of a core."""
 
 
 @attrs.frozen
 class Cost:
-    """What something costs one host, or that it isn't known."""
+    """Resources that a mechanism uses.
+
+    Attributes:
+        messages_s: Messages per second.
+        bytes_s: Bytes per second.
+        core_percent: Processor time in percent of one core.
+        memory_mb: Memory in megabytes.
+    """
 
     messages_s: float = 0.0
     bytes_s: float = 0.0
@@ -24,7 +31,7 @@
     memory_mb: float = 0.0
 
     def plus(self, other: "Cost") -> "Cost":
-        """Returns both together."""
+        """Returns the sum of both costs."""
         return Cost(
             self.messages_s + other.messages_s,
             self.bytes_s + other.bytes_s,
@@ -33,7 +40,7 @@
         )
 
     def times(self, factor: float) -> "Cost":
-        """Returns it multiplied."""
+        """Returns the cost multiplied by a factor."""
         return Cost(
             self.messages_s * factor,
             self.bytes_s * factor,
@@ -43,7 +50,7 @@
 
 
 class Kind(enum.Enum):
-    """What a row's cost depends on."""
+    """Load under which a row's cost arises."""
 
     ALWAYS = "at rest, with the plan's changes and replacements"
     CLAIMS = "claims of non-idempotent requests"
@@ -52,17 +59,18 @@
 
 @attrs.frozen
 class Row:
-    """One mechanism of one role.
+    """Cost of one mechanism of one role.
 
     Attributes:
-        role: The role.
-        state: What is kept, and by which mechanism.
-        bound: What bounds it.
-        basis: Measured, extrapolated by what factor, or assumed.
-        one: What it costs a host that has the role.
-        share: The part of all hosts that have it at a moment, on average.
-        after: What it would cost with the changes on paper.
-        kind: What the row is counted under.
+        role: Name of the role.
+        state: State that is kept, and the mechanism that keeps it.
+        bound: Limit on the state or on its traffic.
+        basis: Whether the cost is measured, extrapolated (and by what factor)
+            or assumed.
+        cost_per_host: Cost to a host that has the role.
+        share: Mean fraction of all hosts that have the role, from 0 to 1.
+        after: Cost to such a host with the proposed changes.
+        kind: Load under which the cost arises.
     """
 
     role: str
@@ -76,12 +84,12 @@
 
     @property
     def mean(self) -> Cost:
-        """What it costs the mean host."""
+        """Cost to the mean host."""
         return self.cost_per_host.times(self.share)
 
     @property
     def mean_after(self) -> Cost:
-        """What it would cost the mean host."""
+        """Cost to the mean host with the proposed changes."""
         return self.after.times(self.share)
 
 
@@ -97,18 +105,18 @@
     after: Cost | None = None,
     kind: Kind = Kind.ALWAYS,
 ) -> Row:
-    """Returns a row whose basis covers all that was looked up for it.
+    """Returns a row whose basis covers all values looked up for it.
 
     Args:
-        look: Where its values were looked up.
-        role: The role.
-        state: What is kept.
-        bound: What bounds it.
-        cost: What it costs a host that has the role.
-        assumed: What was assumed.
-        share: The part of all hosts that have the role.
-        after: With the changes on paper; as now by default.
-        kind: What it is counted under.
+        lookup: Source of the values, which also states their basis.
+        role: Name of the role.
+        state: State that is kept, and the mechanism that keeps it.
+        bound: Limit on the state or on its traffic.
+        cost: Cost to a host that has the role.
+        assumed: Assumptions behind the cost.
+        share: Mean fraction of all hosts that have the role, from 0 to 1.
+        after: Cost with the proposed changes; `cost` by default.
+        kind: Load under which the cost arises.
     """
     basis = lookup.pop_basis(assumed)
     later = cost if after is None else after
@@ -116,38 +124,41 @@
 
 
 def total_records() -> float:
-    """Returns the claims that are remembered, each counted once."""
+    """Returns the number of stored claims, not counting replicas."""
     rate = PLAN.requests_s * ASSUMED.non_idempotent_share
     return rate * ASSUMED.remember_s
 
 
 def records_per_slot(lookup: Lookup) -> float:
-    """Returns the claims that a slot's holders remember."""
+    """Returns the number of claims that each holder of a slot stores."""
     return total_records() / lookup.design.slots
 
 
 def mean_slots(lookup: Lookup) -> float:
-    """Returns the slots that the mean host holds."""
+    """Returns the number of slots that the mean host holds."""
     return lookup.design.slots * lookup.design.holders / PLAN.hosts
 
 
 def worst_slots(lookup: Lookup) -> float:
-    """Returns the slots that the worst host of a data centre holds."""
+    """Returns the slots of the host that holds the most in a data centre."""
     name = f"claims/slots of the worst host/{CENTRE_HOSTS}"
     return lookup.at(name, PLAN.hosts_per_centre)
 
 
 def bodies_per_reader(lookup: Lookup) -> float:
-    """Returns the part of changes that one reader reads as a whole body."""
+    """Returns the fraction of changes whose full body one reader reads."""
     bodies = lookup.at("spread/bodies a change/data centres", PLAN.centres)
     return bodies / PLAN.centres / lookup.design.readers
 
 
 def holder_changes_s(lookup: Lookup) -> float:
-    """Returns how often a second some slot's holders change."""
+    """Returns the changes of a slot's holders per second, over all slots."""
     return 2 * PLAN.replaced_per_day * mean_slots(lookup) / DAY_S
 
 
 def shared_reports_s() -> float:
-    """Returns a host's load reports, were each asked for by one host."""
+    """Returns a host's load reports per second if hosts shared them.
+
+    Each upstream is then asked by one host instead of by all.
+    """
     return PLAN.replicas / PLAN.hosts / ASSUMED.report_valid_s
--- a/packages/bench/src/hollyknot_bench/slopes/_document_host.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_document_host.py
@@ -1,4 +1,4 @@
-"""One host that takes documents, with the processor time of each step."""
+"""Simulates a host that receives documents, and times each step."""
 
 import random
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 def new_host(name: str) -> "DocumentHost":
-    """Returns a host that knows nothing, with the real checks."""
+    """Returns a host without documents, which checks them in full."""
     checks = {
         DocumentKind.DECLARATIONS: check_declarations,
         DocumentKind.HOSTS: check_hosts,
@@ -35,17 +35,22 @@
 
 
 class DocumentHost:
-    """A peer state with the view that its host would serve by."""
+    """A peer state and the documents view that its host would serve with."""
 
     def __init__(self, name: str, state: PeerState) -> None:
-        """Takes a state that knows nothing."""
+        """Builds a host.
+
+        Args:
+            name: Name of the host.
+            state: Peer state that holds no document yet.
+        """
         self.name = name
         self.state = state
         self._view = DocumentsView()
         self._now_s = 0.0
 
     def read(self, document: DocumentKind, version: int, body: bytes) -> None:
-        """Takes a document from the platform."""
+        """Applies a document that was read from the platform."""
         self._now_s += 1.0
         self._apply(
             self.state.on_platform_document(
@@ -54,13 +59,13 @@
         )
 
     def receive(self, peer: str, message: Any) -> list[Any]:
-        """Takes a message; returns what is sent."""
+        """Handles a message; returns the messages sent in response."""
         commands = self.state.on_message(peer, message, self._now_s)
         self._apply(commands)
         return [c.message for c in commands if isinstance(c, Send)]
 
     def receive_encoded(self, peer: str, message: Any) -> list[Any]:
-        """Takes a message, after it was encoded and decoded."""
+        """Encodes and decodes a message, then handles it."""
         return self.receive(peer, read_back(message))
 
     def answer(
@@ -70,7 +75,18 @@
         kind: type[Any],
         cpu_samples_us: list[float],
     ) -> Any:
-        """Returns the one answer of a kind; notes its processor time."""
+        """Returns the only answer of the given kind.
+
+        Args:
+            peer: Host that asks.
+            question: Message that it sends.
+            kind: Type of the expected answer.
+            cpu_samples_us: Receives the processor time, in microseconds, of
+                handling the question and encoding all answers.
+
+        Raises:
+            RuntimeError: The number of answers of this kind isn't one.
+        """
         found: list[Any] = []
 
         def answer() -> None:
@@ -81,11 +97,14 @@
         cpu_samples_us.append(cpu_once_us(answer))
         wanted = [m for m in found if isinstance(m, kind)]
         if len(wanted) != 1:
-            raise RuntimeError(f"{kind.__name__}: {len(wanted)}, not one")
+            raise RuntimeError(
+                f"expected one {kind.__name__} in answer to"
+                f" {type(question).__name__}, got {len(wanted)}"
+            )
         return wanted[0]
 
     def version(self, document: DocumentKind) -> DocumentVersion:
-        """Returns the version in force."""
+        """Returns the version of a document that is in force."""
         return next(v for v in self.state.versions if v.document is document)
 
     def _apply(self, commands: list[PeerCommand]) -> None:
@@ -100,12 +119,12 @@
 
 @attrs.frozen
 class Transfer:
-    """A whole document given to a new host.
+    """Cost of the transfer of a whole document to a new host.
 
     Attributes:
-        wire_bytes: Of pages and requests.
-        give_us: Processor time of the host that gives.
-        take_us: Of the new host.
+        wire_bytes: Bytes of the pages and of the requests for them.
+        send_us: Processor time of the sender, in microseconds.
+        receive_us: Processor time of the new host, in microseconds.
     """
 
     wire_bytes: int
@@ -116,7 +135,11 @@
 def transfer(
     document: DocumentKind, source: DocumentHost, new: DocumentHost
 ) -> Transfer:
-    """Gives a document in pages to a host that has none."""
+    """Transfers a document, page by page, to a host that has none.
+
+    Raises:
+        RuntimeError: The new host has no complete document after all pages.
+    """
     wanted = source.version(document)
     size, page, pages = 0, 0, 1
     send_us: list[float] = []
@@ -132,7 +155,11 @@
         receive_us += _receive_us(new, source.name, found)
         page += 1
     if new.version(document) != wanted:
-        raise RuntimeError(f"{document.value}: the pages made no document")
+        raise RuntimeError(
+            f"{document.value}: host {new.name} has version"
+            f" {new.version(document).version} after {pages} pages, not"
+            f" {wanted.version}"
+        )
     return Transfer(size, sum(send_us), receive_us)
 
 
--- a/packages/bench/src/hollyknot_bench/slopes/_documents.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the plan's shape, of any size."""
+"""Generates declarations and host lists of any size."""
 
 import hashlib
 
@@ -8,7 +8,7 @@
 
 MODELS = 21
 DATA_CENTRES = tuple(f"dc-{number}" for number in range(1, 17))
-"""More than the plan's, so that the number can be varied."""
+"""More data centres than in the plan, so that their number can vary."""
 
 PLAN_CENTRES = DATA_CENTRES[:9]
 CLASSES = {
@@ -22,17 +22,17 @@
 
 
 def model(number: int) -> str:
-    """Returns a model's name."""
+    """Returns the name of a model, by number modulo `MODELS`."""
     return f"model-{number % MODELS:02d}"
 
 
 def customer(number: int) -> str:
-    """Returns a customer's name."""
+    """Returns the name of a customer."""
     return f"customer-{number:05d}"
 
 
 def declarations(customers: int, generation: int = 0) -> bytes:
-    """Returns declarations; each generation differs in one customer."""
+    """Returns encoded declarations; generations differ in one customer."""
     entries = {
         customer(n): _customer(n, generation if n == 0 else 0)
         for n in range(customers)
@@ -60,9 +60,15 @@
     upstreams: dict[str, str] | None = None,
     leaving: str = "",
 ) -> bytes:
-    """Returns a host list's body, from names to data centres.
+    """Returns an encoded host list.
 
-    Upstreams are dealt to the models in turn; one entry may be leaving.
+    Upstreams are assigned to the models in turn.
+
+    Args:
+        revision: Revision of the list.
+        hosts: Data centre of each host, by name.
+        upstreams: Data centre of each upstream, by name.
+        leaving: Name of the entry that is leaving; none by default.
     """
     entries = [
         _entry(name, "host", centre, n, [], leaving)
@@ -97,14 +103,14 @@
 
 
 def spread_names(kind: str, count: int, centres: int) -> dict[str, str]:
-    """Returns names, dealt to the first data centres in turn."""
+    """Returns names, assigned to the first data centres in turn."""
     return {f"{kind}-{n:05d}": DATA_CENTRES[n % centres] for n in range(count)}
 
 
 def host_list(
     revision: int, hosts: dict[str, str], upstreams: dict[str, str]
 ) -> HostList:
-    """Returns a checked host list."""
+    """Returns a host list that was parsed from its encoded form."""
     found = parse_host_list(hosts_body(revision, hosts, upstreams))
     assert isinstance(found, HostList), found
     return found
--- a/packages/bench/src/hollyknot_bench/slopes/_faults.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_faults.py
@@ -1,4 +1,4 @@
-"""What a loss, a cut or a mass restart does to each mechanism."""
+"""Computes how each mechanism copes with losses, partitions and restarts."""
 
 import math
 from collections.abc import Iterator
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class Effect:
-    """What one fault does to one mechanism.
+    """Effect of one fault on one mechanism.
 
     Attributes:
-        fault: Such as a rack's loss.
-        mechanism: Such as membership.
-        messages: What is sent.
-        settles: How long until all is as before.
-        basis: How the figures were come by.
+        fault: Description of the fault, such as the loss of a rack.
+        mechanism: Name of the affected mechanism, such as membership.
+        messages: Traffic that the fault causes.
+        settles: Time until the mechanism works as before the fault.
+        basis: Whether the figures are measured, extrapolated or assumed.
     """
 
     fault: str
@@ -40,7 +40,7 @@
 
 
 def faults(lookup: Lookup) -> tuple[Effect, ...]:
-    """Returns the effects of all faults."""
+    """Returns the effects of all faults on all mechanisms."""
     return (
         *_rack(lookup),
         *_centre(lookup),
--- a/packages/bench/src/hollyknot_bench/slopes/_gossip.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_gossip.py
@@ -1,4 +1,4 @@
-"""Membership, links and the spread of changes against a data centre's hosts."""
+"""Measures membership, links and gossip against a data centre's hosts."""
 
 import functools
 import random
@@ -25,13 +25,13 @@
 QUICK_SIZES = (2, 4, 8, 16, 32)
 CUSTOMERS = 20
 LINKS_SETTLE_S = 65.0
-"""Longer than links may idle, so that dials have come to a steady rate."""
+"""Longer than links may idle, so that the rate of dials has become steady."""
 
 QUIET_S = 20.0
 CHANGES = 8
 CHANGE_EVERY_S = 2.5
 RACK_DIVISOR = 16
-"""One host in so many dies at one moment: a rack."""
+"""The loss of a rack kills one host in this many at the same time."""
 
 SETTLE_LIMIT_S = 120.0
 PROBES = ("Probe", "ProbeAck", "IndirectProbe")
@@ -41,7 +41,14 @@
 def make_network(
     hosts: int, centres: int = 1, seed: int = 1, with_documents: bool = True
 ) -> Network:
-    """Returns a network whose hosts have both documents already."""
+    """Returns a network of hosts and a platform that has both documents.
+
+    Args:
+        hosts: Number of hosts.
+        centres: Number of data centres, to which hosts are assigned in turn.
+        seed: Seed of all random choices.
+        with_documents: Whether the hosts start with both documents.
+    """
     network = Network(seed)
     names = {
         f"{DATA_CENTRES[n % centres]}-host-{n:05d}": DATA_CENTRES[n % centres]
@@ -57,7 +64,7 @@
 
 
 def change_declarations(network: Network) -> int:
-    """Publishes declarations in which one customer differs."""
+    """Publishes declarations with one changed customer; returns the version."""
     version = network.documents[DECLARATIONS][0] + 1
     body = declarations(CUSTOMERS, version)
     network.documents[DECLARATIONS] = (version, body)
@@ -65,13 +72,18 @@
 
 
 def links_wire_bytes(spent: Spent) -> int:
-    """Returns the bytes of dials, pings and pongs."""
+    """Returns the bytes on the wire of dials, pings and pongs."""
     return spent.dials * dial_wire_bytes() + spent.pings * ping_wire_bytes()
 
 
 @attrs.frozen
 class _Run:
-    """What one data centre showed, by second and host where it says rate."""
+    """Measurements of one data centre.
+
+    Messages, bytes, dials, pings and processor time are per host and second;
+    `reads` is per second over all hosts, and `change_bytes` is per host and
+    change.
+    """
 
     hosts: int
     probe_messages: float
@@ -91,7 +103,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures one data centre at several numbers of hosts."""
+    """Measures one data centre with several numbers of hosts."""
     sizes = QUICK_SIZES if is_quick else SIZES
     runs = []
     for hosts in sizes:
@@ -101,7 +113,7 @@
 
 
 def _memory(sizes: tuple[int, ...]) -> Series:
-    """Measures the beliefs about the peers of one host."""
+    """Measures the memory of one host's membership state."""
     points = []
     for hosts in sizes:
         names = rank_hosts(f"dc-1-host-{n:05d}" for n in range(hosts))
@@ -148,7 +160,7 @@
 
 
 def _change(network: Network) -> list[float]:
-    """Makes changes in a row and waits for the last; returns their delays."""
+    """Makes several changes; returns the seconds until each was everywhere."""
     published = []
     for _ in range(CHANGES):
         published.append((change_declarations(network), network.now_s))
@@ -164,7 +176,7 @@
 
 
 def is_applied_everywhere(network: Network, version: int) -> bool:
-    """Whether all hosts have a version of the declarations, or a newer one."""
+    """Returns whether all hosts have a version of the declarations or newer."""
     return all(
         n.state.version_in_force(DECLARATIONS) >= version
         for n in network.nodes.values()
@@ -172,7 +184,7 @@
 
 
 def _reached_s(node: Node, version: int) -> float:
-    """Returns when a host had a version, or a newer one that overtook it."""
+    """Returns when a host first applied a version or a newer one."""
     return min(
         at_s
         for (document, applied), at_s in node.applied.items()
@@ -181,7 +193,7 @@
 
 
 def _kill_rack(network: Network) -> float:
-    """Ends a share of the hosts at once; returns when all others know."""
+    """Kills the hosts of a rack; returns the seconds until all others know."""
     names = sorted(network.nodes)
     lost = set(network.rng.sample(names, max(1, len(names) // RACK_DIVISOR)))
     for name in lost:
--- a/packages/bench/src/hollyknot_bench/slopes/_limit_tables.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_limit_tables.py
@@ -1,4 +1,7 @@
-"""Tables of limits beside a host's budget: platform, claims, data path."""
+"""Renders tables that compare costs with limits other than a host's budget.
+
+They cover the platform, the claims and the data path.
+"""
 
 from hollyknot_bench.slopes._cost import (
     CENTRE_HOSTS,
@@ -15,7 +18,7 @@
 
 
 def platform_table(slopes: Slopes) -> str:
-    """Returns changes' time and the platform's reads next to the budget."""
+    """Returns a table of change times and platform reads against the budget."""
     lookup = Lookup(slopes)
     seconds = lookup.at(
         f"spread/change everywhere worst/{CENTRE_HOSTS}", PLAN.hosts_per_centre
@@ -55,7 +58,7 @@
 
 
 def claims_table(slopes: Slopes) -> str:
-    """Returns the claims' memory for several shares."""
+    """Returns a table of claims' memory by share of non-idempotent requests."""
     lookup = Lookup(slopes)
     each = lookup.slope("claims/memory/records held") * 1e6
     rows = []
@@ -69,7 +72,7 @@
 
 
 def data_path_table(slopes: Slopes) -> str:
-    """Returns what a host's requests and tokens cost against one core."""
+    """Returns a table of the data path's processor time against one core."""
     lookup = Lookup(slopes)
     rows = [
         *_data_path(lookup, "mean", 1.0, ""),
--- a/packages/bench/src/hollyknot_bench/slopes/_links.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_links.py
@@ -1,9 +1,10 @@
 """Counts the dials and pings that messages between hosts cause.
 
-It follows the rules of the transport's links: one link each way, closed by its
-dialler after `idle_s` without a message, and pinged when nothing came back on
-it for `one_way_ping_after_s`. One-way messages are never answered on the link
-that they came by, so that each burst of them ends in a ping.
+It models the links of the transport package. Each direction between two hosts
+has its own link. The dialler closes it after `idle_s` without a message, and
+pings when it has received nothing for `one_way_ping_after_s`. One-way messages
+are never answered on the link that carried them, so each burst of them ends
+with a ping.
 """
 
 from collections.abc import Callable
@@ -30,7 +31,7 @@
 from hollyknot_transport import LinkLimits
 
 SETUP_SEGMENTS = 7
-"""Of TCP to open a connection (3) and to close it (4)."""
+"""TCP segments that open a connection (3) and close it (4)."""
 
 
 @attrs.define
@@ -40,16 +41,16 @@
 
 
 class LinkTracker:
-    """The links of all hosts, by sender and receiver."""
+    """Tracks the links of all hosts, by sender and receiver."""
 
     def __init__(
         self, on_dial: Callable[[], None], on_ping: Callable[[], None]
     ) -> None:
-        """Starts without links.
+        """Builds a tracker without links.
 
         Args:
-            on_dial: Called for each link that is opened.
-            on_ping: Called for each ping, which a pong answers.
+            on_dial: Callback for each link that is opened.
+            on_ping: Callback for each ping, which a pong answers.
         """
         self._limits = LinkLimits()
         self._on_dial = on_dial
@@ -57,7 +58,7 @@
         self._links: dict[tuple[str, str], _LinkTimes] = {}
 
     def on_message(self, sender: str, receiver: str, now_s: float) -> None:
-        """Takes a one-way message."""
+        """Records a one-way message and the dial or ping that it causes."""
         link = self._links.get((sender, receiver))
         if link is None or now_s - link.last_used_s >= self._limits.idle_s:
             self._on_dial()
@@ -65,14 +66,14 @@
             self._links[sender, receiver] = _LinkTimes(now_s, now_s)
             return
         if now_s - link.unanswered_since_s >= self._limits.one_way_ping_after_s:
-            # The ping of the earlier messages was answered since.
+            # The ping after the earlier messages has been answered by now.
             self._on_ping()
             link.unanswered_since_s = now_s
         link.last_used_s = now_s
 
 
 def dial_wire_bytes() -> int:
-    """Returns the bytes of a link's handshake, without TLS, and its end."""
+    """Returns the bytes to open and close a link, without TLS."""
     hello = Hello(LINK_VERSION, "dc-1-host-00001", "dc-1", bytes(NONCE_BYTES))
     mac = make_mac(b"key", Side.DIALLER, b"", b"")
     frames = (hello, hello, Proof(mac), Proof(mac))
@@ -81,5 +82,5 @@
 
 
 def ping_wire_bytes() -> int:
-    """Returns the bytes of a ping and its pong."""
+    """Returns the bytes on the wire of a ping and its pong."""
     return wire_bytes_of(Ping()) + wire_bytes_of(Pong())
--- a/packages/bench/src/hollyknot_bench/slopes/_lookup.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_lookup.py
@@ -1,4 +1,4 @@
-"""Values from slopes, which remembers how far each was extrapolated."""
+"""Looks up fitted values and tracks how far they were extrapolated."""
 
 import attrs
 
@@ -9,10 +9,10 @@
 
 @attrs.define
 class Lookup:
-    """Gives fitted values at the plan's size.
+    """Evaluates fits at a given size and states the basis of the values.
 
     Attributes:
-        slopes: All of one run.
+        slopes: All slopes of one run.
     """
 
     slopes: Slopes
@@ -23,7 +23,7 @@
 
     @property
     def design(self) -> Design:
-        """The constants of the measured code."""
+        """Constants of the measured code."""
         return self.slopes.design
 
     def at(self, name: str, size: float) -> float:
@@ -36,12 +36,16 @@
         return found.value
 
     def slope(self, name: str) -> float:
-        """Returns what one more of a size costs."""
+        """Returns the cost of one more unit of a slope's size."""
         self._is_used = self._is_multiplied = True
         return self.slopes.find(name).fit.slope
 
     def pop_basis(self, assumed: str = "") -> str:
-        """Returns how the values since the last call were come by."""
+        """Returns the basis of the values since the last call and resets it.
+
+        Args:
+            assumed: Assumptions to append to the basis.
+        """
         if not self._is_used:
             basis = "not measured"
         elif self._factor > _MAX_ROUNDING_FACTOR:
--- a/packages/bench/src/hollyknot_bench/slopes/_measure.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_measure.py
@@ -1,4 +1,4 @@
-"""Takes processor time and memory of calls."""
+"""Measures the processor time and memory of calls."""
 
 import gc
 import time
@@ -14,14 +14,19 @@
 MEGA = 1e6
 
 Measurement = Callable[[bool], list[Series]]
-"""Measures one mechanism; told whether to be quick."""
+"""Measures one mechanism; the argument asks for smaller, quicker sizes."""
 
 
 def cpu_us(call: Callable[[], object], count: int, rounds: int = 5) -> float:
     """Returns the processor time of a call in microseconds.
 
-    The least of some rounds: on a busy machine other processes' use of the
-    caches only adds.
+    It is the minimum over several rounds, since other processes that compete
+    for the caches can only increase it.
+
+    Args:
+        call: Function to measure.
+        count: Calls per round.
+        rounds: Number of rounds.
     """
     best = float("inf")
     for _ in range(rounds):
@@ -33,14 +38,17 @@
 
 
 def cpu_once_us(call: Callable[[], object]) -> float:
-    """Returns the processor time of one call that can't be repeated."""
+    """Returns the microseconds of processor time of a single call.
+
+    It suits calls that can't be repeated.
+    """
     began_s = time.process_time()
     call()
     return (time.process_time() - began_s) * MICRO
 
 
 def measure_memory(make: Callable[[], T]) -> tuple[T, int]:
-    """Returns what a call makes, and the bytes that it keeps."""
+    """Returns the result of a call and the bytes of memory that it retains."""
     gc.collect()
     tracemalloc.start()
     try:
--- a/packages/bench/src/hollyknot_bench/slopes/_network.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_network.py
@@ -1,4 +1,4 @@
-"""Hosts' peer states under a virtual clock, with what they spend counted."""
+"""Simulates hosts' peer states under a virtual clock and counts their costs."""
 
 import heapq
 import itertools
@@ -30,7 +30,18 @@
 
 @attrs.define
 class Node:
-    """A host with what was observed of it."""
+    """A host and the observations of it.
+
+    Attributes:
+        name: Name of the host.
+        data_centre: Data centre of the host.
+        state: Peer state of the host.
+        polled: Documents that the host polls the platform for.
+        applied: Virtual time in seconds at which the host applied each version
+            of each document.
+        ready_s: Virtual time in seconds at which the host became ready.
+        reports: Commands that the network doesn't execute.
+    """
 
     name: str
     data_centre: str
@@ -46,13 +57,24 @@
 
 
 class Network:
-    """Peer states, a platform and the messages between them."""
+    """Peer states, a platform and the messages between them.
+
+    Attributes:
+        rng: Source of all random choices.
+        now_s: Virtual time in seconds.
+        nodes: Running hosts, by name.
+        documents: Newest version and body of each document on the platform.
+        spent: Costs since the last `pop_spent`.
+        is_partitioned: Whether messages from one host to another are lost.
+        is_platform_unreachable: Whether a host can't read the platform.
+        before_tick: Callback before each tick of a host.
+    """
 
     def __init__(self, seed: int = 1) -> None:
-        """Starts without hosts.
+        """Builds a network without hosts.
 
         Args:
-            seed: Of all random choices.
+            seed: Seed of all random choices.
         """
         self.rng = random.Random(seed)
         self.now_s = 100.0
@@ -70,7 +92,7 @@
         self._checked: dict[DocumentVersion, object] = {}
 
     def add(self, name: str, data_centre: str) -> Node:
-        """Starts a host that knows nothing."""
+        """Starts a host that has no documents."""
         rng = random.Random(self.rng.random())
         checks = {
             DocumentKind.DECLARATIONS: self._cached(check_declarations),
@@ -83,7 +105,7 @@
         return node
 
     def load_documents(self) -> None:
-        """Gives every host what the platform has."""
+        """Applies the platform's documents at every host."""
         for node in self.nodes.values():
             for document, (version, body) in self.documents.items():
                 commands = node.state.on_platform_document(
@@ -92,11 +114,11 @@
                 self._execute(node, commands)
 
     def kill(self, name: str) -> None:
-        """Ends a host."""
+        """Kills a host."""
         del self.nodes[name]
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time and runs the events that fall due."""
         end_s = self.now_s + seconds
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, call = heapq.heappop(self._events)
@@ -104,21 +126,27 @@
         self.now_s = end_s
 
     def run_until(self, is_done: Callable[[], bool], limit_s: float) -> float:
-        """Lets time pass until something holds; returns how long it took."""
+        """Advances time until a condition holds; returns the seconds taken.
+
+        It gives up after `limit_s` and then returns at least that.
+        """
         began_s = self.now_s
         while not is_done() and self.now_s - began_s < limit_s:
             self.run(0.05)
         return self.now_s - began_s
 
     def pop_spent(self) -> Spent:
-        """Returns what was spent since the last call."""
+        """Returns the costs since the last call and resets them."""
         spent, self.spent = self.spent, Spent()
         return spent
 
     def applied_everywhere_s(
         self, document: DocumentKind, version: int
     ) -> float:
-        """Returns when the last host had a version; infinity if one lacks."""
+        """Returns when the last host applied a version.
+
+        It is infinite while a host has not applied it.
+        """
         key = (document, version)
         return max(
             n.applied.get(key, float("inf")) for n in self.nodes.values()
@@ -127,7 +155,8 @@
     def _cached(
         self, check: Callable[[Candidate], object]
     ) -> Callable[[Candidate], object]:
-        # The checks' own cost is measured by itself, at the full size.
+        # Caching leaves out the cost of the checks, which is measured
+        # separately at full size.
         def checked(candidate: Candidate) -> object:
             key = candidate.snapshot.version
             if key not in self._checked:
--- a/packages/bench/src/hollyknot_bench/slopes/_page.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_page.py
@@ -1,4 +1,4 @@
-"""Puts the tables into the page, between their markers."""
+"""Renders the tables into the capacity page, between their markers."""
 
 import re
 
@@ -11,14 +11,14 @@
 
 
 def render_page(page: str, slopes: Slopes) -> str:
-    """Returns the page with its tables worked out from slopes.
+    """Returns the page with its tables computed from slopes.
 
     Args:
-        page: The page as it is.
-        slopes: Measured.
+        page: Current text of the page.
+        slopes: Measured slopes.
 
     Raises:
-        ValueError: The page lacks a table, or has one that is unknown.
+        ValueError: The markers of a table are missing, repeated or unknown.
     """
     found = [match.group(2) for match in _TABLE_PATTERN.finditer(page)]
     if sorted(found) != sorted(TABLES):
--- a/packages/bench/src/hollyknot_bench/slopes/_peer_roles.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_peer_roles.py
@@ -1,4 +1,4 @@
-"""Roles between hosts and towards the platform."""
+"""Computes the costs of the roles between hosts and towards the platform."""
 
 from collections.abc import Iterator
 
@@ -22,7 +22,7 @@
 
 
 def gossip_peer(lookup: Lookup) -> Iterator[Row]:
-    """Returns what every host keeps and tells of documents and signals."""
+    """Returns the costs of gossip about documents and signals."""
     taken = lookup.at("declarations/delta taken cpu/customers", PLAN.customers)
     bytes_ = lookup.slope("spread/bytes/changes/s") * PLAN.changes_s
     memory = lookup.at("declarations/memory in force/customers", PLAN.customers)
@@ -83,7 +83,7 @@
 
 
 def prober(lookup: Lookup) -> Iterator[Row]:
-    """Returns what probes, links and load reports cost."""
+    """Returns the costs of probes, links and load reports."""
     hosts = PLAN.hosts_per_centre
     probes = lookup.at(f"membership/probe messages/{CENTRE_HOSTS}", hosts)
     yield make_row(
@@ -130,7 +130,7 @@
 
 
 def reader(lookup: Lookup) -> Iterator[Row]:
-    """Returns what reading the platform costs."""
+    """Returns the costs of reading the platform."""
     share = PLAN.centres * lookup.design.readers / PLAN.hosts
     bodies = bodies_per_reader(lookup)
     reads = lookup.at("spread/reads/data centres", PLAN.centres)
@@ -172,7 +172,7 @@
 
 
 def sender(lookup: Lookup) -> Iterator[Row]:
-    """Returns what giving documents to others costs."""
+    """Returns the costs of sending documents to other hosts."""
     new_s = PLAN.replaced_per_day / DAY_S
     documents = (
         ("declarations", "customers", PLAN.customers),
--- a/packages/bench/src/hollyknot_bench/slopes/_plan.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_plan.py
@@ -1,4 +1,4 @@
-"""The size to design for, the budget of a host, and what is assumed."""
+"""Defines the planned size, the budgets and the assumptions of the model."""
 
 import math
 
@@ -9,15 +9,15 @@
 
 @attrs.frozen
 class Budget:
-    """What control may cost a host, and what all hosts may cost the platform.
+    """Limits of the control plane's costs to a host and to the platform.
 
     Attributes:
-        core_percent: Of one core.
-        memory_mb: Megabytes.
-        bytes_s: Bytes sent a second.
+        core_percent: Processor time of a host, in percent of one core.
+        memory_mb: Memory of a host, in megabytes.
+        bytes_s: Bytes that a host sends per second.
         change_s: Seconds until a change is in force everywhere.
-        reads_s: Reads of the platform a second, all hosts together.
-        value_bytes: The largest value of the configuration service.
+        reads_s: Reads of the platform per second by all hosts together.
+        value_bytes: Largest value that the configuration service stores.
     """
 
     core_percent: float = 2.1
@@ -30,21 +30,23 @@
 
 @attrs.frozen
 class Assumed:
-    """What is neither in the plan nor measured.
+    """Assumptions about what is neither in the plan nor measured.
 
     Attributes:
-        non_idempotent_share: Of all requests.
-        remember_s: For which keys of claims are remembered.
-        revisions_a_process: Of the host list, for each process that is
-            replaced: it is added, leaving, gone.
-        rack_hosts: Hosts that a rack or switch takes with it.
-        transit_s: One way between hosts, for messages one after another.
-        report_use_s: Age beyond which a load report says nothing: a few
-            half-lives of routing's trust in it.
-        worst_load: Load of the worst host over that of the mean one, as a
-            balancer deals connections and not their work.
-        estimates: Customers of whom service times would be remembered.
-        shards: Values into which the declarations would be split.
+        non_idempotent_share: Fraction of requests that aren't idempotent.
+        remember_s: Seconds for which the keys of claims are stored.
+        revisions_per_process: Revisions of the host list for each process that
+            is replaced: one each when it is added, leaving and gone.
+        rack_hosts: Hosts lost with a rack or switch.
+        transit_s: One-way delay in seconds between hosts, for messages that
+            wait for one another.
+        report_valid_s: Age in seconds from which a load report is useless: a
+            few half-lives of the weight that routing gives it.
+        shards: Values among which the declarations would be split.
+        worst_load_factor: Load of the worst host over that of the mean one. A
+            balancer distributes connections regardless of their work, so hosts
+            differ.
+        estimates: Customers whose estimates of service time would be kept.
     """
 
     non_idempotent_share: float = 0.01
@@ -60,7 +62,7 @@
 
 @attrs.frozen
 class Plan:
-    """The users' plan for two years from now."""
+    """Planned size and traffic of the whole system, two years ahead."""
 
     hosts: float = 2_500
     replicas: float = 10_000
@@ -77,37 +79,37 @@
 
     @property
     def hosts_per_centre(self) -> float:
-        """Hosts of one data centre."""
+        """Hosts per data centre."""
         return math.ceil(self.hosts / self.centres)
 
     @property
     def changes_s(self) -> float:
-        """Changes of the declarations a second."""
+        """Changes of the declarations per second."""
         return self.changes_per_day / DAY_S
 
     @property
     def requests_per_host_s(self) -> float:
-        """Requests a second at one host."""
+        """Requests per second at the mean host."""
         return self.requests_s / self.hosts
 
     @property
     def tokens_per_host_s(self) -> float:
-        """Tokens a second at one host."""
+        """Tokens per second at the mean host."""
         return self.tokens_s / self.hosts
 
     @property
     def replaced_upstreams_per_day(self) -> float:
-        """Replicas replaced a day, if they are as often as hosts (assumed)."""
+        """Replicas replaced per day, assuming the same rate as for hosts."""
         return self.replaced_per_day * self.replicas / self.hosts
 
     @property
     def host_share(self) -> float:
-        """The part of replaced processes that are hosts."""
+        """Fraction of replaced processes that are hosts, from 0 to 1."""
         hosts = self.replaced_per_day
         return hosts / (hosts + self.replaced_upstreams_per_day)
 
     def revisions_s(self, assumed: Assumed) -> float:
-        """Returns the host list's revisions a second."""
+        """Returns the revisions of the host list per second."""
         processes = self.replaced_per_day + self.replaced_upstreams_per_day
         return processes * assumed.revisions_per_process / DAY_S
 
