--- a/packages/bench/src/hollyknot_bench/slopes/_admission.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_admission.py
@@ -1,11 +1,11 @@
-"""Admission against waiting requests, customers and classes."""
+"""Measures admission against waiting requests, customers and classes."""
 
 import functools
 import random
 
 import click
 
-from hollyknot_bench.slopes._measure import MEGA, cpu_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.admission import (
     AdmissionOptions,
@@ -24,7 +24,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures the queue's processor time and memory."""
+    """Measures the admission queue's processor time and memory."""
     del is_quick
     click.echo("admission ...", err=True)
     found = []
@@ -42,7 +42,7 @@
                 "admission", "request cpu", against, "us a request", cpu
             )
         )
-    return [*found, _waiting_memory(), _known_memory()]
+    return [*found, _waiting_memory(), _served_memory()]
 
 
 def _info(number: int, customers: int, classes: int) -> RequestInfo:
@@ -73,7 +73,7 @@
 
 
 def _request_us(waiting: int, customers: int, classes: int) -> float:
-    """Returns the cost of a request that comes, starts and ends."""
+    """Returns the microseconds to queue, admit and finish one request."""
     queue = _fill(waiting, customers, classes)
     number = waiting
 
@@ -91,13 +91,13 @@
 def _waiting_memory() -> Series:
     memory = []
     for waiting in WAITING:
-        _, kept = traced(functools.partial(_fill, waiting, 64, 3))
+        _, kept = measure_memory(functools.partial(_fill, waiting, 64, 3))
         memory.append((waiting, kept / MEGA))
     return make_series("admission", "memory", "requests waiting", "MB", memory)
 
 
-def _known_memory() -> Series:
-    """Measures what is remembered of customers that were served."""
+def _served_memory() -> Series:
+    """Measures the memory kept for customers whose requests have ended."""
     memory = []
     for customers in CUSTOMERS:
 
@@ -110,6 +110,6 @@
                 queue.on_finished(info.request_id, 1.0, 200, 0.0)
             return queue
 
-        _, kept = traced(serve)
+        _, kept = measure_memory(serve)
         memory.append((customers, kept / MEGA))
     return make_series("admission", "memory", "customers", "MB", memory)
--- a/packages/bench/src/hollyknot_bench/slopes/_claims.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_claims.py
@@ -1,4 +1,4 @@
-"""Claims: messages, bytes, processor time, memory and learning."""
+"""Measures claims: messages, bytes, processor time, memory and learning."""
 
 import collections
 import functools
@@ -11,7 +11,7 @@
     host_list,
     spread_names,
 )
-from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, traced
+from hollyknot_bench.slopes._measure import MEGA, cpu_once_us, measure_memory
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_coordination.claims import (
     SLOTS,
@@ -23,7 +23,7 @@
 
 HOSTS = (8, 16, 32, 64, 128)
 RECORDS = (1_024, 2_048, 4_096, 8_192, 16_384)
-LEARNT = (256, 512, 1_024, 2_048, 4_096)
+LEARNED_RECORDS = (256, 512, 1_024, 2_048, 4_096)
 LIST_HOSTS = (156, 312, 625, 1_250, 2_500)
 UPSTREAMS = 10_000
 CENTRE_HOSTS = (17, 35, 70, 139, 278)
@@ -36,14 +36,14 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures claims against hosts and records."""
+    """Measures the cost of claims against hosts and stored records."""
     factor = QUICK_FACTOR if is_quick else 1
     return [
         *_against_hosts(HOSTS if not is_quick else (2, 4, 8, 16, 32)),
         *_against_records(tuple(n // factor for n in RECORDS)),
-        *_learning(tuple(n // factor for n in LEARNT)),
+        *_learning(tuple(n // factor for n in LEARNED_RECORDS)),
         *_placing(tuple(n // factor for n in LIST_HOSTS)),
-        _most_slots(),
+        _max_slots(),
     ]
 
 
@@ -58,10 +58,10 @@
         fleet = ClaimsFleet(_names(hosts))
         fleet.settle()
         steps = fleet.steps
-        started = fleet.take_spent()
+        started = fleet.pop_spent()
         fleet.now_s += 10.0
         _claim_many(fleet, CLAIMS)
-        spent = fleet.take_spent()
+        spent = fleet.pop_spent()
         for name, value in (
             ("messages", spent.messages / CLAIMS),
             ("bytes", spent.wire_bytes / CLAIMS),
@@ -92,19 +92,21 @@
 def _claim_many(
     fleet: ClaimsFleet, count: int, slots: list[int] | None = None
 ) -> None:
-    """Claims and completes keys, by each host in turn."""
+    """Claims and completes keys, each by the next host in turn."""
     slots = slots or fleet.own_slots
     names = list(fleet.hosts)
     for number in range(count):
         key = fleet.key(number, slots[number % len(slots)])
         name = names[number % len(names)]
         if not fleet.claim(name, key):
-            raise RuntimeError(f"claim {number} was refused")
+            raise RuntimeError(
+                f"claim {number} of {count}, by {name}, was refused"
+            )
         fleet.finish(name, key, Outcome.COMPLETE)
 
 
 def _against_records(sizes: tuple[int, ...]) -> list[Series]:
-    """Fills one holder and measures what a record costs."""
+    """Measures the memory and processor time that each stored record adds."""
     memory: list[Point] = []
     cpu: list[Point] = []
     for records in sizes:
@@ -112,14 +114,14 @@
         fleet = ClaimsFleet(_names(1))
         fleet.settle()
         fleet.now_s += 10.0
-        _, kept = traced(functools.partial(_claim_many, fleet, records))
+        _, kept = measure_memory(functools.partial(_claim_many, fleet, records))
         memory.append((records, kept / MEGA))
-        fleet.take_spent()
+        fleet.pop_spent()
         slots = fleet.own_slots
         for number in range(CLAIMS):
             key = fleet.key(records + number, slots[number % len(slots)])
             fleet.claim("host-00000", key)
-        cpu.append((records, fleet.take_spent().cpu_s * _US / CLAIMS))
+        cpu.append((records, fleet.pop_spent().cpu_s * _US / CLAIMS))
     against = "records held"
     return [
         make_series("claims", "memory", against, "MB", memory),
@@ -128,7 +130,7 @@
 
 
 def _learning(sizes: tuple[int, ...]) -> list[Series]:
-    """Replaces one holder and measures what its successors cost."""
+    """Measures the cost of replacing one holder of a slot."""
     found: dict[str, list[Point]] = {}
     for records in sizes:
         click.echo(f"learning {records} records ...", err=True)
@@ -139,15 +141,15 @@
         slot = fleet.own_slots[0]
         lost = fleet.placement.group(slot)[0]
         _claim_many(fleet, records, [slot])
-        fleet.take_spent()
+        fleet.pop_spent()
         del fleet.hosts[lost]
         fleet.publish([n for n in names if n != lost])
         for name in fleet.hosts:
-            fleet.see(name)
+            fleet.read_list(name)
         before = fleet.steps
         fleet.settle()
         steps = fleet.steps - before
-        spent = fleet.take_spent()
+        spent = fleet.pop_spent()
         found.setdefault("bytes", []).append((records, spent.wire_bytes))
         found.setdefault("cpu", []).append((records, spent.cpu_s * _US))
         found.setdefault("steps", []).append((records, steps))
@@ -171,10 +173,11 @@
 
 
 def _placing(sizes: tuple[int, ...]) -> list[Series]:
-    """Measures what a newer list costs a holder, with the plan's upstreams.
+    """Measures what a newer host list costs a holder.
 
-    Most lists change no host of the holder's data centre: there the placement
-    takes the groups over from the one before.
+    Most lists change no host of the holder's data centre; the placement then
+    reuses the groups of the previous placement. The list has the upstreams of
+    the plan.
     """
     moved: list[Point] = []
     kept: list[Point] = []
@@ -201,20 +204,20 @@
     placements = [make_placement(listed, PLAN_CENTRES)]
     holder.update(placements[0], now)
 
-    def take(revision: int) -> None:
+    def update_list(revision: int) -> None:
         before = placements[-1] if is_kept else None
         again = HostList(revision, listed.entries)
         placements.append(make_placement(again, PLAN_CENTRES, before))
         holder.update(placements[-1], now)
 
     return min(
-        cpu_once_us(functools.partial(take, revision))
+        cpu_once_us(functools.partial(update_list, revision))
         for revision in range(2, 5)
     )
 
 
-def _most_slots() -> Series:
-    """Counts the slots of the host that holds most in all data centres."""
+def _max_slots() -> Series:
+    """Counts the slots of the host that holds the most, for each size."""
     points: list[Point] = []
     centres = len(PLAN_CENTRES)
     for hosts in CENTRE_HOSTS:
--- a/packages/bench/src/hollyknot_bench/slopes/_gossip.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_gossip.py
@@ -1,4 +1,4 @@
-"""Membership, links and the spread of changes against a data centre's hosts."""
+"""Measures membership, links and gossip against a data centre's hosts."""
 
 import functools
 import random
@@ -12,7 +12,7 @@
     hosts_body,
 )
 from hollyknot_bench.slopes._links import dial_wire_bytes, ping_wire_bytes
-from hollyknot_bench.slopes._measure import MEGA, traced
+from hollyknot_bench.slopes._measure import MEGA, measure_memory
 from hollyknot_bench.slopes._network import Network, Node
 from hollyknot_bench.slopes._series import Series, make_series
 from hollyknot_bench.slopes._spent import Spent
@@ -25,13 +25,13 @@
 QUICK_SIZES = (2, 4, 8, 16, 32)
 CUSTOMERS = 20
 LINKS_SETTLE_S = 65.0
-"""Longer than links may idle, so that dials have come to a steady rate."""
+"""Longer than links may idle, so that the rate of dials has become steady."""
 
 QUIET_S = 20.0
 CHANGES = 8
 CHANGE_EVERY_S = 2.5
-RACK_SHARE = 16
-"""One host in so many dies at one moment: a rack."""
+RACK_DIVISOR = 16
+"""The loss of a rack kills one host in this many at the same time."""
 
 SETTLE_LIMIT_S = 120.0
 PROBES = ("Probe", "ProbeAck", "IndirectProbe")
@@ -41,7 +41,14 @@
 def make_network(
     hosts: int, centres: int = 1, seed: int = 1, with_documents: bool = True
 ) -> Network:
-    """Returns a network whose hosts have both documents already."""
+    """Returns a network of hosts and a platform that has both documents.
+
+    Args:
+        hosts: Number of hosts.
+        centres: Number of data centres, to which hosts are assigned in turn.
+        seed: Seed of all random choices.
+        with_documents: Whether the hosts start with both documents.
+    """
     network = Network(seed)
     names = {
         f"{DATA_CENTRES[n % centres]}-host-{n:05d}": DATA_CENTRES[n % centres]
@@ -52,12 +59,12 @@
     for name, centre in names.items():
         network.add(name, centre)
     if with_documents:
-        network.give_documents()
+        network.load_documents()
     return network
 
 
 def change_declarations(network: Network) -> int:
-    """Publishes declarations in which one customer differs."""
+    """Publishes declarations with one changed customer; returns the version."""
     version = network.documents[DECLARATIONS][0] + 1
     body = declarations(CUSTOMERS, version)
     network.documents[DECLARATIONS] = (version, body)
@@ -65,13 +72,18 @@
 
 
 def links_wire_bytes(spent: Spent) -> int:
-    """Returns the bytes of dials, pings and pongs."""
+    """Returns the bytes on the wire of dials, pings and pongs."""
     return spent.dials * dial_wire_bytes() + spent.pings * ping_wire_bytes()
 
 
 @attrs.frozen
 class _Run:
-    """What one data centre showed, by second and host where it says rate."""
+    """Measurements of one data centre.
+
+    Messages, bytes, dials, pings and processor time are per host and second;
+    `reads` is per second over all hosts, and `change_bytes` is per host and
+    change.
+    """
 
     hosts: int
     probe_messages: float
@@ -91,7 +103,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures one data centre at several numbers of hosts."""
+    """Measures one data centre with several numbers of hosts."""
     sizes = QUICK_SIZES if is_quick else SIZES
     runs = []
     for hosts in sizes:
@@ -101,13 +113,13 @@
 
 
 def _memory(sizes: tuple[int, ...]) -> Series:
-    """Measures the beliefs about the peers of one host."""
+    """Measures the memory of one host's membership state."""
     points = []
     for hosts in sizes:
         names = rank_hosts(f"dc-1-host-{n:05d}" for n in range(hosts))
         membership = Membership(names[0], random.Random(1), 0.0)
         fill = functools.partial(membership.set_hosts, names, 0.0)
-        _, kept = traced(fill)
+        _, kept = measure_memory(fill)
         points.append((hosts, kept / MEGA))
     against = "hosts of a data centre"
     return make_series("membership", "memory", against, "MB", points)
@@ -116,15 +128,15 @@
 def _run(hosts: int) -> _Run:
     network = make_network(hosts)
     network.run(LINKS_SETTLE_S)
-    network.take_spent()
+    network.pop_spent()
     network.run(QUIET_S)
-    quiet = network.take_spent()
+    quiet = network.pop_spent()
     began_s = network.now_s
     delays = _change(network)
-    changing = network.take_spent()
+    changing = network.pop_spent()
     share = (network.now_s - began_s) / QUIET_S
-    rack_s = _lose_rack(network)
-    after = network.take_spent()
+    rack_s = _kill_rack(network)
+    after = network.pop_spent()
     each = hosts * QUIET_S
     extra = changing.total_wire() - quiet.total_wire() * share
     dying = after.total_messages() / max(rack_s, 1e-9) / len(network.nodes)
@@ -148,21 +160,23 @@
 
 
 def _change(network: Network) -> list[float]:
-    """Makes changes in a row and waits for the last; returns their delays."""
+    """Makes several changes; returns the seconds until each was everywhere."""
     published = []
     for _ in range(CHANGES):
         published.append((change_declarations(network), network.now_s))
         network.run(CHANGE_EVERY_S)
     last = published[-1][0]
-    network.run_until(lambda: is_everywhere(network, last), SETTLE_LIMIT_S)
+    network.run_until(
+        lambda: is_applied_everywhere(network, last), SETTLE_LIMIT_S
+    )
     return [
         max(_reached_s(n, version) for n in network.nodes.values()) - at_s
         for version, at_s in published
     ]
 
 
-def is_everywhere(network: Network, version: int) -> bool:
-    """Whether all hosts have a version of the declarations, or a newer one."""
+def is_applied_everywhere(network: Network, version: int) -> bool:
+    """Returns whether all hosts have a version of the declarations or newer."""
     return all(
         n.state.version_in_force(DECLARATIONS) >= version
         for n in network.nodes.values()
@@ -170,7 +184,7 @@
 
 
 def _reached_s(node: Node, version: int) -> float:
-    """Returns when a host had a version, or a newer one that overtook it."""
+    """Returns when a host first applied a version or a newer one."""
     return min(
         at_s
         for (document, applied), at_s in node.applied.items()
@@ -178,10 +192,10 @@
     )
 
 
-def _lose_rack(network: Network) -> float:
-    """Ends a share of the hosts at once; returns when all others know."""
+def _kill_rack(network: Network) -> float:
+    """Kills the hosts of a rack; returns the seconds until all others know."""
     names = sorted(network.nodes)
-    lost = set(network.rng.sample(names, max(1, len(names) // RACK_SHARE)))
+    lost = set(network.rng.sample(names, max(1, len(names) // RACK_DIVISOR)))
     for name in lost:
         network.kill(name)
 
--- a/packages/bench/src/hollyknot_bench/slopes/_network.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_network.py
@@ -1,4 +1,4 @@
-"""Hosts' peer states under a virtual clock, with what they spend counted."""
+"""Simulates hosts' peer states under a virtual clock and counts their costs."""
 
 import heapq
 import itertools
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hollyknot_bench.slopes._links import LinkLedger
+from hollyknot_bench.slopes._links import LinkTracker
 from hollyknot_bench.slopes._spent import Spent
 from hollyknot_bench.slopes._wire import frame_of, read_back
 from hollyknot_coordination.checks import check_declarations, check_hosts
@@ -30,12 +30,23 @@
 
 @attrs.define
 class Node:
-    """A host with what was observed of it."""
+    """A host and the observations of it.
+
+    Attributes:
+        name: Name of the host.
+        data_centre: Data centre of the host.
+        state: Peer state of the host.
+        polled: Documents that the host polls the platform for.
+        applied: Virtual time in seconds at which the host applied each version
+            of each document.
+        ready_s: Virtual time in seconds at which the host became ready.
+        reports: Commands that the network doesn't execute.
+    """
 
     name: str
     data_centre: str
     state: PeerState
-    watching: set[DocumentKind] = attrs.Factory(set)
+    polled: set[DocumentKind] = attrs.Factory(set)
     applied: dict[tuple[DocumentKind, int], float] = attrs.Factory(dict)
     ready_s: float = float("inf")
     reports: list[Any] = attrs.Factory(list)
@@ -46,29 +57,42 @@
 
 
 class Network:
-    """Peer states, a platform and the messages between them."""
+    """Peer states, a platform and the messages between them.
+
+    Attributes:
+        rng: Source of all random choices.
+        now_s: Virtual time in seconds.
+        nodes: Running hosts, by name.
+        documents: Newest version and body of each document on the platform.
+        spent: Costs since the last `pop_spent`.
+        is_partitioned: Whether messages from one host to another are lost.
+        is_platform_unreachable: Whether a host can't read the platform.
+        before_tick: Callback before each tick of a host.
+    """
 
     def __init__(self, seed: int = 1) -> None:
-        """Starts without hosts.
+        """Builds a network without hosts.
 
         Args:
-            seed: Of all random choices.
+            seed: Seed of all random choices.
         """
         self.rng = random.Random(seed)
         self.now_s = 100.0
         self.nodes: dict[str, Node] = {}
         self.documents: dict[DocumentKind, tuple[int, bytes]] = {}
         self.spent = Spent()
-        self.is_cut: Callable[[str, str], bool] = lambda _a, _b: False
-        self.is_platform_cut: Callable[[str], bool] = lambda _name: False
-        self.each_tick: EachTick = lambda _node, _now_s: None
-        self._links = LinkLedger(self._on_dial, self._on_ping)
+        self.is_partitioned: Callable[[str, str], bool] = lambda _a, _b: False
+        self.is_platform_unreachable: Callable[[str], bool] = lambda _name: (
+            False
+        )
+        self.before_tick: EachTick = lambda _node, _now_s: None
+        self._links = LinkTracker(self._on_dial, self._on_ping)
         self._events: list[tuple[float, int, Call]] = []
         self._count = itertools.count()
         self._checked: dict[DocumentVersion, object] = {}
 
     def add(self, name: str, data_centre: str) -> Node:
-        """Starts a host that knows nothing."""
+        """Starts a host that has no documents."""
         rng = random.Random(self.rng.random())
         checks = {
             DocumentKind.DECLARATIONS: self._cached(check_declarations),
@@ -80,8 +104,8 @@
         self._later(rng.uniform(0, TICK_S), lambda: self._tick(node))
         return node
 
-    def give_documents(self) -> None:
-        """Gives every host what the platform has."""
+    def load_documents(self) -> None:
+        """Applies the platform's documents at every host."""
         for node in self.nodes.values():
             for document, (version, body) in self.documents.items():
                 commands = node.state.on_platform_document(
@@ -90,11 +114,11 @@
                 self._execute(node, commands)
 
     def kill(self, name: str) -> None:
-        """Ends a host."""
+        """Kills a host."""
         del self.nodes[name]
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time and runs the events that fall due."""
         end_s = self.now_s + seconds
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, call = heapq.heappop(self._events)
@@ -102,21 +126,27 @@
         self.now_s = end_s
 
     def run_until(self, is_done: Callable[[], bool], limit_s: float) -> float:
-        """Lets time pass until something holds; returns how long it took."""
+        """Advances time until a condition holds; returns the seconds taken.
+
+        It gives up after `limit_s` and then returns at least that.
+        """
         began_s = self.now_s
         while not is_done() and self.now_s - began_s < limit_s:
             self.run(0.05)
         return self.now_s - began_s
 
-    def take_spent(self) -> Spent:
-        """Returns what was spent since the last call."""
+    def pop_spent(self) -> Spent:
+        """Returns the costs since the last call and resets them."""
         spent, self.spent = self.spent, Spent()
         return spent
 
     def applied_everywhere_s(
         self, document: DocumentKind, version: int
     ) -> float:
-        """Returns when the last host had a version; infinity if one lacks."""
+        """Returns when the last host applied a version.
+
+        It is infinite while a host has not applied it.
+        """
         key = (document, version)
         return max(
             n.applied.get(key, float("inf")) for n in self.nodes.values()
@@ -125,7 +155,8 @@
     def _cached(
         self, check: Callable[[Candidate], object]
     ) -> Callable[[Candidate], object]:
-        # The checks' own cost is measured by itself, at the full size.
+        # Caching leaves out the cost of the checks, which is measured
+        # separately at full size.
         def checked(candidate: Candidate) -> object:
             key = candidate.snapshot.version
             if key not in self._checked:
@@ -141,7 +172,7 @@
     def _tick(self, node: Node) -> None:
         if self.nodes.get(node.name) is not node:
             return
-        self.each_tick(node, self.now_s)
+        self.before_tick(node, self.now_s)
         began_s = time.process_time()
         commands = node.state.on_tick(self.now_s)
         self.spent.cpu_s += time.process_time() - began_s
@@ -158,10 +189,10 @@
                 case Apply(document=document, version=version):
                     node.applied[document, version] = self.now_s
                 case StartPolling(document=document, pause_s=pause_s):
-                    node.watching.add(document)
+                    node.polled.add(document)
                     self._read(node, document, pause_s)
                 case StopPolling(document=document):
-                    node.watching.discard(document)
+                    node.polled.discard(document)
                 case _:
                     node.reports.append(command)
 
@@ -176,7 +207,7 @@
 
     def _deliver(self, sender: str, receiver: str, message: Any) -> None:
         node = self.nodes.get(receiver)
-        if node is None or self.is_cut(sender, receiver):
+        if node is None or self.is_partitioned(sender, receiver):
             return
         began_s = time.process_time()
         commands = node.state.on_message(sender, message, self.now_s)
@@ -186,13 +217,13 @@
     def _read(self, node: Node, document: DocumentKind, pause_s: float) -> None:
         if self.nodes.get(node.name) is not node:
             return
-        if document not in node.watching:
+        if document not in node.polled:
             return
         self._later(
             pause_s * self.rng.uniform(0.5, 1.5),
             lambda: self._read(node, document, pause_s),
         )
-        if self.is_platform_cut(node.name):
+        if self.is_platform_unreachable(node.name):
             return
         self.spent.reads += 1
         version, body = self.documents.get(document, (0, b""))
