--- a/packages/bench/src/hollyknot_bench/slopes/_real_data_path.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_data_path.py
@@ -18,15 +18,15 @@
 from hollyknot_bench.slopes._series import Series, make_series
 
 SETTLE_S = 3.0
-SECONDS = 2.5
+LOAD_S = 2.5
 STREAMS = (16, 32, 64, 128, 256)
 RATES = (12, 24, 48, 96, 192)
 TOKEN_INTERVAL_S = 0.02
 SLOW_FACTOR = 100.0
 SLOTS = 300
-LONG = 100_000
+LONG_ANSWER_TOKENS = 100_000
 MEGA = 1e6
-CENTRE = "hall-a"
+DATA_CENTRE = "hall-a"
 
 
 def measure(is_quick: bool) -> list[Series]:
@@ -40,10 +40,10 @@
         hosts=1,
         engines=4,
         services=0,
-        data_centres=(CENTRE,),
+        data_centres=(DATA_CENTRE,),
         token_interval_s=TOKEN_INTERVAL_S,
         slots=SLOTS,
-        engine_tokens=LONG,
+        engine_tokens=LONG_ANSWER_TOKENS,
     )
     cpu = []
     async with (
@@ -53,22 +53,22 @@
         await until_ready(session, fleet)
         await asyncio.sleep(SETTLE_S)
         host = next(iter(fleet.hosts.values()))
-        target = _target(fleet, LONG, True)
+        target = _target(fleet, LONG_ANSWER_TOKENS, True)
         click.echo("open streams ...", err=True)
         # Tokens are rare, so that held streams cost memory and little else.
-        await _pace(session, fleet, SLOW_FACTOR)
+        await _set_token_pace(session, fleet, SLOW_FACTOR)
         held = await run_held(HeldLoad(target, STREAMS, 1.0, host.pid))
-        await _pace(session, fleet, 1.0)
+        await _set_token_pace(session, fleet, 1.0)
         await asyncio.sleep(SETTLE_S)
         for streams in STREAMS:
             click.echo(f"{streams} streams ...", err=True)
-            load = StreamLoad(target, streams, 1.0, SECONDS, {"host": host.pid})
+            load = StreamLoad(target, streams, 1.0, LOAD_S, {"host": host.pid})
             result = await run_streams(load)
             if result.failed:
                 raise RuntimeError(f"{result.failed} streams failed")
             rate = result.tokens / result.elapsed_s
             cpu.append((rate, result.cpu_s["host"] / result.elapsed_s * 100))
-        requests = [(n, await _requests(fleet, n)) for n in RATES]
+        requests = [(n, await _request_core_percent(fleet, n)) for n in RATES]
     memory = [b / MEGA for b in held.resident_bytes]
     return [
         make_series("processes", "stream cpu", "tokens/s", "% of a core", cpu),
@@ -85,12 +85,12 @@
     ]
 
 
-async def _requests(fleet: Fleet, rate: int) -> float:
+async def _request_core_percent(fleet: Fleet, rate: int) -> float:
     """Returns a core's percent for whole answers of one token."""
     click.echo(f"{rate} requests/s ...", err=True)
     host = next(iter(fleet.hosts.values()))
     load = WholeLoad(
-        (_target(fleet, 1, False),), rate, SECONDS, 1, {"host": host.pid}
+        (_target(fleet, 1, False),), rate, LOAD_S, 1, {"host": host.pid}
     )
     result = await run_whole(load)
     if result.failed:
@@ -111,7 +111,7 @@
     return Target("host", url, sent, orjson.dumps(body).decode())
 
 
-async def _pace(
+async def _set_token_pace(
     session: aiohttp.ClientSession, fleet: Fleet, factor: float
 ) -> None:
     """Sets the engines' time between tokens, as a factor."""
--- a/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
@@ -14,15 +14,15 @@
 from hollyknot_bench.slopes._series import Series, make_series
 
 HOSTS = (1, 2, 4, 8, 16)
-QUICK_SECONDS = 2.0
-SECONDS = 6.0
+QUICK_WINDOW_S = 2.0
+WINDOW_S = 6.0
 SETTLE_S = 3.0
 MEGA = 1e6
-CENTRE = "hall-a"
+DATA_CENTRE = "hall-a"
 
 
 @attrs.frozen
-class _Rest:
+class _IdleCost:
     hosts: int
     resident_mb: float
     core_percent: float
@@ -36,11 +36,11 @@
 
 
 async def _measure(is_quick: bool) -> list[Series]:
-    seconds = QUICK_SECONDS if is_quick else SECONDS
+    seconds = QUICK_WINDOW_S if is_quick else WINDOW_S
     found = []
     for hosts in HOSTS:
         click.echo(f"{hosts} host processes ...", err=True)
-        found.append(await _rest(hosts, seconds))
+        found.append(await _measure_idle(hosts, seconds))
     named = (
         ("resident memory", "MB", "resident_mb"),
         ("cpu at rest", "% of a core", "core_percent"),
@@ -59,9 +59,9 @@
     ]
 
 
-async def _rest(hosts: int, seconds: float) -> _Rest:
+async def _measure_idle(hosts: int, seconds: float) -> _IdleCost:
     options = FleetOptions(
-        hosts=hosts, engines=1, services=0, data_centres=(CENTRE,)
+        hosts=hosts, engines=1, services=0, data_centres=(DATA_CENTRE,)
     )
     async with (
         running_fleet(options) as fleet,
@@ -82,7 +82,7 @@
         # All at once: the fleet would wait for one after the other.
         for host in fleet.hosts.values():
             host.send(signal.SIGTERM)
-    return _Rest(
+    return _IdleCost(
         hosts,
         resident / MEGA,
         spent / each * 100,
--- a/packages/bench/src/hollyknot_bench/slopes/_real_links.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_links.py
@@ -23,8 +23,8 @@
 ROUNDS = 3
 IP = "127.0.0.1"
 _KEY = b"a key of links over loopback only"
-_US = 1e6
-_WAIT_S = 10.0
+_US_PER_S = 1e6
+_TIMEOUT_S = 10.0
 
 
 def measure(is_quick: bool) -> list[Series]:
@@ -36,9 +36,9 @@
 
 async def _measure() -> list[Series]:
     # The first use of a code path costs more than any later one.
-    await _dials(DIALS[0])
-    dials = [(n, await _least(_dials, n)) for n in DIALS]
-    messages = [(n, await _least(_messages, n)) for n in MESSAGES]
+    await _dial_cpu_us(DIALS[0])
+    dials = [(n, await _minimum(_dial_cpu_us, n)) for n in DIALS]
+    messages = [(n, await _minimum(_message_cpu_us, n)) for n in MESSAGES]
     return [
         make_series("links", "dial cpu", "dials", "us, both ends", dials),
         make_series(
@@ -47,68 +47,68 @@
     ]
 
 
-async def _least(
+async def _minimum(
     measure_one: Callable[[int], Awaitable[float]], count: int
 ) -> float:
     return min([await measure_one(count) for _ in range(ROUNDS)])
 
 
-class _Ends:
+class _Receiver:
     """Counts what arrives."""
 
     def __init__(self) -> None:
         self.received = 0
-        self._came = asyncio.Event()
+        self._arrived = asyncio.Event()
 
     async def handle(
         self, _peer: object, _message: object, _trace: str
     ) -> NoReply:
         self.received += 1
-        self._came.set()
+        self._arrived.set()
         return NoReply.NO_REPLY
 
-    async def until(self, count: int) -> None:
-        async with asyncio.timeout(_WAIT_S):
+    async def wait_for(self, count: int) -> None:
+        async with asyncio.timeout(_TIMEOUT_S):
             while self.received < count:
-                self._came.clear()
-                await self._came.wait()
+                self._arrived.clear()
+                await self._arrived.wait()
 
 
-async def _dials(count: int) -> float:
+async def _dial_cpu_us(count: int) -> float:
     """Returns the processor time of so many links, each to its own server."""
-    ends = _Ends()
+    receiver = _Receiver()
     async with contextlib.AsyncExitStack() as stack:
-        ports = [await _listen(stack, ends, n) for n in range(count)]
+        ports = [await _listen(stack, receiver, n) for n in range(count)]
         pool = await stack.enter_async_context(_pool())
         began_s = time.process_time()
         for port in ports:
             pool.post(IP, port, Gossip())
-        await ends.until(count)
-        return (time.process_time() - began_s) * _US
+        await receiver.wait_for(count)
+        return (time.process_time() - began_s) * _US_PER_S
 
 
-async def _messages(count: int) -> float:
+async def _message_cpu_us(count: int) -> float:
     """Returns the processor time of so many messages on one link."""
-    ends = _Ends()
+    receiver = _Receiver()
     async with contextlib.AsyncExitStack() as stack:
-        port = await _listen(stack, ends, 0)
+        port = await _listen(stack, receiver, 0)
         pool = await stack.enter_async_context(_pool())
         pool.post(IP, port, Gossip())
-        await ends.until(1)
+        await receiver.wait_for(1)
         began_s = time.process_time()
         for number in range(count):
             pool.post(IP, port, Gossip())
             # One at a time, as gossip comes; a burst would share its system
             # calls.
-            await ends.until(number + 2)
-        return (time.process_time() - began_s) * _US
+            await receiver.wait_for(number + 2)
+        return (time.process_time() - began_s) * _US_PER_S
 
 
 async def _listen(
-    stack: contextlib.AsyncExitStack, ends: _Ends, number: int
+    stack: contextlib.AsyncExitStack, receiver: _Receiver, number: int
 ) -> int:
     credentials = LinkCredentials(f"host-{number}", "dc-1", (_KEY,))
-    server = LinkServer(Address(IP, 0), credentials, ends.handle)
+    server = LinkServer(Address(IP, 0), credentials, receiver.handle)
     await stack.enter_async_context(server)
     return server.port
 
--- a/packages/bench/src/hollyknot_bench/slopes/_remedies.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_remedies.py
@@ -49,9 +49,9 @@
     return (
         *_claims(look),
         *_declarations(look),
-        *_bytes(look),
+        *_claim_traffic(look),
         *_estimates(look),
-        *_values(look),
+        *_document_value(look),
         *_reports(look),
     )
 
@@ -105,7 +105,7 @@
     )
 
 
-def _bytes(look: Lookup) -> Iterator[Remedy]:
+def _claim_traffic(look: Lookup) -> Iterator[Remedy]:
     rows = roles(Lookup(look.slopes))
     after = sum(row.mean_after.bytes_s for row in rows)
     rate = PLAN.requests_a_host_s * ASSUMED.non_idempotent_share
@@ -139,7 +139,7 @@
     )
 
 
-def _values(look: Lookup) -> Iterator[Remedy]:
+def _document_value(look: Lookup) -> Iterator[Remedy]:
     body = look.at(f"{_DECLARATIONS}/body/customers", PLAN.customers)
     received = bodies_a_reader(look) * PLAN.changes_s * body
     shards = ASSUMED.shards
--- a/packages/bench/src/hollyknot_bench/slopes/_reports.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_reports.py
@@ -15,7 +15,7 @@
 from hollyknot_state import HostList, HostListEntry, Role
 
 REPORTS = (16, 32, 64, 128, 256)
-SEGMENTS = 9
+SEGMENTS_PER_REPORT = 9
 """Of TCP for one exchange: 3 to open, the request, the answer, 4 to close."""
 
 _BODY = (
@@ -28,9 +28,9 @@
     b"Server: engine\r\n\r\n"
 )
 _ANSWER = _HEAD % len(_BODY) + _BODY
-_US = 1e6
-_WAIT_S = 20.0
-_AT_ONCE = 2
+_US_PER_S = 1e6
+_TIMEOUT_S = 20.0
+_CONCURRENT_REPORTS = 2
 ROUNDS = 3
 
 
@@ -47,20 +47,20 @@
     def __init__(self) -> None:
         self.asked = 0
         self.received = 0
-        self._came = asyncio.Event()
+        self._arrived = asyncio.Event()
 
-    async def until(self, asked: int) -> None:
+    async def wait_for(self, asked: int) -> None:
         """Waits until so many reports were asked for."""
         while self.asked < asked:
-            self._came.clear()
-            await self._came.wait()
+            self._arrived.clear()
+            await self._arrived.wait()
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.received += len(await reader.readuntil(b"\r\n\r\n"))
         self.asked += 1
-        self._came.set()
+        self._arrived.set()
         writer.write(_ANSWER)
         writer.close()
 
@@ -73,16 +73,16 @@
     probes = Probes(_table(port), clock)
     cpu, size = [], []
     try:
-        await _ask(probes, engine, REPORTS[0])
+        await _request_reports(probes, engine, REPORTS[0])
         for count in REPORTS:
             spent = []
             for _ in range(ROUNDS):
                 engine.received = 0
                 began_s = time.process_time()
-                await _ask(probes, engine, count)
-                spent.append((time.process_time() - began_s) * _US)
+                await _request_reports(probes, engine, count)
+                spent.append((time.process_time() - began_s) * _US_PER_S)
             cpu.append((count, min(spent)))
-            each = len(_ANSWER) + SEGMENTS * SEGMENT_HEADER_BYTES
+            each = len(_ANSWER) + SEGMENTS_PER_REPORT * SEGMENT_HEADER_BYTES
             size.append((count, engine.received + count * each))
     finally:
         await probes.close()
@@ -102,18 +102,18 @@
         HostListEntry(
             f"engine-{n}", Role.ENGINE, centre, "127.0.0.1", port, ("m",)
         )
-        for n in range(_AT_ONCE)
+        for n in range(_CONCURRENT_REPORTS)
     )
     table = UpstreamTable(RoutingOptions(), "host", centre, random.Random(1))
     table.on_host_list(HostList(1, entries), 0.0)
     return table
 
 
-async def _ask(probes: Probes, engine: _Engine, count: int) -> None:
+async def _request_reports(probes: Probes, engine: _Engine, count: int) -> None:
     """Asks for so many reports, as many at once as a host does."""
     wanted = engine.asked + count
-    async with asyncio.timeout(_WAIT_S):
+    async with asyncio.timeout(_TIMEOUT_S):
         while engine.asked < wanted:
             seen = engine.asked
             probes.request_reports()
-            await engine.until(seen + _AT_ONCE)
+            await engine.wait_for(seen + _CONCURRENT_REPORTS)
--- a/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
@@ -100,13 +100,13 @@
     placed = look.at("claims/list taken cpu/hosts", PLAN.hosts)
     kept = look.at("claims/list of the same hosts cpu/hosts", PLAN.hosts)
     own_share = PLAN.host_share / PLAN.centres
-    a_list = kept + (placed - kept) * own_share
+    list_cpu_s = kept + (placed - kept) * own_share
     yield make_row(
         look,
         "holder of claims",
         "claims: placement of all slots by each newer list",
         "holders ranked for the own slots alone, and only if hosts changed",
-        Cost(core_percent=a_list * revisions * PERCENT),
+        Cost(core_percent=list_cpu_s * revisions * PERCENT),
         assumed=_REPLACED,
     )
     name = "claims/one holder replaced {}/records of the slot"
--- a/packages/bench/src/hollyknot_bench/slopes/_routing.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_routing.py
@@ -39,16 +39,18 @@
     upstreams = tuple(n // factor for n in UPSTREAMS)
     hosts = tuple(n // factor for n in HOSTS)
     return [
-        *_against("upstreams", [(u, hosts[-1], u) for u in upstreams]),
-        *_against("hosts", [(h, h, upstreams[-1]) for h in hosts]),
+        *_measure_against("upstreams", [(u, hosts[-1], u) for u in upstreams]),
+        *_measure_against("hosts", [(h, h, upstreams[-1]) for h in hosts]),
     ]
 
 
-def _against(against: str, sizes: list[tuple[int, int, int]]) -> list[Series]:
+def _measure_against(
+    against: str, sizes: list[tuple[int, int, int]]
+) -> list[Series]:
     found: dict[str, list[tuple[float, float]]] = {}
     for size, hosts, upstreams in sizes:
         click.echo(f"routing with {size} {against} ...", err=True)
-        values = _one(hosts, upstreams)
+        values = _measure_table(hosts, upstreams)
         for name, value in values.items():
             found.setdefault(name, []).append((size, value))
     units = {
@@ -64,7 +66,7 @@
     ]
 
 
-def _one(hosts: int, upstreams: int) -> dict[str, float]:
+def _measure_table(hosts: int, upstreams: int) -> dict[str, float]:
     centres = len(PLAN_CENTRES)
     named = spread_names("host", hosts, centres)
     engines = spread_names("engine", upstreams, centres)
--- a/packages/bench/src/hollyknot_bench/slopes/_series.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_series.py
@@ -9,16 +9,16 @@
 import numpy as np
 import orjson
 
-LOG_MUST_BE_BETTER_BY = 0.9
+MAX_LOG_RESIDUAL_FACTOR = 0.9
 """A logarithm is taken only if its residual is below this part of the line's.
 
 It promises less growth than the line: in doubt the line is the safe one.
 """
 
-ROUNDING = 1e-9
+ROUNDING_RESIDUAL = 1e-9
 """A residual below this is that of sums of floating-point numbers."""
 
-_DIGITS = 6
+_SIGNIFICANT_DIGITS = 6
 MIN_SIZES = 5
 MIN_RANGE = 16.0
 
@@ -181,7 +181,7 @@
         ValueError: There are too few sizes, or over too small a range.
     """
     sizes = tuple(float(size) for size, _ in points)
-    values = tuple(_short(value) for _, value in points)
+    values = tuple(_round_to_digits(value) for _, value in points)
     if len(sizes) < MIN_SIZES or sizes[-1] < MIN_RANGE * sizes[0]:
         raise ValueError(
             f"{mechanism}/{measure}: sizes {sizes}; measure {MIN_SIZES} or more"
@@ -195,8 +195,8 @@
     """Returns the line, or the logarithm where it is clearly better."""
     line = _fit(FitKind.LINEAR, np.asarray(sizes), values)
     log = _fit(FitKind.LOG, np.log2(np.asarray(sizes)), values)
-    is_off = line.residual > ROUNDING
-    if is_off and log.residual < line.residual * LOG_MUST_BE_BETTER_BY:
+    is_inexact = line.residual > ROUNDING_RESIDUAL
+    if is_inexact and log.residual < line.residual * MAX_LOG_RESIDUAL_FACTOR:
         return log
     return line
 
@@ -207,11 +207,16 @@
     left = y - (intercept + slope * x)
     mean = float(np.abs(y).mean()) or 1.0
     residual = float(np.sqrt((left**2).mean())) / mean
-    return Fit(kind, _short(slope), _short(intercept), _short(residual))
+    return Fit(
+        kind,
+        _round_to_digits(slope),
+        _round_to_digits(intercept),
+        _round_to_digits(residual),
+    )
 
 
-def _short(value: float) -> float:
-    return float(f"{float(value):.{_DIGITS}g}")
+def _round_to_digits(value: float) -> float:
+    return float(f"{float(value):.{_SIGNIFICANT_DIGITS}g}")
 
 
 def series_line(series: Series) -> bytes:
--- a/packages/bench/src/hollyknot_bench/slopes/_signals.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_signals.py
@@ -20,9 +20,9 @@
 SIGN_RATES = (1, 2, 4, 8, 16)
 STORED = (256, 512, 1_024, 2_048, 4_096)
 HOSTS = 32
-WARM_S = 5.0
+WARM_UP_S = 5.0
 WINDOW_S = 15.0
-SIGN_MEMORY_S = 10.0
+SIGN_RETENTION_S = 10.0
 TIERS = 3
 
 
@@ -31,25 +31,29 @@
     window_s = WINDOW_S / 5 if is_quick else WINDOW_S
     against = "pools and tiers under pressure"
     return [
-        *_in_network("pressure", against, KEYS, window_s, _note_pressures),
-        *_in_network("signs", "signs/s", SIGN_RATES, window_s, _note_signs),
-        *_stored(),
+        *_measure_network(
+            "pressure", against, KEYS, window_s, _start_pressures
+        ),
+        *_measure_network(
+            "signs", "signs/s", SIGN_RATES, window_s, _start_signs
+        ),
+        *_measure_store(),
     ]
 
 
-def _in_network(
+def _measure_network(
     kind: str,
     against: str,
     sizes: tuple[int, ...],
     window_s: float,
-    noting: Callable[[Network, int], None],
+    start_signals: Callable[[Network, int], None],
 ) -> list[Series]:
     bytes_, messages, cpu = [], [], []
     for size in sizes:
         click.echo(f"{kind}: {size} {against} ...", err=True)
         network = make_network(HOSTS)
-        noting(network, size)
-        network.run(WARM_S)
+        start_signals(network, size)
+        network.run(WARM_UP_S)
         network.take_spent()
         network.run(window_s)
         spent = network.take_spent()
@@ -72,7 +76,7 @@
     ]
 
 
-def _note_pressures(network: Network, keys: int) -> None:
+def _start_pressures(network: Network, keys: int) -> None:
     """Lets every host be short of everything all the time: the worst."""
     pressures = tuple(
         TierPressure(model(n // TIERS), 1 + n % TIERS, 0) for n in range(keys)
@@ -84,7 +88,7 @@
     network.each_tick = note
 
 
-def _note_signs(network: Network, rate: int) -> None:
+def _start_signs(network: Network, rate: int) -> None:
     """Lets one host after the other see an upstream go."""
     names = sorted(network.nodes)
     seen: dict[str, list[tuple[str, float]]] = {n: [] for n in names}
@@ -99,14 +103,14 @@
         signs = tuple(
             UpstreamSign(u, SignKind.LOST, int((now_s - s) * 1000))
             for u, s in seen[node.name]
-            if now_s - s <= SIGN_MEMORY_S
+            if now_s - s <= SIGN_RETENTION_S
         )
         node.state.note_signals(now_s, signs=signs)
 
     network.each_tick = note
 
 
-def _stored() -> list[Series]:
+def _measure_store() -> list[Series]:
     memory, cpu = [], []
     for size in STORED:
 
--- a/packages/bench/src/hollyknot_bench/slopes/_suspects.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_suspects.py
@@ -11,12 +11,12 @@
 
 CRASHES = (16, 32, 64, 128, 256)
 IN_FLIGHT = (64, 128, 256, 512, 1_024)
-FINGERPRINTS = 48
+FINGERPRINTS_PER_CRASH = 48
 """Of each crash: a batch of an engine."""
 
 UPSTREAMS = 16
-MERGE_S = 4.0
-COUNT = 100
+CRASH_INTERVAL_S = 4.0
+CALLS = 100
 _DONE = Verdict(Outcome.COMPLETE)
 
 
@@ -24,20 +24,22 @@
     """Measures the register against crashes and requests in flight."""
     del is_quick
     click.echo("fingerprints of requests ...", err=True)
-    return [*_against_crashes(), *_against_flights()]
+    return [*_against_crashes(), *_against_in_flight()]
 
 
 def _against_crashes() -> list[Series]:
     memory, heard, gate = [], [], []
     for crashes in CRASHES:
-        register, kept = traced(functools.partial(_crashed, crashes))
+        register, kept = traced(
+            functools.partial(_register_with_crashes, crashes)
+        )
         memory.append((crashes, kept / MEGA))
         record = SuspectRecord(1, "engine-0", 3, 0)
-        now_s = crashes * MERGE_S
-        hear = functools.partial(register.on_records, (record,), now_s)
-        heard.append((crashes, cpu_us(hear, COUNT)))
+        now_s = crashes * CRASH_INTERVAL_S
+        apply_records = functools.partial(register.on_records, (record,), now_s)
+        heard.append((crashes, cpu_us(apply_records, CALLS)))
         ask = functools.partial(register.gate, 7, now_s)
-        gate.append((crashes, cpu_us(ask, COUNT)))
+        gate.append((crashes, cpu_us(ask, CALLS)))
     against = "crashes remembered"
     return [
         make_series("fingerprints", "memory", against, "MB", memory),
@@ -46,20 +48,20 @@
     ]
 
 
-def _crashed(crashes: int) -> SuspectRegister:
+def _register_with_crashes(crashes: int) -> SuspectRegister:
     register = SuspectRegister(SuspectOptions(retention_s=1e9))
     for crash in range(crashes):
         records = tuple(
             SuspectRecord(
-                crash * FINGERPRINTS + n + 1, f"engine-{crash}", 47, 0
+                crash * FINGERPRINTS_PER_CRASH + n + 1, f"engine-{crash}", 47, 0
             )
-            for n in range(FINGERPRINTS)
+            for n in range(FINGERPRINTS_PER_CRASH)
         )
-        register.on_records(records, crash * MERGE_S)
+        register.on_records(records, crash * CRASH_INTERVAL_S)
     return register
 
 
-def _against_flights() -> list[Series]:
+def _against_in_flight() -> list[Series]:
     request, lost = [], []
     for flights in IN_FLIGHT:
         register = SuspectRegister(SuspectOptions())
--- a/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class _Found:
+class _DocumentCosts:
     """What one size showed."""
 
     size: int
@@ -44,8 +44,8 @@
     delta_us: float
     delta_bytes: int
     whole_bytes: int
-    whole_give_us: float
-    whole_take_us: float
+    whole_send_us: float
+    whole_receive_us: float
 
 
 def measure(is_quick: bool) -> list[Series]:
@@ -64,14 +64,14 @@
     ]
 
 
-def _measure_declarations(customers: int) -> _Found:
+def _measure_declarations(customers: int) -> _DocumentCosts:
     click.echo(f"declarations of {customers} customers ...", err=True)
     return _measure(
         DECLARATIONS, customers, lambda g: declarations(customers, g)
     )
 
 
-def _measure_hosts(upstreams: int, hosts: int) -> _Found:
+def _measure_hosts(upstreams: int, hosts: int) -> _DocumentCosts:
     click.echo(f"host list of {upstreams} upstreams ...", err=True)
     centres = len(PLAN_CENTRES)
     named = spread_names("host", hosts, centres)
@@ -84,7 +84,7 @@
     return _measure(HOSTS, upstreams, body)
 
 
-def _measure(document: DocumentKind, size: int, body: Body) -> _Found:
+def _measure(document: DocumentKind, size: int, body: Body) -> _DocumentCosts:
     first = body(1)
     reader, peer = new_host(READER), new_host(PEER)
     reader.read(document, 1, first)
@@ -103,7 +103,7 @@
         delta_us.append(cpu_once_us(take))
         delta_bytes = wire_bytes(len(frame_of(delta)))
     whole = transfer(document, reader, new_host(NEW))
-    return _Found(
+    return _DocumentCosts(
         size=size,
         body_bytes=len(first),
         memory_mb=memory / MEGA,
@@ -112,12 +112,14 @@
         delta_us=min(delta_us),
         delta_bytes=delta_bytes,
         whole_bytes=whole.wire_bytes,
-        whole_give_us=whole.give_us,
-        whole_take_us=whole.take_us,
+        whole_send_us=whole.give_us,
+        whole_receive_us=whole.take_us,
     )
 
 
-def _series(mechanism: str, against: str, found: list[_Found]) -> list[Series]:
+def _series(
+    mechanism: str, against: str, found: list[_DocumentCosts]
+) -> list[Series]:
     named = (
         ("body", "bytes", "body_bytes"),
         ("memory in force", "MB", "memory_mb"),
@@ -126,8 +128,8 @@
         ("delta taken cpu", "us a change", "delta_us"),
         ("delta", "bytes a change", "delta_bytes"),
         ("whole in pages", "bytes a new host", "whole_bytes"),
-        ("whole given cpu", "us a new host", "whole_give_us"),
-        ("whole taken cpu", "us a new host", "whole_take_us"),
+        ("whole given cpu", "us a new host", "whole_send_us"),
+        ("whole taken cpu", "us a new host", "whole_receive_us"),
     )
     return [
         make_series(
@@ -148,7 +150,7 @@
         body = declarations(size // factor)
         read = functools.partial(read_records, DECLARATIONS, body)
         records, as_kept = traced(read)
-        _, as_copied = traced(functools.partial(_copies, records))
+        _, as_copied = traced(functools.partial(_copy_bodies, records))
         paths = sum(sys.getsizeof(path) for path in records)
         kept.append((size // factor, as_kept - paths))
         copied.append((size // factor, as_copied))
@@ -158,6 +160,6 @@
     ]
 
 
-def _copies(records: Records) -> list[bytes]:
+def _copy_bodies(records: Records) -> list[bytes]:
     # bytes(b) of bytes would be the same object.
     return [bytes(bytearray(body)) for body in records.values()]
