--- a/packages/bench/src/hollyknot_bench/slopes/_plots.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_plots.py
@@ -1,4 +1,4 @@
-"""A plot for each slope."""
+"""Draws each slope: its measured points and the fitted curve."""
 
 import pathlib
 import re
@@ -12,14 +12,14 @@
 
 from matplotlib import pyplot as plt
 
-_POINTS = 100
+_CURVE_POINTS = 100
 
 
 def plot(series: Series, directory: pathlib.Path) -> pathlib.Path:
-    """Writes a plot of the points and the fit, and returns its path."""
+    """Writes a PNG of the points and the fit, and returns its path."""
     figure, axes = plt.subplots(figsize=(6, 4))
     axes.plot(series.sizes, series.values, "o", label="measured")
-    sizes = np.linspace(series.sizes[0], series.sizes[-1], _POINTS)
+    sizes = np.linspace(series.sizes[0], series.sizes[-1], _CURVE_POINTS)
     fit = series.fit
     axes.plot(
         sizes,
--- a/packages/bench/src/hollyknot_bench/slopes/_series.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_series.py
@@ -1,4 +1,4 @@
-"""A measured slope: sizes, values and the line through them."""
+"""Slopes: values measured at several sizes, and the curve through them."""
 
 import enum
 from collections.abc import Sequence
@@ -10,21 +10,25 @@
 import orjson
 
 MAX_LOG_RESIDUAL_FACTOR = 0.9
-"""A logarithm is taken only if its residual is below this part of the line's.
+"""Largest residual of a logarithmic fit, as a fraction of the line's.
 
-It promises less growth than the line: in doubt the line is the safe one.
+Otherwise the line is used. A logarithm predicts less growth than a line, so
+that the line is the safe choice where both fit about equally well.
 """
 
 ROUNDING_RESIDUAL = 1e-9
-"""A residual below this is that of sums of floating-point numbers."""
+"""Residuals up to this size are rounding errors of floating-point sums."""
 
 _SIGNIFICANT_DIGITS = 6
 MIN_SIZES = 5
+"""Fewest sizes of a series."""
+
 MIN_RANGE = 16.0
+"""Least ratio of the largest size to the smallest."""
 
 
 class FitKind(enum.Enum):
-    """The form of the curve through the points."""
+    """Form of the curve through the points."""
 
     LINEAR = "linear"
     LOG = "log"
@@ -33,13 +37,15 @@
 
 @attrs.frozen
 class Fit:
-    """Least squares through the points.
+    """A curve fitted to the points by least squares.
 
     Attributes:
-        kind: The form.
-        slope: Of the line, or for each doubling of the size.
-        intercept: At size 0, or at size 1 for a logarithm.
-        residual: Root mean square of the residuals over the mean value.
+        kind: Form of the curve.
+        slope: Increase of the value per unit of size; for a logarithm, per
+            doubling of the size.
+        intercept: Value at size 0; for a logarithm, at size 1.
+        residual: Root mean square of the residuals, as a fraction of the
+            mean absolute value.
     """
 
     kind: FitKind
@@ -48,20 +54,20 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Returns the fitted value at a size, not below 0."""
+        """Returns the fitted value at a size, or 0 where it is negative."""
         x = size if self.kind is FitKind.LINEAR else float(np.log2(size))
         return max(0.0, self.intercept + self.slope * x)
 
 
 @attrs.frozen
 class Estimate:
-    """A value at a size.
+    """A value at a size that may not have been measured.
 
     Attributes:
-        value: Measured, between two measured ones, or by the fit.
-        factor: How far the size is beyond the largest measured one; 1 if it
-            isn't.
-        is_measured: Whether just this size was measured.
+        value: Measured value, or one interpolated between two measured
+            sizes, or beyond these one extrapolated by the fit.
+        factor: Ratio of the size to the largest measured one, at least 1.
+        is_measured: Whether exactly this size was measured.
     """
 
     value: float
@@ -71,16 +77,16 @@
 
 @attrs.frozen
 class Series:
-    """One measure of one mechanism against one size.
+    """One measure of a mechanism at several sizes.
 
     Attributes:
-        mechanism: Such as `claims`.
-        measure: What was measured, with its denominator.
-        against: What the sizes count.
-        unit: Of the values.
-        sizes: Rising.
-        values: One for each size.
-        fit: The curve through them.
+        mechanism: Name of the mechanism, such as `claims`.
+        measure: What is measured, such as `memory`.
+        against: What the sizes count, such as `customers`.
+        sizes: Sizes in rising order.
+        values: Value at each size, in `unit`.
+        unit: Unit of the values, such as `bytes/s a host`.
+        fit: Curve through the points.
     """
 
     mechanism: str
@@ -93,16 +99,20 @@
 
     @property
     def name(self) -> str:
-        """Names it within all slopes."""
+        """Name of the series, unique among all slopes."""
         return f"{self.mechanism}/{self.measure}/{self.against}"
 
     def at(self, size: float) -> Estimate:
-        """Returns the value at a size: by the fit beyond those measured."""
+        """Estimates the value at a size.
+
+        Interpolates within the measured sizes and uses the fit beyond them.
+        """
         first, last = self.sizes[0], self.sizes[-1]
         if first <= size <= last:
             value = float(np.interp(size, self.sizes, self.values))
             return Estimate(value, 1.0, size in self.sizes)
-        # Beyond the measured sizes nothing is taken to become cheaper.
+        # A falling line is not continued: beyond the measured sizes the
+        # cost is assumed to fall no further.
         falls = self.fit.slope < 0
         value = self.values[-1] if falls else self.fit.at(size)
         return Estimate(value, max(1.0, size / last), False)
@@ -110,11 +120,11 @@
 
 @attrs.frozen
 class Machine:
-    """Where the slopes were measured.
+    """Machine that measured the slopes.
 
     Attributes:
-        cores: Logical cores.
-        python: The interpreter's version.
+        cores: Number of logical cores.
+        python: Version of the Python interpreter.
     """
 
     cores: int
@@ -123,15 +133,15 @@
 
 @attrs.frozen
 class Design:
-    """Constants of the code that was measured.
+    """Constants of the measured code.
 
     Attributes:
-        slots: Of claims.
-        holders: Of each slot.
-        readers: Of each data centre.
+        slots: Slots that the claims are divided into.
+        holders: Hosts that store the claims of each slot.
+        readers: Hosts of each data centre that read the platform's documents.
         read_pause_s: Mean seconds between a reader's reads of one document.
-        reports_s: Load reports that a host asks for a second.
-        neighbours: That a host probes and gossips with.
+        reports_s: Load reports that a host requests per second.
+        neighbours: Peers that a host probes and gossips with.
     """
 
     slots: int
@@ -147,9 +157,9 @@
     """All slopes of one run.
 
     Attributes:
-        machine: Where.
-        design: Of what.
-        slopes: The slopes.
+        machine: Machine that measured them.
+        design: Constants of the measured code.
+        slopes: Measured series.
     """
 
     machine: Machine
@@ -160,12 +170,14 @@
         """Returns a slope by its name.
 
         Raises:
-            KeyError: The run doesn't have it; run `make slopes` whole.
+            KeyError: No slope has the name; `make slopes` measures all.
         """
-        for one in self.slopes:
-            if one.name == name:
-                return one
-        raise KeyError(f"{name}: not in the slopes; run 'make slopes' whole")
+        for series in self.slopes:
+            if series.name == name:
+                return series
+        raise KeyError(
+            f"{name}: not in the slopes; run 'make slopes' to measure all"
+        )
 
 
 def make_series(
@@ -175,10 +187,11 @@
     unit: str,
     points: Sequence[tuple[float, float]],
 ) -> Series:
-    """Returns a series with its fit.
+    """Builds a series of `(size, value)` points, with its fit.
 
     Raises:
-        ValueError: There are too few sizes, or over too small a range.
+        ValueError: There are fewer than `MIN_SIZES` sizes, or they span less
+            than a factor of `MIN_RANGE`.
     """
     sizes = tuple(float(size) for size, _ in points)
     values = tuple(_round_to_digits(value) for _, value in points)
@@ -192,7 +205,7 @@
 
 
 def best_fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Returns the line, or the logarithm where it is clearly better."""
+    """Returns the fitted line, or a logarithm that fits clearly better."""
     line = _fit(FitKind.LINEAR, np.asarray(sizes), values)
     log = _fit(FitKind.LOG, np.log2(np.asarray(sizes)), values)
     is_inexact = line.residual > ROUNDING_RESIDUAL
@@ -204,9 +217,9 @@
 def _fit(kind: FitKind, x: Any, values: Sequence[float]) -> Fit:
     y = np.asarray(values)
     slope, intercept = np.polyfit(x, y, 1)
-    left = y - (intercept + slope * x)
+    residuals = y - (intercept + slope * x)
     mean = float(np.abs(y).mean()) or 1.0
-    residual = float(np.sqrt((left**2).mean())) / mean
+    residual = float(np.sqrt((residuals**2).mean())) / mean
     return Fit(
         kind,
         _round_to_digits(slope),
@@ -216,16 +229,17 @@
 
 
 def _round_to_digits(value: float) -> float:
+    """Rounds to the digits that are worth keeping in the file."""
     return float(f"{float(value):.{_SIGNIFICANT_DIGITS}g}")
 
 
 def series_line(series: Series) -> bytes:
-    """Returns the JSON object of a slope, on one line."""
+    """Returns a series as a JSON object on one line."""
     return orjson.dumps(cattrs.unstructure(series))
 
 
 def write_slopes(slopes: Slopes) -> bytes:
-    """Returns the file of slopes: JSON with one slope a line."""
+    """Returns the content of the slopes file: JSON with a slope per line."""
     machine = orjson.dumps(cattrs.unstructure(slopes.machine))
     design = orjson.dumps(cattrs.unstructure(slopes.design))
     lines = b",\n".join(series_line(s) for s in slopes.slopes)
@@ -234,5 +248,5 @@
 
 
 def read_slopes(data: bytes) -> Slopes:
-    """Returns what `write_slopes` wrote."""
+    """Parses the content of a file that `write_slopes` made."""
     return cattrs.structure(orjson.loads(data), Slopes)
--- a/packages/bench/src/hollyknot_bench/slopes/_spent.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_spent.py
@@ -1,4 +1,4 @@
-"""What hosts of a virtual network spend."""
+"""Counts the messages, bytes and work of a virtual network's hosts."""
 
 from collections import Counter
 
@@ -9,17 +9,17 @@
 
 @attrs.define
 class Spent:
-    """What all hosts spent; the link's part is in `links`.
+    """Totals over all hosts.
 
     Attributes:
-        messages: Sent, by kind.
-        frame_bytes: Of their frames, by kind.
-        wire_bytes: With headers and acknowledgements, by kind.
-        cpu_s: In decisions, encoding and decoding.
-        reads: Of the platform.
-        bodies: Reads that brought a document.
+        messages: Messages sent, by kind.
+        frame_bytes: Bytes of the messages' frames, by kind.
+        wire_bytes: Bytes with headers and acknowledgements, by kind.
+        cpu_s: Processor seconds of decisions, encoding and decoding.
+        reads: Reads of documents of the platform.
+        bodies: Reads that returned a document's body.
         dials: Links opened.
-        pings: Pings and pongs of links.
+        pings: Pings and pongs sent on links.
     """
 
     messages: Counter[str] = attrs.Factory(Counter)
@@ -32,19 +32,19 @@
     pings: int = 0
 
     def add(self, kind: str, frame_size: int) -> None:
-        """Counts a message."""
+        """Counts a message of a kind whose frame has this many bytes."""
         self.messages[kind] += 1
         self.frame_bytes[kind] += frame_size
         self.wire_bytes[kind] += wire_bytes(frame_size)
 
     def total_messages(self, *kinds: str) -> int:
-        """Returns the messages of some kinds; of all if none is named."""
+        """Returns the messages of these kinds, or of all if none is given."""
         return sum(
             n for k, n in self.messages.items() if not kinds or k in kinds
         )
 
     def total_wire(self, *kinds: str) -> int:
-        """Returns the wire bytes of some kinds; of all if none is named."""
+        """Returns the wire bytes of these kinds, or of all if none is given."""
         return sum(
             n for k, n in self.wire_bytes.items() if not kinds or k in kinds
         )
