--- a/packages/bench/src/hollyknot_bench/slopes/_real_data_path.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_data_path.py
@@ -1,4 +1,4 @@
-"""The data path of one real host: open streams, tokens and requests."""
+"""Measures what open streams, tokens and requests cost one host process."""
 
 import asyncio
 
@@ -30,7 +30,10 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures open streams, tokens and requests through one host."""
+    """Measures open streams, tokens and requests through one host.
+
+    Quick and full runs are the same.
+    """
     del is_quick
     return asyncio.run(_measure())
 
@@ -55,7 +58,8 @@
         host = next(iter(fleet.hosts.values()))
         target = _target(fleet, LONG_ANSWER_TOKENS, True)
         click.echo("open streams ...", err=True)
-        # Tokens are rare, so that held streams cost memory and little else.
+        # Tokens are sent rarely, so that the open streams cost memory and
+        # hardly any processor time.
         await _set_token_pace(session, fleet, SLOW_FACTOR)
         held = await run_held(HeldLoad(target, STREAMS, 1.0, host.pid))
         await _set_token_pace(session, fleet, 1.0)
@@ -65,7 +69,10 @@
             load = StreamLoad(target, streams, 1.0, LOAD_S, {"host": host.pid})
             result = await run_streams(load)
             if result.failed:
-                raise RuntimeError(f"{result.failed} streams failed")
+                raise RuntimeError(
+                    f"{result.failed} of {streams} streams failed; lower"
+                    " STREAMS or stop other work on this machine"
+                )
             rate = result.tokens / result.elapsed_s
             cpu.append((rate, result.cpu_s["host"] / result.elapsed_s * 100))
         requests = [(n, await _request_core_percent(fleet, n)) for n in RATES]
@@ -86,7 +93,15 @@
 
 
 async def _request_core_percent(fleet: Fleet, rate: int) -> float:
-    """Returns a core's percent for whole answers of one token."""
+    """Returns the host's processor time for unstreamed one-token answers.
+
+    Args:
+        fleet: The running processes.
+        rate: Requests per second.
+
+    Returns:
+        Percentage of one core.
+    """
     click.echo(f"{rate} requests/s ...", err=True)
     host = next(iter(fleet.hosts.values()))
     load = WholeLoad(
@@ -94,7 +109,10 @@
     )
     result = await run_whole(load)
     if result.failed:
-        raise RuntimeError(f"{result.failed} requests failed")
+        raise RuntimeError(
+            f"{result.failed} requests failed at {rate} requests/s; lower RATES"
+            " or stop other work on this machine"
+        )
     return result.cpu_s["host"] / result.elapsed_s * 100
 
 
@@ -114,7 +132,7 @@
 async def _set_token_pace(
     session: aiohttp.ClientSession, fleet: Fleet, factor: float
 ) -> None:
-    """Sets the engines' time between tokens, as a factor."""
+    """Multiplies the inter-token gap of all engines by a factor."""
     for name in fleet.upstreams:
         url = fleet.upstream_url(name) + "/control"
         async with session.post(url, json={"straggle": factor}) as got:
--- a/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
@@ -1,4 +1,4 @@
-"""Real host processes: memory, processor time and traffic at rest."""
+"""Measures memory, processor time and traffic of idle host processes."""
 
 import asyncio
 import signal
@@ -23,6 +23,16 @@
 
 @attrs.frozen
 class _IdleCost:
+    """Mean cost of one host while no requests arrive.
+
+    Attributes:
+        hosts: Number of hosts that ran.
+        resident_mb: Resident memory of a host, in MB.
+        core_percent: Processor time of a host, as a percentage of a core.
+        sent: Bytes of link frames that a host sent per second.
+        messages: Link messages that a host sent per second.
+    """
+
     hosts: int
     resident_mb: float
     core_percent: float
@@ -31,7 +41,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures hosts at rest."""
+    """Measures idle hosts, in data centres of several sizes."""
     return asyncio.run(_measure(is_quick))
 
 
@@ -79,7 +89,8 @@
         each = (clock() - began_s) * hosts
         after = await _traffic(session, fleet)
         resident = sum(resident_bytes(pid) for pid in pids) / hosts
-        # All at once: the fleet would wait for one after the other.
+        # Stops all hosts at once; leaving the fleet would stop them one after
+        # the other and wait for each.
         for host in fleet.hosts.values():
             host.send(signal.SIGTERM)
     return _IdleCost(
@@ -94,6 +105,7 @@
 async def _traffic(
     session: aiohttp.ClientSession, fleet: Fleet
 ) -> tuple[int, int]:
+    """Returns bytes and messages that all hosts have sent on links."""
     size = messages = 0
     for name in fleet.hosts:
         async with session.get(fleet.operators_url(name) + "/status") as got:
--- a/packages/bench/src/hollyknot_bench/slopes/_real_links.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_links.py
@@ -1,4 +1,4 @@
-"""Real links over loopback: what a dial and a message cost both ends."""
+"""Measures what a dial and a message cost both ends of a loopback link."""
 
 import asyncio
 import contextlib
@@ -28,14 +28,14 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures dials, messages and open links."""
+    """Measures dials and messages; quick and full runs are the same."""
     del is_quick
     click.echo("links over loopback ...", err=True)
     return uvloop.run(_measure())
 
 
 async def _measure() -> list[Series]:
-    # The first use of a code path costs more than any later one.
+    # Warms up: the first use of a code path costs more than later ones.
     await _dial_cpu_us(DIALS[0])
     dials = [(n, await _minimum(_dial_cpu_us, n)) for n in DIALS]
     messages = [(n, await _minimum(_message_cpu_us, n)) for n in MESSAGES]
@@ -50,11 +50,12 @@
 async def _minimum(
     measure_one: Callable[[int], Awaitable[float]], count: int
 ) -> float:
+    """Returns the least of several results: other work only adds to it."""
     return min([await measure_one(count) for _ in range(ROUNDS)])
 
 
 class _Receiver:
-    """Counts what arrives."""
+    """Counts the messages that arrive at all servers."""
 
     def __init__(self) -> None:
         self.received = 0
@@ -68,6 +69,7 @@
         return NoReply.NO_REPLY
 
     async def wait_for(self, count: int) -> None:
+        """Waits until this many messages have arrived."""
         async with asyncio.timeout(_TIMEOUT_S):
             while self.received < count:
                 self._arrived.clear()
@@ -75,7 +77,11 @@
 
 
 async def _dial_cpu_us(count: int) -> float:
-    """Returns the processor time of so many links, each to its own server."""
+    """Returns the processor time to open links, in microseconds.
+
+    Args:
+        count: Number of links, each to a server of its own.
+    """
     receiver = _Receiver()
     async with contextlib.AsyncExitStack() as stack:
         ports = [await _listen(stack, receiver, n) for n in range(count)]
@@ -88,7 +94,11 @@
 
 
 async def _message_cpu_us(count: int) -> float:
-    """Returns the processor time of so many messages on one link."""
+    """Returns the processor time of messages on one link, in microseconds.
+
+    Args:
+        count: Number of messages, sent one at a time.
+    """
     receiver = _Receiver()
     async with contextlib.AsyncExitStack() as stack:
         port = await _listen(stack, receiver, 0)
@@ -98,8 +108,8 @@
         began_s = time.process_time()
         for number in range(count):
             pool.post(IP, port, Gossip())
-            # One at a time, as gossip comes; a burst would share its system
-            # calls.
+            # Waits for each message, because gossip is sent one message at a
+            # time; messages of a burst would share system calls.
             await receiver.wait_for(number + 2)
         return (time.process_time() - began_s) * _US_PER_S
 
--- a/packages/bench/src/hollyknot_bench/slopes/_reports.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_reports.py
@@ -1,4 +1,4 @@
-"""Load reports over HTTP: what one costs the host that asks."""
+"""Measures what a load report over HTTP costs the host that requests it."""
 
 import asyncio
 import random
@@ -16,7 +16,10 @@
 
 REPORTS = (16, 32, 64, 128, 256)
 SEGMENTS_PER_REPORT = 9
-"""Of TCP for one exchange: 3 to open, the request, the answer, 4 to close."""
+"""TCP segments of one exchange.
+
+Three open the connection, two carry request and answer, four close it.
+"""
 
 _BODY = (
     b'{"running":31,"queued":0,"slots":64,"kv_used":0.52,"draining":false,'
@@ -35,14 +38,17 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures the processor time and bytes of load reports."""
+    """Measures the processor time and bytes of load reports.
+
+    Quick and full runs are the same.
+    """
     del is_quick
     click.echo("load reports over loopback ...", err=True)
     return uvloop.run(_measure())
 
 
 class _Engine:
-    """Answers each connection once, and counts the requests' bytes."""
+    """Answers one request on each connection, and counts request bytes."""
 
     def __init__(self) -> None:
         self.asked = 0
@@ -50,7 +56,7 @@
         self._arrived = asyncio.Event()
 
     async def wait_for(self, asked: int) -> None:
-        """Waits until so many reports were asked for."""
+        """Waits until this many reports have been requested in all."""
         while self.asked < asked:
             self._arrived.clear()
             await self._arrived.wait()
@@ -97,6 +103,7 @@
 
 
 def _table(port: int) -> UpstreamTable:
+    """Returns a table whose upstreams are all the engine at this port."""
     centre = PLAN_CENTRES[0]
     entries = tuple(
         HostListEntry(
@@ -110,7 +117,7 @@
 
 
 async def _request_reports(probes: Probes, engine: _Engine, count: int) -> None:
-    """Asks for so many reports, as many at once as a host does."""
+    """Requests this many reports, as many at a time as a host does."""
     wanted = engine.asked + count
     async with asyncio.timeout(_TIMEOUT_S):
         while engine.asked < wanted:
--- a/packages/bench/src/hollyknot_bench/slopes/_routing.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_routing.py
@@ -1,4 +1,4 @@
-"""Routing state and load reports."""
+"""Measures the routing table: memory, host lists, requests and reports."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures the table against upstreams and hosts."""
+    """Measures the table against the number of upstreams and of hosts."""
     factor = QUICK_FACTOR if is_quick else 1
     upstreams = tuple(n // factor for n in UPSTREAMS)
     hosts = tuple(n // factor for n in HOSTS)
@@ -67,6 +67,7 @@
 
 
 def _measure_table(hosts: int, upstreams: int) -> dict[str, float]:
+    """Returns the value of each measure at one size."""
     centres = len(PLAN_CENTRES)
     named = spread_names("host", hosts, centres)
     engines = spread_names("engine", upstreams, centres)
@@ -94,6 +95,7 @@
 
 
 def _request(table: UpstreamTable) -> None:
+    """Places and completes one request."""
     info = RequestInfo(
         "r",
         "customer",
@@ -108,6 +110,6 @@
     table.free_slots(info.pool, 1.0)
     choice = table.choose(info, 1.0)
     if not isinstance(choice, Choice):
-        raise TypeError(f"no upstream was chosen: {choice}")
+        raise TypeError(f"expected a Choice of an upstream, got {choice}")
     table.on_first_byte(choice.upstream, "r", 1.1)
     table.on_finished(choice.upstream, "r", _DONE, 1.2, True)
