--- a/packages/bench/src/hollyknot_bench/slopes/_signals.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_signals.py
@@ -1,4 +1,4 @@
-"""Soft signals: pressure of tiers and signs of upstreams."""
+"""Measures gossiped signals: pressure of tiers, health signs of upstreams."""
 
 import functools
 import random
@@ -15,7 +15,10 @@
 from hollyknot_state import SignKind, TierPressure, UpstreamSign
 
 KEYS = (4, 8, 16, 32, 64)
-"""Pairs of pool and tier under pressure; the plan has 21 pools, 3 tiers."""
+"""Numbers of pairs of pool and tier that are under pressure.
+
+The capacity plan has 21 pools of 3 tiers each.
+"""
 
 SIGN_RATES = (1, 2, 4, 8, 16)
 STORED = (256, 512, 1_024, 2_048, 4_096)
@@ -48,6 +51,15 @@
     window_s: float,
     start_signals: Callable[[Network, int], None],
 ) -> list[Series]:
+    """Measures the gossip of one kind of signal in a virtual network.
+
+    Args:
+        kind: Name of the signals.
+        against: What the sizes count.
+        sizes: Sizes to measure.
+        window_s: Virtual seconds of each measurement.
+        start_signals: Makes the hosts report signals, at one size.
+    """
     bytes_, messages, cpu = [], [], []
     for size in sizes:
         click.echo(f"{kind}: {size} {against} ...", err=True)
@@ -77,7 +89,10 @@
 
 
 def _start_pressures(network: Network, keys: int) -> None:
-    """Lets every host be short of everything all the time: the worst."""
+    """Makes every host report pressure on each key at every tick.
+
+    This is the worst case for the gossip.
+    """
     pressures = tuple(
         TierPressure(model(n // TIERS), 1 + n % TIERS, 0) for n in range(keys)
     )
@@ -89,7 +104,12 @@
 
 
 def _start_signs(network: Network, rate: int) -> None:
-    """Lets one host after the other see an upstream go."""
+    """Makes the hosts, in turn, report lost upstreams.
+
+    Args:
+        network: The virtual network.
+        rate: Lost upstreams per second, over all hosts.
+    """
     names = sorted(network.nodes)
     seen: dict[str, list[tuple[str, float]]] = {n: [] for n in names}
     began_s = network.now_s
@@ -111,6 +131,7 @@
 
 
 def _measure_store() -> list[Series]:
+    """Measures a single store that holds many signs."""
     memory, cpu = [], []
     for size in STORED:
 
@@ -123,8 +144,8 @@
 
         store, kept = traced(make)
         memory.append((size, kept / MEGA))
-        told = functools.partial(store.next_updates, 278, 1.0)
-        cpu.append((size, cpu_us(told, 3, 3)))
+        make_message = functools.partial(store.next_updates, 278, 1.0)
+        cpu.append((size, cpu_us(make_message, 3, 3)))
     against = "signs kept"
     return [
         make_series("signals", "memory", against, "MB", memory),
--- a/packages/bench/src/hollyknot_bench/slopes/_suspects.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_suspects.py
@@ -1,4 +1,4 @@
-"""Request fingerprints: who is suspected of crashing upstreams."""
+"""Measures the register of requests suspected of crashing upstreams."""
 
 import functools
 
@@ -12,7 +12,7 @@
 CRASHES = (16, 32, 64, 128, 256)
 IN_FLIGHT = (64, 128, 256, 512, 1_024)
 FINGERPRINTS_PER_CRASH = 48
-"""Of each crash: a batch of an engine."""
+"""Fingerprints reported for each crash: the batch that an engine ran."""
 
 UPSTREAMS = 16
 CRASH_INTERVAL_S = 4.0
@@ -21,14 +21,17 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures the register against crashes and requests in flight."""
+    """Measures the register against crashes and in-flight requests.
+
+    Quick and full runs are the same.
+    """
     del is_quick
     click.echo("fingerprints of requests ...", err=True)
     return [*_against_crashes(), *_against_in_flight()]
 
 
 def _against_crashes() -> list[Series]:
-    memory, heard, gate = [], [], []
+    memory, record_cpu, gate = [], [], []
     for crashes in CRASHES:
         register, kept = traced(
             functools.partial(_register_with_crashes, crashes)
@@ -37,18 +40,21 @@
         record = SuspectRecord(1, "engine-0", 3, 0)
         now_s = crashes * CRASH_INTERVAL_S
         apply_records = functools.partial(register.on_records, (record,), now_s)
-        heard.append((crashes, cpu_us(apply_records, CALLS)))
-        ask = functools.partial(register.gate, 7, now_s)
-        gate.append((crashes, cpu_us(ask, CALLS)))
+        record_cpu.append((crashes, cpu_us(apply_records, CALLS)))
+        check = functools.partial(register.gate, 7, now_s)
+        gate.append((crashes, cpu_us(check, CALLS)))
     against = "crashes remembered"
     return [
         make_series("fingerprints", "memory", against, "MB", memory),
-        make_series("fingerprints", "record heard cpu", against, "us", heard),
+        make_series(
+            "fingerprints", "record heard cpu", against, "us", record_cpu
+        ),
         make_series("fingerprints", "gate cpu", against, "us", gate),
     ]
 
 
 def _register_with_crashes(crashes: int) -> SuspectRegister:
+    """Returns a register that holds the records of this many crashes."""
     register = SuspectRegister(SuspectOptions(retention_s=1e9))
     for crash in range(crashes):
         records = tuple(
@@ -68,12 +74,12 @@
         for number in range(flights):
             register.on_dispatch(number + 1, f"engine-{number % UPSTREAMS}")
 
-        def one(r: SuspectRegister = register) -> None:
+        def run_request(r: SuspectRegister = register) -> None:
             r.gate(999_983, 1.0)
             r.on_dispatch(999_983, "engine-0")
             r.on_end(999_983, "engine-0", _DONE, 1.0)
 
-        request.append((flights, cpu_us(one, 200)))
+        request.append((flights, cpu_us(run_request, 200)))
         verdict = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
 
         def crash(r: SuspectRegister = register, v: Verdict = verdict) -> None:
--- a/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_whole_documents.py
@@ -1,4 +1,8 @@
-"""Documents of up to the plan's size at single hosts, with the real checks."""
+"""Measures how single hosts read, check and transfer large documents.
+
+The documents are of up to the plan's size and pass the same checks as in
+production.
+"""
 
 import functools
 import sys
@@ -26,7 +30,7 @@
 PLAN_HOSTS = 2_500
 QUICK_FACTOR = 16
 ROUNDS = 2
-READER, PEER, NEW = "host-00000", "host-00009", "host-00018"
+READER, PEER, NEW_HOST = "host-00000", "host-00009", "host-00018"
 
 Body = Callable[[int], bytes]
 """Returns the body of a generation; each differs in one record."""
@@ -34,7 +38,21 @@
 
 @attrs.frozen
 class _DocumentCosts:
-    """What one size showed."""
+    """Costs of a document of one size.
+
+    Attributes:
+        size: Number of customers or upstreams in the document.
+        body_bytes: Bytes of the document.
+        memory_mb: Memory that a host keeps for the document, in MB.
+        read_us: Processor time to read a changed document, in microseconds;
+            the other times have this unit too.
+        answer_us: Processor time to answer a peer with the change.
+        delta_us: Processor time to apply the change that a peer sent.
+        delta_bytes: Bytes of the change on the wire.
+        whole_bytes: Bytes on the wire to send a new host the whole document.
+        whole_send_us: Processor time of the sender of the whole document.
+        whole_receive_us: Processor time of its receiver.
+    """
 
     size: int
     body_bytes: int
@@ -49,7 +67,7 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures both documents at several sizes."""
+    """Measures the declarations and the host list at several sizes."""
     factor = QUICK_FACTOR if is_quick else 1
     found = []
     for size in CUSTOMERS:
@@ -95,14 +113,14 @@
         changed = body(generation)
         read = functools.partial(reader.read, document, generation, changed)
         read_us.append(cpu_once_us(read))
-        ask = FetchDocument(document, (peer.version(document),))
+        request = FetchDocument(document, (peer.version(document),))
         answered: list[float] = []
-        delta = reader.answer(PEER, ask, DocumentDelta, answered)
+        delta = reader.answer(PEER, request, DocumentDelta, answered)
         answer_us.append(answered[0])
         take = functools.partial(peer.take_encoded, READER, delta)
         delta_us.append(cpu_once_us(take))
         delta_bytes = wire_bytes(len(frame_of(delta)))
-    whole = transfer(document, reader, new_host(NEW))
+    whole = transfer(document, reader, new_host(NEW_HOST))
     return _DocumentCosts(
         size=size,
         body_bytes=len(first),
@@ -144,7 +162,7 @@
 
 
 def _bodies(factor: int) -> list[Series]:
-    """Measures the memory of records' bodies, as written and copied."""
+    """Measures the memory of the records' bodies, as read and as copies."""
     kept, copied = [], []
     for size in CUSTOMERS:
         body = declarations(size // factor)
@@ -161,5 +179,5 @@
 
 
 def _copy_bodies(records: Records) -> list[bytes]:
-    # bytes(b) of bytes would be the same object.
+    # Copies by way of bytearray, because bytes(b) returns b itself.
     return [bytes(bytearray(body)) for body in records.values()]
