--- a/packages/bench/src/hollyknot_bench/slopes/_remedies.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_remedies.py
@@ -1,4 +1,4 @@
-"""What today's code would not carry, and the cheapest change that would."""
+"""Lists what exceeds a host's budget, with the cheapest change for each."""
 
 from collections.abc import Iterator
 
@@ -27,14 +27,14 @@
 
 @attrs.frozen
 class Remedy:
-    """A figure beyond the budget and what would bring it back.
+    """A figure that exceeds the budget, and a change that would lower it.
 
     Attributes:
-        mechanism: The mechanism.
-        today: The figure, and what it stands against.
-        change: The cheapest change. It is on paper only.
-        after: The figure that would follow.
-        basis: How that figure was come by.
+        mechanism: Mechanism that has the cost, and what causes it.
+        today: Figure with the present code, next to its limit or cause.
+        change: Cheapest change. It is a proposal that nothing implements.
+        after: Figure that is expected with the change.
+        basis: How the figures were derived, and what they assume.
     """
 
     mechanism: str
@@ -45,7 +45,7 @@
 
 
 def remedies(look: Lookup) -> tuple[Remedy, ...]:
-    """Returns all of them, the dearest for a host first."""
+    """Returns all remedies, that of the highest cost for a host first."""
     return (
         *_claims(look),
         *_declarations(look),
--- a/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_request_roles.py
@@ -1,4 +1,7 @@
-"""Roles that requests need: entry hosts and holders of claims."""
+"""Computes the cost of the roles that requests need of a host.
+
+An entry host receives requests from callers; a holder stores claims.
+"""
 
 from collections.abc import Iterator
 
@@ -27,7 +30,7 @@
 
 
 def entry_host(look: Lookup) -> Iterator[Row]:
-    """Returns what is kept and told for requests."""
+    """Returns the state and messages of the host that receives requests."""
     yield _routing_state(look)
     waiting = look.at("admission/memory/requests waiting", MAX_WAITING)
     known = look.at("admission/memory/customers", PLAN.customers)
@@ -67,6 +70,7 @@
 
 
 def _routing_state(look: Lookup) -> Row:
+    """Returns the cost to keep the routing table and apply host lists."""
     revisions = PLAN.revisions_s(ASSUMED)
     lists = look.at("routing/list taken cpu/upstreams", PLAN.replicas)
     memory = look.at("routing/memory/upstreams", PLAN.replicas)
@@ -81,7 +85,7 @@
 
 
 def holder(look: Lookup) -> Iterator[Row]:
-    """Returns what is kept and told for claims of others."""
+    """Returns the state and messages of a host that stores claims."""
     worst, mean = worst_slots(look), mean_slots(look)
     records = records_a_slot(look)
     memory = look.at("claims/memory/records held", records * worst)
--- a/packages/bench/src/hollyknot_bench/slopes/_tables.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_tables.py
@@ -1,4 +1,4 @@
-"""The tables of `docs/CAPACITY.md`, as Markdown."""
+"""Renders the tables of `docs/CAPACITY.md` as Markdown."""
 
 from collections.abc import Callable, Sequence
 
@@ -28,7 +28,7 @@
 
 
 def size_table(slopes: Slopes) -> str:
-    """Returns the plan's sizes for a host, and what is assumed."""
+    """Returns the plan's sizes per host and the assumptions of all tables."""
     machine = slopes.machine
     rows = [
         ("hosts of a data centre", f"{PLAN.hosts_a_centre:.0f}", "plan"),
@@ -67,7 +67,7 @@
 
 
 def roles_table(slopes: Slopes) -> str:
-    """Returns what each role costs a host that has it."""
+    """Returns the cost of each role for a host that has it."""
     rows = [
         (
             row.role,
@@ -95,7 +95,7 @@
 
 
 def budget_table(slopes: Slopes) -> str:
-    """Returns the mean and the worst host next to the budget."""
+    """Returns the costs of the mean and of the worst host, with the budget."""
     rows = roles(Lookup(slopes))
     fields = (
         ("% of a core", "core_percent", BUDGET.core_percent),
@@ -124,6 +124,8 @@
 def _budget_line(
     label: str, field: str, rows: Sequence[Row], budget: float
 ) -> tuple[str, ...]:
+    """Returns the row of a cost; without a budget (0) it has no verdict."""
+
     def total(cost_of: Callable[[Row], Cost]) -> float:
         return sum(float(getattr(cost_of(row), field)) for row in rows)
 
@@ -150,6 +152,7 @@
 
 
 def _verdict(mean: float, worst: float, budget: float) -> str:
+    """Says whether the mean and the worst host are within the budget."""
     if worst <= budget:
         return "yes"
     if mean <= budget:
@@ -158,7 +161,7 @@
 
 
 def faults_table(slopes: Slopes) -> str:
-    """Returns the effects of faults."""
+    """Returns the messages and the time to settle that each fault causes."""
     rows = [
         (e.fault, e.mechanism, e.messages, e.settles, e.basis)
         for e in faults(Lookup(slopes))
@@ -168,7 +171,7 @@
 
 
 def remedies_table(slopes: Slopes) -> str:
-    """Returns what does not fit, with the change that would."""
+    """Returns the figures beyond the budget, with a remedy for each."""
     rows = [
         (r.mechanism, r.today, r.change, r.after, r.basis)
         for r in remedies(Lookup(slopes))
@@ -178,7 +181,7 @@
 
 
 def slopes_table(slopes: Slopes) -> str:
-    """Returns all fits."""
+    """Returns the fitted curves of all slopes."""
     rows = [
         (
             s.mechanism,
@@ -209,4 +212,4 @@
     "remedies": remedies_table,
     "slopes": slopes_table,
 }
-"""By the names of their markers in the page."""
+"""Functions that render the tables, by the name of the page's marker."""
