--- a/packages/bench/src/hollyknot_bench/slopes/tests/test_page.py
+++ b/packages/bench/src/hollyknot_bench/slopes/tests/test_page.py
@@ -1,4 +1,4 @@
-"""The page's figures are those of the committed slopes."""
+"""Tests that the page's figures are those of the committed slopes."""
 
 import pathlib
 
@@ -22,45 +22,48 @@
 
 
 class TestPage:
-    """`docs/CAPACITY.md` against `docs/capacity/slopes.json`."""
+    """Compares `docs/CAPACITY.md` with `docs/capacity/slopes.json`."""
 
     def test_page_has_the_figures_of_the_slopes(self) -> None:
-        """The page promises what no run gave.
+        """Guards against figures on the page that no measurement gave.
 
-        Symptom: a figure of the page can't be found in any measurement.
-        Sequence: slopes are measured anew, or a digit is edited by hand.
-        Cause: page and slopes are kept apart.
+        Page and slopes are separate files: they differ if the slopes are
+        measured again or the page is edited by hand.
         """
         page = (_DOCS / "CAPACITY.md").read_text("utf-8")
         remedy = "run 'python -m hollyknot_bench.slopes page'"
         assert render_page(page, _committed()) == page, remedy
 
-    def test_page_without_a_table_is_refused(self) -> None:
+    def test_page_without_markers_of_a_table_is_refused(self) -> None:
         with pytest.raises(ValueError, match="write the markers"):
             render_page("# Capacity\n", _committed())
 
 
 class TestSlopes:
-    """The committed slopes."""
+    """Tests the committed file of slopes."""
 
     def test_all_fits_follow_from_their_values(self) -> None:
-        """A slope was edited: its line no longer goes through its points."""
-        for one in _committed().slopes:
-            points = list(zip(one.sizes, one.values, strict=True))
+        """Guards against a slope whose fit was edited apart from its points."""
+        for series in _committed().slopes:
+            points = list(zip(series.sizes, series.values, strict=True))
             again = make_series(
-                one.mechanism, one.measure, one.against, one.unit, points
+                series.mechanism,
+                series.measure,
+                series.against,
+                series.unit,
+                points,
             )
-            assert again.fit.kind is one.fit.kind, one.name
+            assert again.fit.kind is series.fit.kind, series.name
             assert again.fit.slope == pytest.approx(
-                one.fit.slope, rel=1e-3, abs=1e-9
-            ), one.name
+                series.fit.slope, rel=1e-3, abs=1e-9
+            ), series.name
 
-    def test_file_is_read_as_it_was_written(self) -> None:
+    def test_file_keeps_its_bytes_when_read_and_written(self) -> None:
         assert write_slopes(_committed()) == _SLOPES
 
 
 class TestFit:
-    """Which curve is taken."""
+    """Tests which curve is fitted."""
 
     @pytest.mark.parametrize(
         ("values", "kind", "at_32"),
@@ -71,9 +74,13 @@
             ((33.0, 32.0, 30.0, 26.0, 18.0), FitKind.LINEAR, 18.0),
         ],
     )
-    def test_kind(
+    def test_logarithm_is_fitted_only_where_it_is_better(
         self, values: tuple[float, ...], kind: FitKind, at_32: float
     ) -> None:
+        """Guards against extrapolation by the wrong curve.
+
+        The last case is a falling line, which is not continued.
+        """
         points = list(zip((1.0, 2.0, 4.0, 8.0, 16.0), values, strict=True))
         series = make_series("m", "x", "n", "s", points)
         assert series.fit.kind is kind
@@ -81,6 +88,8 @@
         assert series.at(32).factor == pytest.approx(2.0)
 
     @pytest.mark.parametrize("sizes", [(1, 2, 4, 16), (1, 2, 3, 4, 5)])
-    def test_too_few_sizes_are_refused(self, sizes: tuple[int, ...]) -> None:
+    def test_too_few_sizes_or_too_small_a_range_are_refused(
+        self, sizes: tuple[int, ...]
+    ) -> None:
         with pytest.raises(ValueError, match="measure 5 or more"):
             make_series("m", "x", "n", "s", [(n, 1.0) for n in sizes])
