--- a/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_real_hosts.py
@@ -1,4 +1,4 @@
-"""Real host processes: memory, processor time and traffic at rest."""
+"""Measures memory, processor time and traffic of idle host processes."""
 
 import asyncio
 import signal
@@ -14,15 +14,25 @@
 from hollyknot_bench.slopes._series import Series, make_series
 
 HOSTS = (1, 2, 4, 8, 16)
-QUICK_SECONDS = 2.0
-SECONDS = 6.0
+QUICK_WINDOW_S = 2.0
+WINDOW_S = 6.0
 SETTLE_S = 3.0
 MEGA = 1e6
-CENTRE = "hall-a"
+DATA_CENTRE = "hall-a"
 
 
 @attrs.frozen
-class _Rest:
+class _IdleCost:
+    """Mean cost of one host while no requests arrive.
+
+    Attributes:
+        hosts: Number of hosts that ran.
+        resident_mb: Resident memory of a host, in MB.
+        core_percent: Processor time of a host, as a percentage of a core.
+        sent: Bytes of link frames that a host sent per second.
+        messages: Link messages that a host sent per second.
+    """
+
     hosts: int
     resident_mb: float
     core_percent: float
@@ -31,16 +41,16 @@
 
 
 def measure(is_quick: bool) -> list[Series]:
-    """Measures hosts at rest."""
+    """Measures idle hosts, in data centres of several sizes."""
     return asyncio.run(_measure(is_quick))
 
 
 async def _measure(is_quick: bool) -> list[Series]:
-    seconds = QUICK_SECONDS if is_quick else SECONDS
+    seconds = QUICK_WINDOW_S if is_quick else WINDOW_S
     found = []
     for hosts in HOSTS:
         click.echo(f"{hosts} host processes ...", err=True)
-        found.append(await _rest(hosts, seconds))
+        found.append(await _measure_idle(hosts, seconds))
     named = (
         ("resident memory", "MB", "resident_mb"),
         ("cpu at rest", "% of a core", "core_percent"),
@@ -59,9 +69,9 @@
     ]
 
 
-async def _rest(hosts: int, seconds: float) -> _Rest:
+async def _measure_idle(hosts: int, seconds: float) -> _IdleCost:
     options = FleetOptions(
-        hosts=hosts, engines=1, services=0, data_centres=(CENTRE,)
+        hosts=hosts, engines=1, services=0, data_centres=(DATA_CENTRE,)
     )
     async with (
         running_fleet(options) as fleet,
@@ -79,10 +89,11 @@
         each = (clock() - began_s) * hosts
         after = await _traffic(session, fleet)
         resident = sum(resident_bytes(pid) for pid in pids) / hosts
-        # All at once: the fleet would wait for one after the other.
+        # Stops all hosts at once; leaving the fleet would stop them one after
+        # the other and wait for each.
         for host in fleet.hosts.values():
             host.send(signal.SIGTERM)
-    return _Rest(
+    return _IdleCost(
         hosts,
         resident / MEGA,
         spent / each * 100,
@@ -94,6 +105,7 @@
 async def _traffic(
     session: aiohttp.ClientSession, fleet: Fleet
 ) -> tuple[int, int]:
+    """Returns bytes and messages that all hosts have sent on links."""
     size = messages = 0
     for name in fleet.hosts:
         async with session.get(fleet.operators_url(name) + "/status") as got:
--- a/packages/bench/src/hollyknot_bench/slopes/_signals.py
+++ b/packages/bench/src/hollyknot_bench/slopes/_signals.py
@@ -1,4 +1,4 @@
-"""Soft signals: pressure of tiers and signs of upstreams."""
+"""Measures gossiped signals: pressure of tiers, health signs of upstreams."""
 
 import functools
 import random
@@ -15,14 +15,17 @@
 from hollyknot_state import SignKind, TierPressure, UpstreamSign
 
 KEYS = (4, 8, 16, 32, 64)
-"""Pairs of pool and tier under pressure; the plan has 21 pools, 3 tiers."""
+"""Numbers of pairs of pool and tier that are under pressure.
+
+The capacity plan has 21 pools of 3 tiers each.
+"""
 
 SIGN_RATES = (1, 2, 4, 8, 16)
 STORED = (256, 512, 1_024, 2_048, 4_096)
 HOSTS = 32
-WARM_S = 5.0
+WARM_UP_S = 5.0
 WINDOW_S = 15.0
-SIGN_MEMORY_S = 10.0
+SIGN_RETENTION_S = 10.0
 TIERS = 3
 
 
@@ -31,25 +34,38 @@
     window_s = WINDOW_S / 5 if is_quick else WINDOW_S
     against = "pools and tiers under pressure"
     return [
-        *_in_network("pressure", against, KEYS, window_s, _note_pressures),
-        *_in_network("signs", "signs/s", SIGN_RATES, window_s, _note_signs),
-        *_stored(),
+        *_measure_network(
+            "pressure", against, KEYS, window_s, _start_pressures
+        ),
+        *_measure_network(
+            "signs", "signs/s", SIGN_RATES, window_s, _start_signs
+        ),
+        *_measure_store(),
     ]
 
 
-def _in_network(
+def _measure_network(
     kind: str,
     against: str,
     sizes: tuple[int, ...],
     window_s: float,
-    noting: Callable[[Network, int], None],
+    start_signals: Callable[[Network, int], None],
 ) -> list[Series]:
+    """Measures the gossip of one kind of signal in a virtual network.
+
+    Args:
+        kind: Name of the signals.
+        against: What the sizes count.
+        sizes: Sizes to measure.
+        window_s: Virtual seconds of each measurement.
+        start_signals: Makes the hosts report signals, at one size.
+    """
     bytes_, messages, cpu = [], [], []
     for size in sizes:
         click.echo(f"{kind}: {size} {against} ...", err=True)
         network = make_network(HOSTS)
-        noting(network, size)
-        network.run(WARM_S)
+        start_signals(network, size)
+        network.run(WARM_UP_S)
         network.pop_spent()
         network.run(window_s)
         spent = network.pop_spent()
@@ -72,8 +88,11 @@
     ]
 
 
-def _note_pressures(network: Network, keys: int) -> None:
-    """Lets every host be short of everything all the time: the worst."""
+def _start_pressures(network: Network, keys: int) -> None:
+    """Makes every host report pressure on each key at every tick.
+
+    This is the worst case for the gossip.
+    """
     pressures = tuple(
         TierPressure(model(n // TIERS), 1 + n % TIERS, 0) for n in range(keys)
     )
@@ -84,8 +103,13 @@
     network.before_tick = note
 
 
-def _note_signs(network: Network, rate: int) -> None:
-    """Lets one host after the other see an upstream go."""
+def _start_signs(network: Network, rate: int) -> None:
+    """Makes the hosts, in turn, report lost upstreams.
+
+    Args:
+        network: The virtual network.
+        rate: Lost upstreams per second, over all hosts.
+    """
     names = sorted(network.nodes)
     seen: dict[str, list[tuple[str, float]]] = {n: [] for n in names}
     began_s = network.now_s
@@ -99,14 +123,15 @@
         signs = tuple(
             UpstreamSign(u, SignKind.LOST, int((now_s - s) * 1000))
             for u, s in seen[node.name]
-            if now_s - s <= SIGN_MEMORY_S
+            if now_s - s <= SIGN_RETENTION_S
         )
         node.state.note_signals(now_s, signs=signs)
 
     network.before_tick = note
 
 
-def _stored() -> list[Series]:
+def _measure_store() -> list[Series]:
+    """Measures a single store that holds many signs."""
     memory, cpu = [], []
     for size in STORED:
 
@@ -119,8 +144,8 @@
 
         store, kept = measure_memory(make)
         memory.append((size, kept / MEGA))
-        told = functools.partial(store.next_updates, 278, 1.0)
-        cpu.append((size, cpu_us(told, 3, 3)))
+        make_message = functools.partial(store.next_updates, 278, 1.0)
+        cpu.append((size, cpu_us(make_message, 3, 3)))
     against = "signs kept"
     return [
         make_series("signals", "memory", against, "MB", memory),
