--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -189,15 +189,15 @@
             data_centre="one",
             table_version=1,
             uses=host.loads.uses(),
-            demands=host.demand.told(self._clock.now_s),
-            held=host.cached.told(self._clock.now_s),
+            demands=host.demand.to_report(self._clock.now_s),
+            held=host.cached.to_report(self._clock.now_s),
         )
         self._reports[number] = report
         for other, peer in enumerate(self._hosts):
             heard = [r for n, r in self._reports.items() if n != other]
             peer.loads.replace_reports(heard)
-            peer.demand.take(d for r in heard for d in r.demands)
-            peer.cached.take(report.held, self._clock.now_s)
+            peer.demand.apply_reported(d for r in heard for d in r.demands)
+            peer.cached.apply_reported(report.held, self._clock.now_s)
         again_s = self._clock.now_s + self._load.report_s
         self._later(again_s, self._report, number, sequence + 1)
 
--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -86,8 +86,8 @@
             self.number,
             self._sequence,
             uses if is_whole else tuple(use for use in uses if use.waiting),
-            host.demand.told(now_s),
-            held=host.cached.told(now_s),
+            host.demand.to_report(now_s),
+            held=host.cached.to_report(now_s),
             is_whole=is_whole,
         )
         self._size = len(encode_report(report))
@@ -98,8 +98,8 @@
 
     def take(self, report: UseReport, now_s: float) -> None:
         """Takes a peer's report."""
-        self.host.cached.take(report.held, now_s)
-        self.peers.take_uses(report, now_s)
+        self.host.cached.apply_reported(report.held, now_s)
+        self.peers.apply_use_report(report, now_s)
 
     def sum_up(self, now_s: float) -> None:
         """Has the host's beliefs follow from what its peers have told."""
@@ -109,7 +109,7 @@
         self.peers.expire(now_s)
         fresh = self.peers.fresh(now_s)
         self.host.loads.replace_reports(fresh)
-        self.host.demand.take(
+        self.host.demand.apply_reported(
             (d for r in fresh for d in r.demands),
             min(1.0, (len(fresh) + 1) / (self.peers.estimated_count + 1)),
         )
@@ -125,7 +125,7 @@
     for number, address in enumerate(addresses):
         met = HostReport(str(number), number, 1, address, _DATA_CENTRE, 1)
         for teller in tellers:
-            teller.peers.take(met, 0.0)
+            teller.peers.apply_report(met, 0.0)
     return tellers
 
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
@@ -140,7 +140,7 @@
                 self._recent.append((now_s, HeldRun(*held)))
                 self._untracked.append(HeldRun(*held))
 
-    def told(self, now_s: float) -> tuple[HeldRun, ...]:
+    def to_report(self, now_s: float) -> tuple[HeldRun, ...]:
         """Returns the newly held runs that this host reports to its peers."""
         while self._recent and self._recent[0][0] < now_s - REPORTED_S:
             self._recent.popleft()
@@ -158,7 +158,7 @@
             self._untracked = deque(rest, maxlen=_MAX_UNTRACKED)
         return found
 
-    def take(self, reported: Iterable[HeldRun], now_s: float) -> None:
+    def apply_reported(self, reported: Iterable[HeldRun], now_s: float) -> None:
         """Adds runs that a peer reported."""
         for held in reported:
             self._keep((held.upstream, held.run), now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_forecasts.py
@@ -103,7 +103,9 @@
         interval_ms = max(1, round(pace.interval_s * 1000))
         return UpstreamPace(short_name(upstream), interval_ms)
 
-    def take(self, paces: Iterable[UpstreamPace], now_s: float) -> None:
+    def apply_reported(
+        self, paces: Iterable[UpstreamPace], now_s: float
+    ) -> None:
         """Adds paces that trackers reported, from streams of other hosts.
 
         In a large fleet each host relays few streams at a time and observes
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -149,7 +149,7 @@
 
     def handle_note(self, note: LoadNote, now_s: float) -> None:
         """Applies a host's note, as a tracker."""
-        self._tracked.take(note, now_s)
+        self._tracked.apply_note(note, now_s)
 
     def notes(
         self,
@@ -196,7 +196,7 @@
                 tuple(pace for pace in paces if pace is not None),
             )
             if tracker is None:
-                self._tracked.take(note, now_s)
+                self._tracked.apply_note(note, now_s)
             else:
                 notes.append((tracker, note))
         return notes
@@ -213,5 +213,5 @@
 
     def _apply(self, answer: LoadAnswer, now_s: float) -> None:
         self._loads.add_tracked(answer.uses, now_s)
-        self._forecasts.take(answer.paces, now_s)
-        self._cached.take(answer.held, now_s)
+        self._forecasts.apply_reported(answer.paces, now_s)
+        self._cached.apply_reported(answer.held, now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -83,7 +83,9 @@
         claim = IssuerClaim(own.incarnation, own.address, is_near)
         self._merge(upstream, claim, now_s, now_s)
 
-    def take(self, upstream: int, claim: IssuerClaim, now_s: float) -> None:
+    def apply_claim(
+        self, upstream: int, claim: IssuerClaim, now_s: float
+    ) -> None:
         """Applies a claim from another host's report."""
         made_s = now_s - max(0, claim.age_ms) / _MS
         known = self._merge(upstream, claim, made_s, now_s)
@@ -93,7 +95,7 @@
             known.last_other_s = now_s
             known.own_claims_received = 0
 
-    def told(self, upstream: int, now_s: float) -> IssuerClaim | None:
+    def to_report(self, upstream: int, now_s: float) -> IssuerClaim | None:
         """Returns the claim to report to others; None if none is needed."""
         if self._size.heard_part >= ALL_HEARD_FRACTION:
             return None
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -122,7 +122,7 @@
         """Records the end of a stream that this host sent."""
         self._own_streams[service, is_loose] -= 1
 
-    def take(
+    def apply_reported(
         self, reported: Iterable[LaneDemand], heard_part: float = 1.0
     ) -> None:
         """Replaces the demand that peers reported before.
@@ -144,7 +144,7 @@
         self._tokens = tokens
         self._streams = streams
 
-    def told(self, now_s: float) -> tuple[LaneDemand, ...]:
+    def to_report(self, now_s: float) -> tuple[LaneDemand, ...]:
         """Returns this host's own demand, for its report."""
         services = sorted({service for service, _ in self._own})
         return tuple(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -107,8 +107,8 @@
             return False
         return self._put(name, rate, now_s, now_s)
 
-    def take(
-        self, told: Iterable[NamedLimit], now_s: float
+    def apply_reported(
+        self, reported: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
         """Applies the limits that another host reports, where they are newer.
 
@@ -116,7 +116,7 @@
             The limits whose rate has changed by it.
         """
         changed = []
-        for limit in told:
+        for limit in reported:
             observed_s = now_s - max(0, limit.age_ms) / _MS - HOP_AGE_S
             known = self._limits.get(limit.upstream)
             if limit.rate is None and known is None:
@@ -135,9 +135,11 @@
         known_limit = self._limits.get(name)
         if known_limit is None:
             return NamedLimit(name, _UNKNOWN_AGE_MS)
-        return _told(name, known_limit, now_s)
+        return _named_limit(name, known_limit, now_s)
 
-    def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
+    def to_report(
+        self, now_s: float, *, is_all: bool
+    ) -> tuple[NamedLimit, ...]:
         """Returns the limits for the next report, the last changed first.
 
         Args:
@@ -155,7 +157,7 @@
         ]
         found.sort(reverse=True)
         return tuple(
-            _told(name, known_limit, now_s)
+            _named_limit(name, known_limit, now_s)
             for _, name, known_limit in found[:MAX_REPORTED]
         )
 
@@ -192,6 +194,8 @@
     return math.isfinite(rate) and rate >= 0
 
 
-def _told(name: int, known_limit: _KnownLimit, now_s: float) -> NamedLimit:
+def _named_limit(
+    name: int, known_limit: _KnownLimit, now_s: float
+) -> NamedLimit:
     age_ms = max(0, round((now_s - known_limit.observed_s) * _MS))
     return NamedLimit(name, age_ms, known_limit.rate)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
@@ -130,7 +130,7 @@
         """Estimated number of peers, including those that were not heard."""
         return estimate_peers(len(self._peers), len(self._times))
 
-    def take(self, report: HostReport, now_s: float) -> bool:
+    def apply_report(self, report: HostReport, now_s: float) -> bool:
         """Processes a full report.
 
         Returns:
@@ -151,7 +151,7 @@
             self._contacts.add(contact)
         return known is None
 
-    def take_uses(self, report: UseReport, now_s: float) -> None:
+    def apply_use_report(self, report: UseReport, now_s: float) -> None:
         """Processes a use report; one of an unknown peer is ignored."""
         host = self._hosts.get(report.incarnation, "")
         known = self._peers.get(host)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -186,7 +186,9 @@
         ]
         return min(waits, default=None)
 
-    def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
+    def to_report(
+        self, now_s: float, *, is_all: bool
+    ) -> tuple[NamedLimit, ...]:
         """Returns the limits for the next report, with their issuers' claims.
 
         Args:
@@ -194,23 +196,25 @@
             is_all: Whether to include limits that have not changed recently.
         """
         return tuple(
-            attrs.evolve(limit, issuer=self._claims.told(limit.upstream, now_s))
-            for limit in self._named.told(now_s, is_all=is_all)
+            attrs.evolve(
+                limit, issuer=self._claims.to_report(limit.upstream, now_s)
+            )
+            for limit in self._named.to_report(now_s, is_all=is_all)
         )
 
-    def take(
-        self, told: Iterable[NamedLimit], now_s: float
+    def apply_reported(
+        self, reported: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
         """Applies the limits in another host's report.
 
         Returns:
             The limits whose rate has changed by it.
         """
-        told = tuple(told)
-        for limit in told:
+        reported = tuple(reported)
+        for limit in reported:
             if limit.issuer is not None:
-                self._claims.take(limit.upstream, limit.issuer, now_s)
-        return self._named.take(told, now_s)
+                self._claims.apply_claim(limit.upstream, limit.issuer, now_s)
+        return self._named.apply_reported(reported, now_s)
 
     def ask(
         self, entry: UpstreamEntry, now_s: float, *, is_least_urgent: bool
@@ -250,7 +254,7 @@
 
     def answer(self, query: PermitQuery, now_s: float) -> PermitAnswer:
         """Answers another host's query: a permit, a wait or a redirect."""
-        self._named.take((query.limit,), now_s)
+        self._named.apply_reported((query.limit,), now_s)
         limit = self._named.known_limit(query.upstream, now_s)
         if limit.rate is None:
             return PermitAnswer(query.number, is_issued=True, limit=limit)
@@ -284,7 +288,7 @@
             The query to send if the answer is a redirect to another issuer.
         """
         if answer.limit is not None:
-            self._named.take((answer.limit,), now_s)
+            self._named.apply_reported((answer.limit,), now_s)
         request = self._waiting.pop(answer.number, None)
         if request is None:
             # The answer came too late, and its permit stays unused.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_tracked_loads.py
@@ -66,7 +66,7 @@
         """Returns the number of upstreams with recently reported load."""
         return len(self._host_loads)
 
-    def take(self, note: LoadNote, now_s: float) -> None:
+    def apply_note(self, note: LoadNote, now_s: float) -> None:
         """Applies a host's note; for each upstream only a newer one counts."""
         paces = {pace.upstream: pace for pace in note.paces}
         for use in note.uses:
@@ -76,7 +76,7 @@
                 pace = paces.get(use.upstream)
                 host_load = _HostLoad(use, pace, note.sequence, now_s)
                 hosts[note.incarnation] = host_load
-        self._cached.take(note.held, now_s)
+        self._cached.apply_reported(note.held, now_s)
 
     def expire(self, now_s: float) -> None:
         """Drops loads that are too old to be counted.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -206,15 +206,17 @@
             return
         if self.now_s >= host.frozen_until_s and host.known:
             target = self.rng.choice(host.known).address
-            told = host.permits.told(self.now_s, is_all=True)
-            self._send(host, target, self._handle_report, told)
+            reported = host.permits.to_report(self.now_s, is_all=True)
+            self._send(host, target, self._handle_report, reported)
         is_settled = self.now_s > self._changed_s + SETTLED_S
         is_rare = is_settled and self._sees is not None
         pause_s = SETTLED_REPORT_INTERVAL_S if is_rare else REPORT_INTERVAL_S
         self._at(self.now_s + pause_s, self._report, host)
 
-    def _handle_report(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
-        host.permits.take(told, self.now_s)
+    def _handle_report(
+        self, host: Host, reported: tuple[NamedLimit, ...]
+    ) -> None:
+        host.permits.apply_reported(reported, self.now_s)
 
     def _schedule_demand(self, wanted: float, end_s: float) -> None:
         next_s = self.now_s + self.rng.expovariate(wanted)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cached_parts.py
@@ -53,24 +53,24 @@
     def test_held_run_is_reported_once(self) -> None:
         one, other = CachedParts(), CachedParts()
         one.note("b", PROMPT, 0.0)
-        told = one.told(0.1)
-        assert len(told) == 2
-        other.take(told, 0.1)
+        reported = one.to_report(0.1)
+        assert len(reported) == 2
+        other.apply_reported(reported, 0.1)
         assert _of(other, 0.2).missing_tokens["b"] == 0
         # Neither host reports again what both know.
         one.note("b", PROMPT, 1.0)
         other.note("b", PROMPT, 1.0)
-        assert one.told(1.0) == other.told(1.0) == ()
+        assert one.to_report(1.0) == other.to_report(1.0) == ()
 
     def test_held_run_leaves_reports_after_a_moment(self) -> None:
         cached = CachedParts()
         cached.note("b", PROMPT, 0.0)
-        assert cached.told(REPORTED_S + 0.01) == ()
+        assert cached.to_report(REPORTED_S + 0.01) == ()
 
     def test_short_runs_are_not_reported(self) -> None:
         cached = CachedParts()
         cached.note("b", call(("s", 100), ("t", 90), ("own", 9)).prompt, 0.0)
-        assert cached.told(0.0) == ()
+        assert cached.to_report(0.0) == ()
 
 
 class TestSource:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_lanes.py
@@ -21,7 +21,7 @@
         demand = Demand()
         lanes = Lanes(demand)
         assert _sizes(lanes, 0.0) == (3, 3)
-        demand.take([LaneDemand("engines", 90_000, 9_000)])
+        demand.apply_reported([LaneDemand("engines", 90_000, 9_000)])
         assert _sizes(lanes, 0.0) == (5, 1)
 
     def test_lane_has_enough_slots_for_its_streams(self) -> None:
@@ -32,7 +32,7 @@
         few upstreams of their lane and overflow to those with long prompts.
         """
         lanes = Lanes(demand := Demand())
-        demand.take([LaneDemand("engines", 90_000, 5_000, 4, 14)])
+        demand.apply_reported([LaneDemand("engines", 90_000, 5_000, 4, 14)])
         # At 6 tenths of 8 slots per upstream, 14 streams need three.
         assert _sizes(lanes, 0.0) == (3, 3)
 
@@ -47,7 +47,7 @@
 
     def test_streams_of_unheard_hosts_are_estimated(self) -> None:
         demand = Demand()
-        demand.take([LaneDemand("engines", 0, 0, 6, 3)], 0.5)
+        demand.apply_reported([LaneDemand("engines", 0, 0, 6, 3)], 0.5)
         assert demand.streams("engines", is_loose=True) == 12
         assert demand.streams("engines", is_loose=False) == 6
 
@@ -59,14 +59,14 @@
         streams still need.
         """
         lanes = Lanes(demand := Demand())
-        demand.take([LaneDemand("engines", 90_000, 5_000, 80, 14)])
+        demand.apply_reported([LaneDemand("engines", 90_000, 5_000, 80, 14)])
         assert _sizes(lanes, 0.0) == (3, 3)
-        demand.take([LaneDemand("engines", 90_000, 5_000, 80, 80)])
+        demand.apply_reported([LaneDemand("engines", 90_000, 5_000, 80, 80)])
         assert _sizes(Lanes(demand), 0.0) == (2, 4)
 
     def test_each_lane_keeps_one_upstream(self) -> None:
         demand = Demand()
-        demand.take([LaneDemand("engines", 90_000, 0)])
+        demand.apply_reported([LaneDemand("engines", 90_000, 0)])
         assert _sizes(Lanes(demand), 0.0, count=2) == (1, 1)
 
     def test_single_upstream_serves_both_lanes(self) -> None:
@@ -75,9 +75,9 @@
     def test_small_changes_of_demand_keep_the_lane_sizes(self) -> None:
         demand = Demand()
         lanes = Lanes(demand)
-        demand.take([LaneDemand("engines", 50_000, 30_000)])
+        demand.apply_reported([LaneDemand("engines", 50_000, 30_000)])
         before = _sizes(lanes, 0.0)
-        demand.take([LaneDemand("engines", 55_000, 30_000)])
+        demand.apply_reported([LaneDemand("engines", 55_000, 30_000)])
         assert _sizes(lanes, 0.0) == before
 
     def test_hosts_that_hear_each_other_agree(self) -> None:
@@ -86,10 +86,10 @@
             for step in range(20):
                 demand.begin("engines", 900 * (index + 1), step, is_loose=True)
                 demand.begin("engines", 700, step, is_loose=False)
-        reports = [demand.told(20.0) for demand in demands]
+        reports = [demand.to_report(20.0) for demand in demands]
         shares = []
         for index, demand in enumerate(demands):
             others = [t for i, t in enumerate(reports) if i != index]
-            demand.take(d for report in others for d in report)
+            demand.apply_reported(d for report in others for d in report)
             shares.append(round(demand.share_of_loose("engines", 20.0), 2))
         assert len(set(shares)) == 1
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -62,17 +62,22 @@
     def test_a_reported_limit_is_applied_once(self) -> None:
         reporter, other = NamedLimits(), NamedLimits()
         reporter.observe("a", 1.2, 1.0, 2.0)
-        changed = other.take(reporter.told(2.5, is_all=False), 2.5)
+        changed = other.apply_reported(
+            reporter.to_report(2.5, is_all=False), 2.5
+        )
         assert [limit.rate for limit in changed] == [1.2]
         assert other.rate("a") == 1.2
-        assert other.take(reporter.told(2.6, is_all=False), 2.6) == []
+        assert (
+            other.apply_reported(reporter.to_report(2.6, is_all=False), 2.6)
+            == []
+        )
 
     def test_the_newest_observation_counts(self) -> None:
         named = NamedLimits()
         named.observe("a", 1.2, 9.0, 10.0)
-        assert named.take([self._limit(3.0, age_ms=500)], 10.1) == []
+        assert named.apply_reported([self._limit(3.0, age_ms=500)], 10.1) == []
         assert named.rate("a") == 1.2
-        assert named.take([self._limit(3.0, age_ms=10)], 10.5)
+        assert named.apply_reported([self._limit(3.0, age_ms=10)], 10.5)
         assert named.rate("a") == 3.0
 
     def test_an_observation_never_gets_younger_by_gossip(self) -> None:
@@ -85,7 +90,9 @@
                 hosts, hosts[1:] + hosts[:1], strict=True
             ):
                 now_s += 0.002
-                other.take(reporter.told(now_s, is_all=True), now_s)
+                other.apply_reported(
+                    reporter.to_report(now_s, is_all=True), now_s
+                )
         heard = [host._limits[short_name("a")].observed_s for host in hosts]
         assert max(heard) == 1.0
 
@@ -95,25 +102,25 @@
         named = NamedLimits()
         named.observe("a", 1.2, 0.0, 1.0)
         named.observe("a", None, 2.0, 3.0)
-        named.take([self._limit(1.2, age_ms=1000)], 3.5)
+        named.apply_reported([self._limit(1.2, age_ms=1000)], 3.5)
         assert named.rate("a") is None
-        assert named.told(3.0 + WITHDRAWN_RETENTION_S, is_all=True)
-        assert named.told(3.1 + WITHDRAWN_RETENTION_S, is_all=True) == ()
+        assert named.to_report(3.0 + WITHDRAWN_RETENTION_S, is_all=True)
+        assert named.to_report(3.1 + WITHDRAWN_RETENTION_S, is_all=True) == ()
 
     def test_a_withdrawal_of_an_unknown_limit_is_no_change(self) -> None:
         named = NamedLimits()
-        assert named.take([self._limit(None)], 1.0) == []
-        assert named.told(1.0, is_all=True) == ()
+        assert named.apply_reported([self._limit(None)], 1.0) == []
+        assert named.to_report(1.0, is_all=True) == ()
 
     @pytest.mark.parametrize("rate", [-1.0, float("inf"), float("nan")])
     def test_an_invalid_rate_from_a_peer_is_ignored(self, rate: float) -> None:
         named = NamedLimits()
-        assert named.take([self._limit(rate)], 1.0) == []
+        assert named.apply_reported([self._limit(rate)], 1.0) == []
         assert named.rate("a") is None
 
     def test_a_negative_age_counts_as_zero(self) -> None:
         named = NamedLimits()
-        named.take([self._limit(1.0, age_ms=-(10**9))], 1.0)
+        named.apply_reported([self._limit(1.0, age_ms=-(10**9))], 1.0)
         assert named.observe("a", 2.0, 1.5, 2.0)
 
     def test_recent_changes_are_in_each_report_and_older_in_whole_ones(
@@ -121,9 +128,9 @@
     ) -> None:
         named = NamedLimits()
         named.observe("a", 1.2, 0.0, 1.0)
-        assert named.told(1.0 + REPORT_CHANGE_S - 0.1, is_all=False)
-        assert named.told(1.0 + REPORT_CHANGE_S, is_all=False) == ()
-        assert named.told(1.0 + REPORT_CHANGE_S, is_all=True)
+        assert named.to_report(1.0 + REPORT_CHANGE_S - 0.1, is_all=False)
+        assert named.to_report(1.0 + REPORT_CHANGE_S, is_all=False) == ()
+        assert named.to_report(1.0 + REPORT_CHANGE_S, is_all=True)
 
     def test_removed_upstreams_leave_all_reports(self) -> None:
         """Guards against hosts that remind each other of removed upstreams."""
@@ -134,24 +141,24 @@
             now_s += 1.0
             hosts[int(now_s) % 3].forget("a")
             for reporter in hosts:
-                told = reporter.told(now_s, is_all=True)
+                reported = reporter.to_report(now_s, is_all=True)
                 for other in hosts:
-                    other.take(told, now_s)
-        assert not any(host.told(now_s, is_all=True) for host in hosts)
+                    other.apply_reported(reported, now_s)
+        assert not any(host.to_report(now_s, is_all=True) for host in hosts)
 
     def test_a_limit_without_answers_expires(self) -> None:
         named = NamedLimits()
         named.observe("a", 1.2, 0.0, 1.0)
-        named.told(RETENTION_S, is_all=True)
+        named.to_report(RETENTION_S, is_all=True)
         assert named.rate("a") == 1.2
-        named.told(RETENTION_S + 2.0, is_all=True)
+        named.to_report(RETENTION_S + 2.0, is_all=True)
         assert named.rate("a") is None
 
     def test_a_report_carries_the_newest_of_many(self) -> None:
         named = NamedLimits()
         for number in range(MAX_REPORTED + 5):
             named.observe(f"a{number}", 1.0, 0.0, float(number))
-        told = named.told(30.0, is_all=True)
+        reported = named.to_report(30.0, is_all=True)
         newest = short_name(f"a{MAX_REPORTED + 4}")
-        assert len(told) == MAX_REPORTED
-        assert told[0] == attrs.evolve(told[0], upstream=newest)
+        assert len(reported) == MAX_REPORTED
+        assert reported[0] == attrs.evolve(reported[0], upstream=newest)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -41,29 +41,29 @@
                 for other, host in hosts.items():
                     if address_of(other) == target:
                         received = report(name, step + 1, contacts=contacts)
-                        host.take(received, now_s)
+                        host.apply_report(received, now_s)
         assert [host.count for host in hosts.values()] == [7] * 8
 
     def test_never_sends_a_report_to_itself(self) -> None:
         peers = _peers("a", "a")
-        peers.take(report("b", contacts=(address_of("a"),)), 0.0)
+        peers.apply_report(report("b", contacts=(address_of("a"),)), 0.0)
         assert address_of("a") not in peers.targets(0.0, 16)
 
     def test_an_older_report_changes_nothing(self) -> None:
         peers = _peers("a")
-        peers.take(report("b", sequence=5), 0.0)
-        peers.take(report("b", sequence=4), 3.0)
+        peers.apply_report(report("b", sequence=5), 0.0)
+        peers.apply_report(report("b", sequence=4), 3.0)
         assert peers.fresh(3.0) == []
 
     def test_a_restarted_peer_begins_again(self) -> None:
         peers = _peers("a")
-        peers.take(report("b", sequence=500), 0.0)
-        peers.take(report("b", sequence=1, incarnation=2), 3.0)
+        peers.apply_report(report("b", sequence=500), 0.0)
+        peers.apply_report(report("b", sequence=1, incarnation=2), 3.0)
         assert [r.incarnation for r in peers.fresh(3.0)] == [2]
 
     def test_a_silent_peer_is_forgotten(self) -> None:
         peers = _peers("a")
-        peers.take(report("b"), 0.0)
+        peers.apply_report(report("b"), 0.0)
         assert peers.expire(4.0) == []
         assert peers.expire(5.1) == ["b"]
 
@@ -71,12 +71,12 @@
         peers = _peers("a")
         for step in range(10):
             received = report("b", sequence=step, data_centre="south")
-            peers.take(received, step * 0.1)
+            peers.apply_report(received, step * 0.1)
             received = report("c", sequence=step, data_centre="south")
-            peers.take(received, step * 0.1 + 0.05)
+            peers.apply_report(received, step * 0.1 + 0.05)
             received = report("d", sequence=step, data_centre="east")
-            peers.take(received, step * 0.1)
-        peers.take(report("b", sequence=10, data_centre="south"), 1.2)
+            peers.apply_report(received, step * 0.1)
+        peers.apply_report(report("b", sequence=10, data_centre="south"), 1.2)
         assert peers.silent_data_centres(1.29) == set()
         assert peers.silent_data_centres(1.35) == {"east"}
         assert peers.silent_data_centres(1.65) == {"east", "south"}
@@ -90,7 +90,7 @@
         peers = _peers("a")
         for step in range(10):
             received = report("b", sequence=step, data_centre="north")
-            peers.take(received, step * 0.1)
+            peers.apply_report(received, step * 0.1)
         assert peers.silent_data_centres(3.0) == set()
 
     def test_a_data_centre_that_seldom_reports_is_not_silent(self) -> None:
@@ -102,7 +102,7 @@
         peers = _peers("a")
         for step in range(8):
             received = report("b", sequence=step, data_centre="south")
-            peers.take(received, step * 0.7)
+            peers.apply_report(received, step * 0.7)
         assert peers.silent_data_centres(4.9 + 0.7) == set()
         assert peers.silent_data_centres(4.9 + 2.9) == {"south"}
         assert len(peers.fresh(4.9 + 1.4)) == 1
@@ -112,15 +112,17 @@
         times = [step * 0.1 for step in range(20)]
         for number, now_s in enumerate((*times, 20.0, 20.1, 20.2)):
             received = report("b", sequence=number, data_centre="south")
-            peers.take(received, now_s)
+            peers.apply_report(received, now_s)
         assert peers.silent_data_centres(21.1) == {"south"}
 
     def test_use_report_changes_only_its_own_fields(self) -> None:
         peers = _peers("a")
-        peers.take(attrs.evolve(report("b", sequence=1), table_version=9), 0.0)
+        peers.apply_report(
+            attrs.evolve(report("b", sequence=1), table_version=9), 0.0
+        )
         uses = (UpstreamUse(7, (100,), 1, 2),)
-        peers.take_uses(UseReport(1, 2, uses), 0.3)
-        peers.take_uses(UseReport(1, 1), 0.4)
+        peers.apply_use_report(UseReport(1, 2, uses), 0.3)
+        peers.apply_use_report(UseReport(1, 1), 0.4)
         (received,) = peers.fresh(0.4)
         assert (received.host, received.table_version, received.uses) == (
             "b",
@@ -134,21 +136,25 @@
         peers = _peers("a")
         demands = (LaneDemand("engines", 5, 6),)
         whole = UseReport(1, 2, (UpstreamUse(7, (9,), 1, 2),), demands)
-        peers.take(report("b", sequence=1), 0.0)
-        peers.take_uses(whole, 0.1)
+        peers.apply_report(report("b", sequence=1), 0.0)
+        peers.apply_use_report(whole, 0.1)
         waiting = (UpstreamUse(8, (30,), 1, 0),)
-        peers.take_uses(UseReport(1, 3, waiting, is_whole=False), 0.2)
+        peers.apply_use_report(UseReport(1, 3, waiting, is_whole=False), 0.2)
         (received,) = peers.fresh(0.3)
         assert received.demands == demands
         assert received.uses == (UpstreamUse(7, (), 0, 3), *waiting)
 
     def test_use_report_of_an_unknown_peer_is_ignored(self) -> None:
         peers = _peers("a")
-        peers.take_uses(UseReport(1, 1, (UpstreamUse(7, (100,), 1, 2),)), 0.0)
+        peers.apply_use_report(
+            UseReport(1, 1, (UpstreamUse(7, (100,), 1, 2),)), 0.0
+        )
         assert peers.count == 0
-        peers.take(report("b", sequence=1, incarnation=2), 0.0)
-        peers.take(report("b", sequence=1, incarnation=3), 0.1)
-        peers.take_uses(UseReport(2, 9, (UpstreamUse(7, (100,), 1, 2),)), 0.2)
+        peers.apply_report(report("b", sequence=1, incarnation=2), 0.0)
+        peers.apply_report(report("b", sequence=1, incarnation=3), 0.1)
+        peers.apply_use_report(
+            UseReport(2, 9, (UpstreamUse(7, (100,), 1, 2),)), 0.2
+        )
         assert peers.fresh(0.2)[0].uses == ()
 
     def test_restarted_peer_gets_a_full_report(self) -> None:
@@ -158,11 +164,11 @@
         next full report is due.
         """
         peers = _peers("a")
-        peers.take(report("b", sequence=9), 0.0)
+        peers.apply_report(report("b", sequence=9), 0.0)
         (target,) = peers.targets(0.0, 9)
         assert peers.needs_full_report(target, 0.0)
         assert not peers.needs_full_report(target, 0.5)
-        peers.take(report("b", sequence=1, incarnation=2), 1.0)
+        peers.apply_report(report("b", sequence=1, incarnation=2), 1.0)
         assert peers.needs_full_report(target, 1.1)
 
     def test_unheard_address_gets_only_full_reports(self) -> None:
@@ -174,13 +180,13 @@
     def test_reports_to_many_peers_are_limited(self) -> None:
         peers = _peers("a")
         for index in range(100):
-            peers.take(report(f"host{index}x{index}"), 0.0)
+            peers.apply_report(report(f"host{index}x{index}"), 0.0)
         assert len(peers.targets(0.0, 16)) == 16
 
     def test_few_peers_get_reports_in_turn(self) -> None:
         peers = _peers("a")
         for name in "bcdefgh":
-            peers.take(report(name), 0.0)
+            peers.apply_report(report(name), 0.0)
         chosen = [peers.targets(step / 10, 1)[0] for step in range(1, 15)]
         assert set(chosen[:7]) == {address_of(name) for name in "bcdefgh"}
         assert chosen[7:] == chosen[:7]
@@ -194,7 +200,7 @@
         peers = _peers("a", "seed")
         for index in range(5):
             contacts = tuple(address_of(f"new{index}{n}") for n in range(30))
-            peers.take(report(f"host{index}", contacts=contacts), 0.0)
+            peers.apply_report(report(f"host{index}", contacts=contacts), 0.0)
         for most in (1, 2, 5):
             assert len(peers.targets(1.0 + most, most)) <= most
 
@@ -207,7 +213,7 @@
         peers = _peers("a")
         dead = tuple(Address("127.0.0.9", 1 + n) for n in range(20))
         for name in "bcdefgh":
-            peers.take(report(name, contacts=dead), 0.0)
+            peers.apply_report(report(name, contacts=dead), 0.0)
         chosen = {
             target
             for step in range(1, 11)
@@ -240,7 +246,7 @@
             if other is not None and not (
                 is_partitioned and other[0] != name[0]
             ):
-                hosts[other].take(sent, now_s)
+                hosts[other].apply_report(sent, now_s)
     for host in hosts.values():
         host.expire(now_s)
 
--- a/packages/gateway/src/hollyknot_gateway/_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/_inquirer.py
@@ -77,7 +77,7 @@
             for tracker in self._inquiries.give_up(inquiry, self._clock()):
                 self._log.line("tracker_silent", tracker=str(tracker.address))
 
-    def take(self, message: LoadMessage, sender: Address) -> None:
+    def handle(self, message: LoadMessage, sender: Address) -> None:
         """Handles a message, either as a tracker or as the querying host."""
         now_s = self._clock()
         if isinstance(message, LoadNote):
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -302,7 +302,7 @@
         fresh = self._peers.fresh(now_s)
         shared = self._shared
         shared.loads.replace_reports(fresh)
-        shared.demand.take(
+        shared.demand.apply_reported(
             (d for report in fresh for d in report.demands),
             min(1.0, (len(fresh) + 1) / self.hosts),
         )
@@ -322,12 +322,12 @@
             self._incarnation,
             self._sequence,
             uses if is_whole else tuple(use for use in uses if use.waiting),
-            shared.demand.told(now_s) if includes_demand else (),
+            shared.demand.to_report(now_s) if includes_demand else (),
             shared.suspects.records(now_s),
-            shared.cached.told(now_s),
+            shared.cached.to_report(now_s),
             is_whole,
-            self._directory_revisions.told(now_s, is_whole=is_whole),
-            self._permits.told(now_s, is_all=is_whole),
+            self._directory_revisions.to_report(now_s, is_whole=is_whole),
+            self._permits.to_report(now_s, is_all=is_whole),
         )
 
     def _full_report(self, now_s: float) -> HostReport:
@@ -361,25 +361,25 @@
         if isinstance(message, HostReport | UseReport):
             self._handle_report(message)
         elif isinstance(message, PermitMessage):
-            self._permit_requester.take(message, sender)
+            self._permit_requester.handle(message, sender)
         elif isinstance(message, SuspectNews):
             self._handle_suspects(message.suspects, self._clock())
         else:
-            self._inquirer.take(message, sender)
+            self._inquirer.handle(message, sender)
 
     def _handle_report(self, report: Report) -> None:
         now = self._clock()
         self._handle_suspects(report.suspects, now)
-        self._shared.cached.take(report.held, now)
-        for limit in self._permits.take(report.limits, now):
+        self._shared.cached.apply_reported(report.held, now)
+        for limit in self._permits.apply_reported(report.limits, now):
             self._log.line(
                 "limit_told", upstream=limit.upstream, rate=limit.rate
             )
         if report.revisions is not None:
-            self._directory_revisions.take(report.revisions)
+            self._directory_revisions.on_peer_read(report.revisions)
         if isinstance(report, UseReport):
-            self._peers.take_uses(report, now)
-        elif self._peers.take(report, now):
+            self._peers.apply_use_report(report, now)
+        elif self._peers.apply_report(report, now):
             self._log.line(
                 "peer_met", peer=report.host, data_centre=report.data_centre
             )
--- a/packages/gateway/src/hollyknot_gateway/_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/_permit_requester.py
@@ -77,7 +77,7 @@
             self._log.line("tracker_silent", tracker=str(silent.address))
         return queries
 
-    def take(self, message: PermitMessage, sender: Address) -> None:
+    def handle(self, message: PermitMessage, sender: Address) -> None:
         """Handles a message, either as an issuer or as the querying host."""
         now_s = self._clock()
         if isinstance(message, PermitQuery):
--- a/packages/gateway/src/hollyknot_gateway/_revision_gossip.py
+++ b/packages/gateway/src/hollyknot_gateway/_revision_gossip.py
@@ -34,11 +34,13 @@
         """The newest revisions that this host has read."""
         return self._read()
 
-    def take(self, read: ReadRevisions) -> None:
+    def on_peer_read(self, read: ReadRevisions) -> None:
         """Passes on the revisions that a peer has read."""
         self._on_read(read)
 
-    def told(self, now_s: float, *, is_whole: bool) -> ReadRevisions | None:
+    def to_report(
+        self, now_s: float, *, is_whole: bool
+    ) -> ReadRevisions | None:
         """Returns the revisions for the next report; None if not new.
 
         Args:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_inquirer.py
@@ -61,7 +61,7 @@
         assert isinstance(message, LoadNote | LoadQuery | LoadAnswer)
         assert self.inquirer is not None
         if not self.is_unresponsive:
-            self.inquirer.take(message, sender)
+            self.inquirer.handle(message, sender)
             self.heard.set()
 
 
--- a/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_permit_requester.py
@@ -63,7 +63,7 @@
         """Delivers an answer to the newest query."""
         query, address = self.sent[-1]
         answer = PermitAnswer(query.number, **values)  # type: ignore[arg-type]
-        self.requester.take(answer, address)
+        self.requester.handle(answer, address)
 
 
 class TestPermitRequester:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -166,7 +166,7 @@
         """
         loads, demand = Loads(), Demand()
         loads.replace_reports([attrs.evolve(_REPORT, uses=uses)])
-        demand.take(demands)
+        demand.apply_reported(demands)
         for use in uses:
             load = loads.at(str(use.upstream))
             assert isinstance(load.requests, int)
