--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -51,8 +51,8 @@
 NETWORK_S = 0.003
 """One way between callers, hosts and engines."""
 
-COME_BACK_SPREAD = 0.5
-"""By how much the time to come back varies either way."""
+SHED_RETRY_JITTER = 0.5
+"""By how much the wait before a shed request is retried varies either way."""
 
 SETTLE_S = 20.0
 """After the last request is sent, until the last one has ended."""
@@ -253,7 +253,7 @@
             return
         route = self._index.table.routes[_place_of(self._load, request)]
         urgency = self._index.urgency(route, KeyOwner("c", request.rank))
-        sheds_from = self._index.sheds_from(_SERVICE)
+        sheds_from = self._index.shed_from_urgency(_SERVICE)
         is_loose = self._index.is_loose(route, _SERVICE)
         call = _call(request)
         counted = [
@@ -316,7 +316,7 @@
         ended.refusals += 1
         if ended.refusals > 1:
             return
-        spread = self._rng.uniform(1 - COME_BACK_SPREAD, 1 + COME_BACK_SPREAD)
+        spread = self._rng.uniform(1 - SHED_RETRY_JITTER, 1 + SHED_RETRY_JITTER)
         left_s = request.at_s + request.kind.timeout_s - self._clock.now_s
         wait_s = min(SHED_RETRY_AFTER_S * spread, left_s / 3)
         host = self._rng.randrange(self._load.hosts)
--- a/packages/bench/src/hollyknot_bench/experiment/_wire.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_wire.py
@@ -60,7 +60,7 @@
         """Whether a host asks trackers now."""
         teller = self.tellers[number]
         is_old = teller.peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
-        return is_old and teller.rate.may_ask(self._clock.now_s)
+        return is_old and teller.rate.may_query(self._clock.now_s)
 
     def ask(
         self,
--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -9,7 +9,7 @@
 from hollyknot_bench.experiment import Load, play, read_load
 from hollyknot_bench.experiment._engine import Engine, EngineFigures, Run
 from hollyknot_bench.experiment._play import SETTLE_S, Play
-from hollyknot_coordination.forwarding._report_rate import BYTES_A_SECOND
+from hollyknot_coordination.forwarding._report_rate import BYTES_PER_S
 from hollyknot_state import Problem
 
 _FIGURES = EngineFigures(
@@ -217,4 +217,4 @@
             teller.rate.spend = spend  # type: ignore[method-assign]
         day.run()
         seconds = load.length_s + SETTLE_S
-        assert max(sent) < (BYTES_A_SECOND + 100) * seconds
+        assert max(sent) < (BYTES_PER_S + 100) * seconds
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -122,7 +122,7 @@
         """Whether an upstream is cold, or may be."""
         return self._find_cold(incarnation, now_s) is not None
 
-    def take(self, incarnation: str, now_s: float) -> bool:
+    def acquire(self, incarnation: str, now_s: float) -> bool:
         """Returns whether a request may be sent now, using up a permit."""
         if not self._may_send(incarnation, now_s):
             return False
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
@@ -44,7 +44,7 @@
         return max(self._hosts, self._largest)
 
     @property
-    def heard_part(self) -> float:
+    def heard_fraction(self) -> float:
         """Fraction of the hosts that are heard, including this one."""
         return min(1.0, self._heard / self.hosts)
 
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -97,7 +97,7 @@
 
     def to_report(self, upstream: int, now_s: float) -> IssuerClaim | None:
         """Returns the claim to report to others; None if none is needed."""
-        if self._size.heard_part >= ALL_HEARD_FRACTION:
+        if self._size.heard_fraction >= ALL_HEARD_FRACTION:
             return None
         claim = self.issuer(upstream, now_s)
         if claim is None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -108,7 +108,7 @@
         self._own_streams: Counter[tuple[str, bool]] = Counter()
         self._tokens: Counter[tuple[str, bool]] = Counter()
         self._streams: Counter[tuple[str, bool]] = Counter()
-        self._heard_part = 1.0
+        self._heard_fraction = 1.0
 
     def begin(
         self, service: str, tokens: int, now_s: float, *, is_loose: bool
@@ -123,16 +123,16 @@
         self._own_streams[service, is_loose] -= 1
 
     def apply_reported(
-        self, reported: Iterable[LaneDemand], heard_part: float = 1.0
+        self, reported: Iterable[LaneDemand], heard_fraction: float = 1.0
     ) -> None:
         """Replaces the demand that peers reported before.
 
         Args:
             reported: Demand in the current reports of peers.
-            heard_part: Share of all hosts that these reports and this host
+            heard_fraction: Share of all hosts that these reports and this host
                 itself stand for, from 0 to 1.
         """
-        self._heard_part = heard_part
+        self._heard_fraction = heard_fraction
         tokens: Counter[tuple[str, bool]] = Counter()
         streams: Counter[tuple[str, bool]] = Counter()
         for demand in reported:
@@ -176,7 +176,7 @@
         """
         lane = (service, is_loose)
         counted = self._streams[lane] + self._own_streams[lane]
-        return counted / self._heard_part
+        return counted / self._heard_fraction
 
     def _tokens_per_s(
         self, service: str, is_loose: bool, now_s: float
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -113,7 +113,7 @@
         """
         if not self._size.is_known(now_s, DISCOVERY_S):
             return DISCOVERY_WAIT_S
-        fraction = 1.0 if is_sole else self._size.heard_part
+        fraction = 1.0 if is_sole else self._size.heard_fraction
         own_rate = max(rate, MIN_RATE) * RATE_FRACTION * fraction
         bucket = self._buckets.get(incarnation)
         if bucket is None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_report_rate.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-BYTES_A_SECOND = 3000.0
+BYTES_PER_S = 3000.0
 """Bytes per second of control traffic that a host of the largest deployment may
 send."""
 
@@ -64,21 +64,19 @@
 class ReportRate:
     """The budget of bytes that one host may send its peers."""
 
-    def __init__(self, bytes_a_second: float = BYTES_A_SECOND) -> None:
+    def __init__(self, bytes_per_s: float = BYTES_PER_S) -> None:
         """Creates a full budget.
 
         Args:
-            bytes_a_second: Average number of bytes that may be sent per second.
+            bytes_per_s: Average number of bytes that may be sent per second.
         """
-        self._queries = _TokenBucket(
-            bytes_a_second * QUERY_SHARE, _QUERY_BURST_S
-        )
+        self._queries = _TokenBucket(bytes_per_s * QUERY_SHARE, _QUERY_BURST_S)
         self._reports = _TokenBucket(
-            bytes_a_second * (1 - QUERY_SHARE), _REPORT_BURST_S
+            bytes_per_s * (1 - QUERY_SHARE), _REPORT_BURST_S
         )
         # Reports may use what queries leave, so their capacity is that of the
         # whole budget.
-        self._report_capacity = bytes_a_second * _REPORT_BURST_S
+        self._report_capacity = bytes_per_s * _REPORT_BURST_S
         self._reports.level = self._report_capacity
         self._filled_s = 0.0
 
@@ -92,7 +90,7 @@
         self._fill(now_s, max(self._report_capacity, size))
         return max(0, int(self._reports.level // max(size, 1)))
 
-    def may_ask(self, now_s: float) -> bool:
+    def may_query(self, now_s: float) -> bool:
         """Returns whether a query may be sent now."""
         self._fill(now_s, self._report_capacity)
         return self._queries.level > 0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_route_index.py
@@ -107,7 +107,7 @@
             own = owner.priority
         return route.priority * len(TIERS) + min(max(own, 0), len(TIERS) - 1)
 
-    def sheds_from(self, service: str) -> int:
+    def shed_from_urgency(self, service: str) -> int:
         """Returns the urgency from which a service's streams may be shed.
 
         Only streams of its least urgent routes may be shed, and only if it has
@@ -115,11 +115,11 @@
         """
         known = self._shed_from_by_service.get(service)
         if known is None:
-            known = self._find_sheds_from(service)
+            known = self._find_shed_from_urgency(service)
             self._shed_from_by_service[service] = known
         return known
 
-    def _find_sheds_from(self, service: str) -> int:
+    def _find_shed_from_urgency(self, service: str) -> int:
         priorities = {
             route.priority
             for route in self._table.routes
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
@@ -104,13 +104,17 @@
         self._rng = rng
 
     def decide(
-        self, entries: Sequence[UpstreamEntry], sheds_from: int, now_s: float
+        self,
+        entries: Sequence[UpstreamEntry],
+        shed_from_urgency: int,
+        now_s: float,
     ) -> Admission | Shed:
         """Decides by load whether one of the least urgent streams may be sent.
 
         Args:
             entries: Upstreams that it could be sent to.
-            sheds_from: Urgency from which streams count as the least urgent.
+            shed_from_urgency: Urgency from which streams count as the least
+                urgent.
             now_s: Current time in seconds.
         """
         loads = [self._loads.at(e.incarnation, now_s) for e in entries]
@@ -119,7 +123,7 @@
         waiting = sum(load.waiting_tokens for load in loads)
         has_backlog = waiting >= BACKLOG_TOKENS * len(loads)
         share = BACKLOG_SHARE if has_backlog else NO_BACKLOG_SHARE
-        least_urgent = sum(load.behind(sheds_from) for load in loads)
+        least_urgent = sum(load.behind(shed_from_urgency) for load in loads)
         if in_flight < share * slots or least_urgent <= MIN_SHED_SHARE * slots:
             return Admission.ADMITTED
         if self._rng.random() < ADMITTED_SHARE:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -216,7 +216,7 @@
             self.remove(name, now_s, may_have_lapsed=lapsed)
         return [entry for entry in listed.values() if self.put(entry)]
 
-    def take_ended(self) -> list[Ended]:
+    def pop_ended(self) -> list[Ended]:
         """Returns the incarnations that ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -269,32 +269,32 @@
     def _answer(self, issuer: Host, query: PermitQuery, asker: Host) -> None:
         answer = issuer.permits.answer(query, self.now_s)
 
-        def take(host: Host) -> None:
+        def handler(host: Host) -> None:
             more = host.permits.handle_answer(answer, self.now_s)
             for address, following in more:
                 self._send(host, address, self._answer, following, host)
 
-        self._send(issuer, asker.address, take)
+        self._send(issuer, asker.address, handler)
 
     def _send(
         self,
         sender: Host,
         address: Address,
-        take: Callable[..., None],
+        handler: Callable[..., None],
         *args: object,
     ) -> None:
         if self.rng.random() < self.loss_rate:
             return
         host = self._by_address[address]
         self._at(
-            self.now_s + ONE_WAY_S, self._deliver, sender, host, take, args
+            self.now_s + ONE_WAY_S, self._deliver, sender, host, handler, args
         )
 
     def _deliver(
         self,
         sender: Host,
         host: Host,
-        take: Callable[..., None],
+        handler: Callable[..., None],
         args: tuple[object, ...],
     ) -> None:
         if not host.is_up or host.side != sender.side:
@@ -302,10 +302,10 @@
         if self.now_s < host.frozen_until_s:
             # It waits in the socket buffer until the process resumes.
             self._at(
-                host.frozen_until_s, self._deliver, sender, host, take, args
+                host.frozen_until_s, self._deliver, sender, host, handler, args
             )
             return
-        take(host, *args)
+        handler(host, *args)
 
     def _at(
         self, when_s: float, call: Callable[..., None], *args: object
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -53,7 +53,7 @@
         now_s = step * _STEP_S
         for host in hosts:
             is_asked = rng.random() < asked_a_second * _STEP_S
-            if is_asked and host.take("a", now_s):
+            if is_asked and host.acquire("a", now_s):
                 recent.append(now_s)
                 total += 1
         while recent and recent[0] <= now_s - 1.0:
@@ -94,7 +94,7 @@
         for host in hosts:
             host.size.set(len(hosts), len(hosts), 0.0)
             host.note(_cold(61.0), 0.0)
-        at_once = sum(host.take("a", 60.0) for host in hosts)
+        at_once = sum(host.acquire("a", 60.0) for host in hosts)
         assert at_once <= MOST_IN_A_SECOND
 
     def test_a_host_that_knows_nobody_sends_nothing(self) -> None:
@@ -106,7 +106,7 @@
         host = _host(1, started_s=0.0)
         host.size.set(1, 1, 0.0)
         host.note(_cold(LONG_S), 0.0)
-        assert not any(host.take("a", step * 0.1) for step in range(290))
+        assert not any(host.acquire("a", step * 0.1) for step in range(290))
 
     def test_a_host_that_is_alone_uses_the_rate(self) -> None:
         host = _host(1, is_alone=True)
@@ -119,7 +119,8 @@
         host.note(_cold(LONG_S), 0.0)
         host.size.set(2, 2, 0.1)
         assert not any(
-            host.take("a", step * 0.1) for step in range(int(DISCOVERY_S * 10))
+            host.acquire("a", step * 0.1)
+            for step in range(int(DISCOVERY_S * 10))
         )
         host.size.set(83, 83, DISCOVERY_S)
         _, total = _busiest_second([host], LONG_S)
@@ -152,7 +153,7 @@
         host.suspect(upstream("a"), 0.0)
         assert host.is_cold("a", COLD_START.lasts_s - 0.01)
         assert not host.is_cold("a", COLD_START.lasts_s)
-        assert host.take("a", COLD_START.lasts_s)
+        assert host.acquire("a", COLD_START.lasts_s)
 
     def test_later_entry_extends_but_never_shortens_it(self) -> None:
         host = _host(1)
@@ -184,7 +185,7 @@
         host.note(_cold(3.0), 0.0)
         services["engines"] = COLD_START
         assert host.closed([upstream("a")], 0.1) == {"a"}
-        assert not host.take("a", 0.1)
+        assert not host.acquire("a", 0.1)
 
     def test_upstream_with_a_permit_is_offered(self) -> None:
         """An upstream gets no requests until it is warm.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_report_rate.py
@@ -61,10 +61,10 @@
 
     def test_host_over_its_query_budget_stops_asking(self) -> None:
         rate = ReportRate(3000.0)
-        assert rate.may_ask(0.0)
+        assert rate.may_query(0.0)
         rate.spend_on_queries(100_000)
-        assert not rate.may_ask(0.1)
-        assert rate.may_ask(1.1)
+        assert not rate.may_query(0.1)
+        assert rate.may_query(1.1)
 
     def test_without_queries_reports_use_the_whole_budget(self) -> None:
         assert _sent(100, 16, 10) > 0.9 * 30_000
@@ -80,7 +80,7 @@
         rate = ReportRate(3000.0)
         asked = 0
         for step in range(100):
-            asked += rate.may_ask(step / 10)
+            asked += rate.may_query(step / 10)
             rate.spend_on_queries(330)
         assert asked == 100
 
@@ -89,7 +89,7 @@
         sent = 0
         for step in range(1000):
             now_s = step / 10
-            if rate.may_ask(now_s):
+            if rate.may_query(now_s):
                 rate.spend_on_queries(200)
                 sent += 200
             count = rate.affordable(50, now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_route_index.py
@@ -157,7 +157,7 @@
     """Finds the urgency from which streams may be shed."""
 
     @pytest.mark.parametrize(
-        ("priorities", "owner_priority", "sheds_from"),
+        ("priorities", "owner_priority", "shed_from_urgency"),
         [
             ((0, 1, 2), None, 2),
             ((0, 1, 2), 1, 6),
@@ -171,7 +171,7 @@
         self,
         priorities: tuple[int, ...],
         owner_priority: int | None,
-        sheds_from: int,
+        shed_from_urgency: int,
     ) -> None:
         routes = [
             attrs.evolve(
@@ -181,7 +181,7 @@
             for index, priority in enumerate(priorities)
         ]
         index = RouteIndex(table(*routes, key=owner_priority))
-        assert index.sheds_from("engines") == sheds_from
+        assert index.shed_from_urgency("engines") == shed_from_urgency
 
     def test_no_more_urgent_route_reaches_it(self) -> None:
         routes = [
@@ -193,7 +193,7 @@
         ]
         index = RouteIndex(table(*routes, first=0, last=2))
         owners = [KeyOwner("c", rank) for rank in (None, 0, 1, 2, 9)]
-        sheds_from = index.sheds_from("engines")
+        shed_from_urgency = index.shed_from_urgency("engines")
         for owner in owners:
             urgencies = [index.urgency(r, owner) for r in routes]
-            assert urgencies[1] < sheds_from <= urgencies[2]
+            assert urgencies[1] < shed_from_urgency <= urgencies[2]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -141,7 +141,7 @@
         fleet.put(upstream("a", born_ms=5))
         assert fleet.put(upstream("a", born_ms=9))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("a@5", is_superseded=True)]
+        assert fleet.pop_ended() == [Ended("a@5", is_superseded=True)]
         assert "a@5" not in fleet
 
     def test_older_incarnation_never_replaces_a_newer_one(self) -> None:
@@ -150,7 +150,7 @@
         assert not fleet.put(upstream("a", born_ms=5))
         assert not fleet.put(upstream("a", is_draining=True))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == []
+        assert fleet.pop_ended() == []
 
     def test_marks_end_with_their_incarnation(self) -> None:
         """A restarted upstream never gets requests again.
@@ -179,7 +179,7 @@
         fleet.put(upstream("a", born_ms=9, port=7))
         fleet.put(upstream("b", born_ms=5, port=7))
         assert _names(fleet) == ["a@9"]
-        assert fleet.take_ended() == [Ended("b@5", is_superseded=True)]
+        assert fleet.pop_ended() == [Ended("b@5", is_superseded=True)]
 
     def test_lapsed_and_removed_upstreams_have_ended(self) -> None:
         fleet = UpstreamRegistry(LAPSE_S)
@@ -188,8 +188,8 @@
         fleet.remove("a", 0.0, may_have_lapsed=False)
         fleet.remove("b", 0.0, may_have_lapsed=True)
         assert _names(fleet, LAPSE_S) == []
-        assert fleet.take_ended() == [
+        assert fleet.pop_ended() == [
             Ended("a", is_superseded=False),
             Ended("b", is_superseded=False),
         ]
-        assert fleet.take_ended() == []
+        assert fleet.pop_ended() == []
--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -362,6 +362,6 @@
 
     def _forget_ended(self) -> None:
         """Discards all state that is kept for incarnations that have ended."""
-        for ended in self._parts.in_force.fleet.take_ended():
+        for ended in self._parts.in_force.fleet.pop_ended():
             self._parts.pool.drop(ended.incarnation)
             self._parts.on_ended(ended)
--- a/packages/gateway/src/hollyknot_gateway/_exchange.py
+++ b/packages/gateway/src/hollyknot_gateway/_exchange.py
@@ -88,11 +88,11 @@
     """The part of a stream that the caller has received in all tries so far.
 
     Attributes:
-        cutter: Holds back events that are not complete yet.
+        framer: Holds back events that are not complete yet.
         resumes_after: Id of the last event before this try; empty for none.
     """
 
-    cutter: EventFramer = attrs.Factory(EventFramer)
+    framer: EventFramer = attrs.Factory(EventFramer)
     resumes_after: str = ""
 
 
@@ -291,7 +291,7 @@
         )
 
     def _relay_events(self, data: bytes) -> None:
-        complete = self._stream.cutter.feed(data)
+        complete = self._stream.framer.feed(data)
         if not complete:
             return
         self._write_to_caller(complete)
@@ -332,10 +332,10 @@
         self._write_to_caller(data)
 
     def _end_stream(self) -> None:
-        if self._stream.cutter.has_partial_event:
+        if self._stream.framer.has_partial_event:
             self._fail(Reason.TRUNCATED, "the stream ended within an event")
             return
-        if rest := self._stream.cutter.flush():
+        if rest := self._stream.framer.flush():
             self._write_to_caller(rest)
         if not self._reply.has_begun:
             self._write_to_caller(b"")
--- a/packages/gateway/src/hollyknot_gateway/_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/_fetch.py
@@ -136,7 +136,7 @@
     connection = None
     try:
         async with asyncio.timeout(timeout_s) as timeout:
-            connection = await pool.take(name, address, timeout_s)
+            connection = await pool.acquire(name, address, timeout_s)
             if isinstance(connection, ConnectFailure):
                 return FetchFailure.CONNECT
             collector = _Collector(_deadline_extender(timeout, on_progress))
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -86,7 +86,7 @@
             fingerprint=fingerprint(request, call),
             urgency=index.urgency(route, owner),
             is_loose=index.is_loose(route, service.name),
-            sheds_from=index.sheds_from(service.name),
+            shed_from_urgency=index.shed_from_urgency(service.name),
             deadline_s=request.arrived_s + limit_s,
         )
 
@@ -197,7 +197,7 @@
         # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
         decision = parts.shedding.decide(
-            unlimited or entries, job.sheds_from, now
+            unlimited or entries, job.shed_from_urgency, now
         )
         if not isinstance(decision, Shed):
             return None
--- a/packages/gateway/src/hollyknot_gateway/_job.py
+++ b/packages/gateway/src/hollyknot_gateway/_job.py
@@ -31,7 +31,8 @@
         fingerprint: Hash of the method, target, customer key and body.
         urgency: Scheduling class, the same at all hosts; 0 is the most urgent.
         is_loose: Whether the stream tolerates long inter-token gaps.
-        sheds_from: The urgency from which requests may be shed under load.
+        shed_from_urgency: The urgency from which requests may be shed under
+            load.
         deadline_s: When the request times out, on the loop's clock.
         stream: The part of an event stream that the caller has received.
         sent: How many times the request was sent to an upstream.
@@ -54,7 +55,7 @@
     fingerprint: int
     urgency: int
     is_loose: bool
-    sheds_from: int
+    shed_from_urgency: int
     deadline_s: float
     stream: StreamState = attrs.Factory(StreamState)
     sent: int = 0
@@ -69,7 +70,7 @@
     @property
     def is_least_urgent(self) -> bool:
         """Whether the request is among the least urgent of its service."""
-        return self.urgency >= self.sheds_from
+        return self.urgency >= self.shed_from_urgency
 
 
 def fingerprint(request: CallerRequest, call: CallTraits) -> int:
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -212,7 +212,7 @@
         queries allows it.
         """
         is_old = self._peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
-        return is_old and self._rate.may_ask(self._clock())
+        return is_old and self._rate.may_query(self._clock())
 
     @property
     def count(self) -> int:
--- a/packages/gateway/src/hollyknot_gateway/_pool.py
+++ b/packages/gateway/src/hollyknot_gateway/_pool.py
@@ -52,7 +52,7 @@
         """Whether an idle connection to an upstream is kept."""
         return incarnation in self._idle
 
-    async def take(
+    async def acquire(
         self, incarnation: str, address: Address, timeout_s: float
     ) -> UpstreamConnection | ConnectFailure:
         """Returns an idle connection or opens a new one.
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -181,7 +181,7 @@
         if was_limited and not await self._has_permit(job, entry):
             return self.no_upstream_result(job)
         was_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
-        if not parts.cold_starts.take(entry.incarnation, parts.clock()):
+        if not parts.cold_starts.acquire(entry.incarnation, parts.clock()):
             return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
         work = parts.placement.begin(
             choice,
@@ -193,7 +193,7 @@
         is_detached = False
         try:
             left_s = job.deadline_s - parts.clock()
-            connection = await parts.pool.take(
+            connection = await parts.pool.acquire(
                 entry.incarnation, entry.address, left_s
             )
             if isinstance(connection, ConnectFailure):
@@ -294,8 +294,8 @@
         parts = self._parts
         entry = choice.entry
         stream = job.stream
-        stream.cutter.drop_partial()
-        stream.resumes_after = stream.cutter.last_id or job.call.last_event_id
+        stream.framer.drop_partial()
+        stream.resumes_after = stream.framer.last_id or job.call.last_event_id
         exchange = Exchange(
             parts.dialect,
             job.call.attempt_id,
--- a/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_fetch.py
@@ -30,7 +30,7 @@
     abandoned: int = 0
     offset_s: float = 0.0
 
-    async def take(self, *_: object) -> "_Server":
+    async def acquire(self, *_: object) -> "_Server":
         return self
 
     def release(self, *_: object) -> None:
--- a/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
@@ -33,7 +33,7 @@
             network.start()
             await asyncio.sleep(DISCOVERY_S)
             network.stop()
-            return [host.host_count.heard_part for host in network.hosts]
+            return [host.host_count.heard_fraction for host in network.hosts]
 
         parts = run_virtually(main())
         assert sum(parts) / len(parts) >= MIN_HEARD_FRACTION, sorted(parts)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_restored_source.py
@@ -141,14 +141,14 @@
     holds: dict[str, int] = attrs.Factory(dict)
     follower: Follower[int] = attrs.field(init=False)
 
-    def take_listing(
+    def apply_listing(
         self, listing: Listing[int], may_have_lapsed: bool
     ) -> None:
         """Applies a list, and keeps items that may only have lapsed."""
         kept = self.holds if may_have_lapsed else {}
         self.holds = {**kept, **listing.items}
 
-    def take_changes(self, changes: Changes[int], _: bool) -> None:
+    def apply_changes(self, changes: Changes[int], _: bool) -> None:
         """Applies changes."""
         self.holds.update(changes.items)
         for name in changes.removed:
@@ -162,8 +162,8 @@
         lambda: FollowOptions(
             6.0, 2.0, 0.0, 3.0, longest_pause_s=0.4, restored_s=RESTORED_S
         ),
-        host.take_listing,
-        host.take_changes,
+        host.apply_listing,
+        host.apply_changes,
         Log("h", "d", os.open(os.devnull, os.O_WRONLY)),
         random.Random(number),
         asyncio.get_running_loop().time,
