--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -265,7 +265,7 @@
             self._refuse(request)
             return
         is_least_urgent = urgency >= sheds_from
-        closed = self._permits.closed(
+        closed = self._permits.blocked(
             entries, now_s, is_least_urgent=is_least_urgent
         )
         choice = host.placement.choose(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -88,7 +88,7 @@
         """Drops the state of an upstream that has left for good."""
         self._cold.pop(incarnation, None)
 
-    def closed(
+    def blocked(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
         """Returns the incarnations that must not get a request now."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define
-class _ClosedUntil:
+class _BlockedUntil:
     """Time until which no permit of an upstream is asked for.
 
     Attributes:
@@ -133,7 +133,7 @@
         self._rng = rng
         self._number = 0
         self._waiting: dict[int, PermitRequest] = {}
-        self._closed: dict[str, _ClosedUntil] = {}
+        self._blocked: dict[str, _BlockedUntil] = {}
 
     def is_limited(self, entry: UpstreamEntry) -> bool:
         """Returns whether requests to an upstream need a permit."""
@@ -145,7 +145,7 @@
             return frozenset()
         return frozenset(e.incarnation for e in entries if self.is_limited(e))
 
-    def closed(
+    def blocked(
         self,
         entries: Iterable[UpstreamEntry],
         now_s: float,
@@ -157,7 +157,7 @@
         A permit of theirs was refused, or its issuer did not answer, and the
         time to ask again has not come.
         """
-        if not self._closed:
+        if not self._blocked:
             return frozenset()
         return frozenset(
             entry.incarnation
@@ -317,7 +317,7 @@
 
     def forget(self, incarnation: str) -> None:
         """Drops all state of an upstream that has left for good."""
-        self._closed.pop(incarnation, None)
+        self._blocked.pop(incarnation, None)
         self._issuer.forget(incarnation)
         self._claims.forget(short_name(incarnation))
 
@@ -413,26 +413,26 @@
     ) -> None:
         request.is_issued = is_issued
         if not is_issued:
-            self._close(request, wait_s, now_s)
+            self._block(request, wait_s, now_s)
         request.on_done()
 
-    def _close(
+    def _block(
         self, request: PermitRequest, wait_s: float, now_s: float
     ) -> None:
         spread = self._rng.uniform(1 - _WAIT_JITTER, 1 + _WAIT_JITTER)
         until_s = now_s + wait_s * spread
-        closed = self._closed.setdefault(
-            request.entry.incarnation, _ClosedUntil()
+        blocked = self._blocked.setdefault(
+            request.entry.incarnation, _BlockedUntil()
         )
         if request.is_least_urgent:
-            closed.least_urgent_s = until_s
+            blocked.least_urgent_s = until_s
         else:
-            closed.all_s = until_s
+            blocked.all_s = until_s
 
     def _wait_s(
         self, entry: UpstreamEntry, now_s: float, *, is_least_urgent: bool
     ) -> float:
-        closed = self._closed.get(entry.incarnation)
-        if closed is None or not self.is_limited(entry):
+        blocked = self._blocked.get(entry.incarnation)
+        if blocked is None or not self.is_limited(entry):
             return 0.0
-        return closed.until_s(is_least_urgent=is_least_urgent) - now_s
+        return blocked.until_s(is_least_urgent=is_least_urgent) - now_s
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -234,7 +234,7 @@
         if not host.permits.is_limited(ENTRY):
             self.arrived.append(self.now_s)
             return
-        if host.permits.closed(
+        if host.permits.blocked(
             [ENTRY], self.now_s, is_least_urgent=is_least_urgent
         ):
             return
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -168,7 +168,7 @@
         host = ColdStarts(random.Random(1), size, lambda _: None)
         host.note(_cold(LONG_S), 0.0)
         host.suspect(upstream("a"), 0.0)
-        assert host.closed([upstream("a")], 0.0) == frozenset()
+        assert host.blocked([upstream("a")], 0.0) == frozenset()
 
     def test_upstream_read_before_the_routes_counts_as_cold(
         self,
@@ -184,7 +184,7 @@
         host = ColdStarts(random.Random(1), size, services.get)
         host.note(_cold(3.0), 0.0)
         services["engines"] = COLD_START
-        assert host.closed([upstream("a")], 0.1) == {"a"}
+        assert host.blocked([upstream("a")], 0.1) == {"a"}
         assert not host.acquire("a", 0.1)
 
     def test_upstream_with_a_permit_is_offered(self) -> None:
@@ -202,5 +202,5 @@
         offered = [host.permitted(entries, n * _STEP_S) for n in range(steps)]
         assert [entries[0]] in offered
         assert [] in offered
-        excluded = [host.closed(entries, n * _STEP_S) for n in range(steps)]
+        excluded = [host.blocked(entries, n * _STEP_S) for n in range(steps)]
         assert set(excluded) == {frozenset({"a"}), frozenset()}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_placement.py
@@ -244,7 +244,7 @@
     """Placement where some upstreams are under a rate limit."""
 
     def _places(
-        self, limited: frozenset[str], closed: frozenset[str] = frozenset()
+        self, limited: frozenset[str], blocked: frozenset[str] = frozenset()
     ) -> tuple[set[str], set[str]]:
         """Returns the upstreams of loose streams, and those of tight ones."""
         host = _Host()
@@ -256,7 +256,7 @@
                 ENGINES,
                 POOL,
                 request,
-                closed,
+                blocked,
                 0.0,
                 is_loose=is_loose,
                 urgency=0,
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -228,7 +228,7 @@
         parts = self._parts
         now = parts.clock()
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        excluded = job.tried | self._tries.closed(job, usable, now)
+        excluded = job.tried | self._tries.blocked(job, usable, now)
         return TryState(
             sent=job.sent,
             may_have_run=job.may_have_run,
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -65,7 +65,7 @@
         excluded |= parts.health.ejected(usable, now)
         if isinstance(gate, Isolate):
             excluded |= gate.exclude
-        excluded |= self.closed(job, usable, now)
+        excluded |= self.blocked(job, usable, now)
         job.asked = parts.placement.shortlist(
             job.service,
             usable,
@@ -99,7 +99,7 @@
         ]
         return [parts.rng.choice(permitted)] if permitted else []
 
-    def closed(
+    def blocked(
         self, job: Job, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
         """Returns the incarnations that must not be sent a request now.
@@ -109,17 +109,17 @@
         `MAX_PERMITS_REFUSED` permits.
         """
         parts = self._parts
-        closed = parts.cold_starts.closed(entries, now_s)
-        closed |= parts.permits.closed(
+        blocked = parts.cold_starts.blocked(entries, now_s)
+        blocked |= parts.permits.blocked(
             entries, now_s, is_least_urgent=job.is_least_urgent
         )
         if job.permits_refused >= MAX_PERMITS_REFUSED:
-            closed |= {
+            blocked |= {
                 entry.incarnation
                 for entry in entries
                 if parts.permits.is_limited(entry)
             }
-        return closed
+        return blocked
 
     def no_upstream_result(self, job: Job) -> Result:
         """Returns the result of a request that no upstream can be sent."""
@@ -147,7 +147,7 @@
         if isinstance(gate, Isolate):
             unreachable |= gate.exclude
         ejected = parts.health.ejected(usable, now)
-        closed = self.closed(job, usable, now)
+        blocked = self.blocked(job, usable, now)
         limited = parts.permits.limited(usable)
         chosen: Choice | NoUpstream = NoUpstream.NONE_KNOWN
         # An upstream that fails often or was unreachable lately is better than
@@ -157,7 +157,7 @@
                 job.service,
                 usable,
                 job.call,
-                job.tried | avoided | closed,
+                job.tried | avoided | blocked,
                 now,
                 is_loose=job.is_loose,
                 urgency=job.urgency,
@@ -271,7 +271,7 @@
         now = parts.clock()
         tried = job.tried | {entry.incarnation}
         usable = parts.in_force.fleet.usable(job.service.name, now)
-        tried |= self.closed(job, usable, now)
+        tried |= self.blocked(job, usable, now)
         others = any(e.incarnation not in tried for e in usable)
         if job.sent >= job.route.max_attempts or not others:
             return 0.0
