--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -246,7 +246,7 @@
         would send the requests of all hosts to them at once.
         """
         now_s = self._parts.clock()
-        for entry in self._parts.in_force.fleet.all_usable(now_s):
+        for entry in self._parts.in_force.registry.all_usable(now_s):
             if entry.data_centre == data_centre:
                 self._parts.cold_starts.suspect(entry, now_s)
 
@@ -272,7 +272,7 @@
         in_force = self._parts.in_force
         self._remove_unreadable(listing.unreadable, are_all=True)
         now_s = self._parts.clock()
-        changed = in_force.fleet.replace(
+        changed = in_force.registry.replace(
             listing.items.values(),
             now_s,
             may_have_lapsed=may_have_lapsed,
@@ -280,11 +280,11 @@
         )
         for entry in changed:
             self._parts.cold_starts.note(entry, now_s)
-        in_force.has_fleet = True
+        in_force.has_upstreams = True
         self._parts.log.line(
             "upstreams",
             listed=len(listing.items),
-            known=len(in_force.fleet),
+            known=len(in_force.registry),
             unreadable=len(listing.unreadable),
             era=listing.era,
             revision=listing.revision,
@@ -296,8 +296,8 @@
     ) -> None:
         for entry in changes.items.values():
             self._apply_entry(entry, changes.revision)
-        fleet = self._parts.in_force.fleet
-        lapsed = may_have_lapsed or fleet.are_lapses(changes.removed)
+        registry = self._parts.in_force.registry
+        lapsed = may_have_lapsed or registry.are_lapses(changes.removed)
         for name in changes.removed:
             self._unreadable.pop(name, None)
             self._remove(name, changes.revision, lapsed)
@@ -322,7 +322,7 @@
                 self._parts.log.line(
                     "unreadable_upstream", key=item.name, reason=item.reason
                 )
-            self._parts.in_force.fleet.remove(
+            self._parts.in_force.registry.remove(
                 item.name, self._parts.clock(), may_have_lapsed=False
             )
         if are_all:
@@ -331,7 +331,7 @@
 
     def _apply_entry(self, entry: UpstreamEntry, revision: int) -> None:
         self._unreadable.pop(entry.name, None)
-        if self._parts.in_force.fleet.put(entry):
+        if self._parts.in_force.registry.put(entry):
             self._parts.cold_starts.note(entry, self._parts.clock())
             self._parts.log.line(
                 "upstream",
@@ -347,9 +347,9 @@
 
     def _remove(self, name: str, revision: int, may_have_lapsed: bool) -> None:
         parts = self._parts
-        fleet = parts.in_force.fleet
-        service = fleet.service_of(name)
-        incarnation = fleet.remove(
+        registry = parts.in_force.registry
+        service = registry.service_of(name)
+        incarnation = registry.remove(
             name, parts.clock(), may_have_lapsed=may_have_lapsed
         )
         parts.log.line(
@@ -362,6 +362,6 @@
 
     def _forget_ended(self) -> None:
         """Discards all state that is kept for incarnations that have ended."""
-        for ended in self._parts.in_force.fleet.pop_ended():
+        for ended in self._parts.in_force.registry.pop_ended():
             self._parts.pool.drop(ended.incarnation)
             self._parts.on_ended(ended)
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -63,7 +63,7 @@
         self, request: CallerRequest, reply: Reply, call: CallTraits
     ) -> Job | GiveUp:
         index = self._parts.in_force.index
-        if index is None or not self._parts.in_force.has_fleet:
+        if index is None or not self._parts.in_force.has_upstreams:
             return _not_run(_UNAVAILABLE, Reason.NOT_READY)
         host = request.fields.get("Host", "")
         route = index.find(host, request.target)
@@ -189,7 +189,7 @@
         if not job.call.prompt or not job.is_least_urgent:
             return None
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         unreachable = parts.reachability.unreachable(usable)
         entries = job.asked or [
             e for e in usable if e.incarnation not in unreachable
@@ -227,7 +227,7 @@
     def _try_state(self, job: Job) -> TryState:
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         excluded = job.tried | self._tries.blocked(job, usable, now)
         return TryState(
             sent=job.sent,
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -262,7 +262,7 @@
     @property
     def upstreams(self) -> frozenset[str]:
         """The incarnations that may get requests."""
-        usable = self._routing_state.fleet.all_usable(self._clock())
+        usable = self._routing_state.registry.all_usable(self._clock())
         return frozenset(entry.incarnation for entry in usable)
 
     async def __aenter__(self) -> Self:
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -145,7 +145,7 @@
             trackers,
             shared.host_count,
             shared.limits,
-            in_force.fleet.entry_of,
+            in_force.registry.entry_of,
             rng,
         )
         self._permit_requester = PermitRequester(
@@ -161,7 +161,7 @@
             ),
             self._rate,
             self._socket.send,
-            in_force.fleet.entry_of,
+            in_force.registry.entry_of,
             log,
             clock,
         )
@@ -474,6 +474,6 @@
         """Returns the upstreams of a data centre that may receive requests."""
         return [
             entry
-            for entry in self._routing_state.fleet.all_usable(self._clock())
+            for entry in self._routing_state.registry.all_usable(self._clock())
             if entry.data_centre == data_centre
         ]
--- a/packages/gateway/src/hollyknot_gateway/_routing_state.py
+++ b/packages/gateway/src/hollyknot_gateway/_routing_state.py
@@ -11,21 +11,21 @@
     """The newest route table and the known upstreams.
 
     Attributes:
-        fleet: The known upstreams.
+        registry: The known upstreams.
         index: The index of the newest route table; None until one is known.
-        has_fleet: Whether the upstreams have been listed at least once.
+        has_upstreams: Whether the upstreams have been listed at least once.
         evacuated: The data centres that get no new requests.
     """
 
-    fleet: UpstreamRegistry
+    registry: UpstreamRegistry
     index: RouteIndex | None = None
-    has_fleet: bool = False
+    has_upstreams: bool = False
     evacuated: frozenset[str] = frozenset()
 
     @property
     def is_complete(self) -> bool:
         """Whether a route table and a list of upstreams have been read."""
-        return self.index is not None and self.has_fleet
+        return self.index is not None and self.has_upstreams
 
     def cold_start(self, service: str) -> ColdStart | None:
         """Returns the limits of a service's upstreams just after their start.
@@ -46,7 +46,7 @@
         before = self.evacuated
         if data_centres != before:
             self.evacuated = data_centres
-            self.fleet.set_evacuated(data_centres)
+            self.registry.set_evacuated(data_centres)
         return before
 
     def apply_table(self, table: RouteTable) -> bool:
@@ -61,5 +61,5 @@
         if self.index is not None and table.version <= self.index.table.version:
             return False
         self.index = RouteIndex(table)
-        self.fleet.set_services(table.services)
+        self.registry.set_services(table.services)
         return True
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -60,7 +60,7 @@
             job.asked = ()
             return
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         excluded = parts.reachability.unreachable(usable) | job.tried
         excluded |= parts.health.ejected(usable, now)
         if isinstance(gate, Isolate):
@@ -125,7 +125,7 @@
         """Returns the result of a request that no upstream can be sent."""
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         wait_s = parts.permits.shortest_wait_s(
             usable, now, is_least_urgent=job.is_least_urgent
         )
@@ -142,7 +142,7 @@
         """Returns the upstream to send a request to next."""
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         unreachable = parts.reachability.unreachable(usable)
         if isinstance(gate, Isolate):
             unreachable |= gate.exclude
@@ -257,7 +257,7 @@
         parts = self._parts
         now = parts.clock()
         is_cold = parts.cold_starts.is_cold(entry.incarnation, now)
-        is_usable = parts.in_force.fleet.is_usable(entry.incarnation, now)
+        is_usable = parts.in_force.registry.is_usable(entry.incarnation, now)
         is_limited = parts.permits.is_limited(entry)
         return (
             is_usable
@@ -270,7 +270,7 @@
         parts = self._parts
         now = parts.clock()
         tried = job.tried | {entry.incarnation}
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         tried |= self.blocked(job, usable, now)
         others = any(e.incarnation not in tried for e in usable)
         if job.sent >= job.route.max_attempts or not others:
@@ -424,7 +424,7 @@
         else:
             job.may_have_run_before = True
         if result.is_other_upstream:
-            self._parts.in_force.fleet.mark_replaced(entry.incarnation)
+            self._parts.in_force.registry.mark_replaced(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
         if verdict.is_complete and result.intervals and job.sent == 1:
             # The intervals of a resumed stream cover only its last part.
@@ -482,7 +482,7 @@
         if verdict.reason in _NOT_SENT:
             return
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(entry.service, now)
+        usable = parts.in_force.registry.usable(entry.service, now)
         is_good = verdict.outcome is Outcome.COMPLETE
         if parts.health.note(entry, usable, now, is_good=is_good):
             parts.log.line(
--- a/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_neighbours.py
@@ -60,9 +60,9 @@
             peers=Address("127.0.0.1", 3),
             directory=Address("127.0.0.1", 4),
         )
-        fleet = UpstreamRegistry(1.0)
+        registry = UpstreamRegistry(1.0)
         for entry in (*FAR, NEAR):
-            fleet.put(entry)
+            registry.put(entry)
         self.now_s = 0.0
         self.prober = _RecordingProber()
         self.reachability = Reachability()
@@ -77,7 +77,7 @@
                 HostCount(0.0, is_alone=True),
                 NamedLimits(),
             ),
-            RoutingState(fleet),
+            RoutingState(registry),
             self.reachability,
             cast(Prober, self.prober),
             RevisionGossip(ReadRevisions, lambda _: None),
