--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -51,8 +51,8 @@
 NETWORK_S = 0.003
 """One way between callers, hosts and engines."""
 
-COME_BACK_SPREAD = 0.5
-"""By how much the time to come back varies either way."""
+SHED_RETRY_JITTER = 0.5
+"""By how much the wait before a shed request is retried varies either way."""
 
 SETTLE_S = 20.0
 """After the last request is sent, until the last one has ended."""
@@ -189,15 +189,15 @@
             data_centre="one",
             table_version=1,
             uses=host.loads.uses(),
-            demands=host.demand.told(self._clock.now_s),
-            held=host.cached.told(self._clock.now_s),
+            demands=host.demand.to_report(self._clock.now_s),
+            held=host.cached.to_report(self._clock.now_s),
         )
         self._reports[number] = report
         for other, peer in enumerate(self._hosts):
             heard = [r for n, r in self._reports.items() if n != other]
             peer.loads.replace_reports(heard)
-            peer.demand.take(d for r in heard for d in r.demands)
-            peer.cached.take(report.held, self._clock.now_s)
+            peer.demand.apply_reported(d for r in heard for d in r.demands)
+            peer.cached.apply_reported(report.held, self._clock.now_s)
         again_s = self._clock.now_s + self._load.report_s
         self._later(again_s, self._report, number, sequence + 1)
 
@@ -253,7 +253,7 @@
             return
         route = self._index.table.routes[_place_of(self._load, request)]
         urgency = self._index.urgency(route, KeyOwner("c", request.rank))
-        sheds_from = self._index.sheds_from(_SERVICE)
+        sheds_from = self._index.shed_from_urgency(_SERVICE)
         is_loose = self._index.is_loose(route, _SERVICE)
         call = _call(request)
         counted = [
@@ -265,7 +265,7 @@
             self._refuse(request)
             return
         is_least_urgent = urgency >= sheds_from
-        closed = self._permits.closed(
+        closed = self._permits.blocked(
             entries, now_s, is_least_urgent=is_least_urgent
         )
         choice = host.placement.choose(
@@ -316,7 +316,7 @@
         ended.refusals += 1
         if ended.refusals > 1:
             return
-        spread = self._rng.uniform(1 - COME_BACK_SPREAD, 1 + COME_BACK_SPREAD)
+        spread = self._rng.uniform(1 - SHED_RETRY_JITTER, 1 + SHED_RETRY_JITTER)
         left_s = request.at_s + request.kind.timeout_s - self._clock.now_s
         wait_s = min(SHED_RETRY_AFTER_S * spread, left_s / 3)
         host = self._rng.randrange(self._load.hosts)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -88,7 +88,7 @@
         """Drops the state of an upstream that has left for good."""
         self._cold.pop(incarnation, None)
 
-    def closed(
+    def blocked(
         self, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
         """Returns the incarnations that must not get a request now."""
@@ -122,7 +122,7 @@
         """Whether an upstream is cold, or may be."""
         return self._find_cold(incarnation, now_s) is not None
 
-    def take(self, incarnation: str, now_s: float) -> bool:
+    def acquire(self, incarnation: str, now_s: float) -> bool:
         """Returns whether a request may be sent now, using up a permit."""
         if not self._may_send(incarnation, now_s):
             return False
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -108,7 +108,7 @@
         self._own_streams: Counter[tuple[str, bool]] = Counter()
         self._tokens: Counter[tuple[str, bool]] = Counter()
         self._streams: Counter[tuple[str, bool]] = Counter()
-        self._heard_part = 1.0
+        self._heard_fraction = 1.0
 
     def begin(
         self, service: str, tokens: int, now_s: float, *, is_loose: bool
@@ -122,17 +122,17 @@
         """Records the end of a stream that this host sent."""
         self._own_streams[service, is_loose] -= 1
 
-    def take(
-        self, reported: Iterable[LaneDemand], heard_part: float = 1.0
+    def apply_reported(
+        self, reported: Iterable[LaneDemand], heard_fraction: float = 1.0
     ) -> None:
         """Replaces the demand that peers reported before.
 
         Args:
             reported: Demand in the current reports of peers.
-            heard_part: Share of all hosts that these reports and this host
+            heard_fraction: Share of all hosts that these reports and this host
                 itself stand for, from 0 to 1.
         """
-        self._heard_part = heard_part
+        self._heard_fraction = heard_fraction
         tokens: Counter[tuple[str, bool]] = Counter()
         streams: Counter[tuple[str, bool]] = Counter()
         for demand in reported:
@@ -144,7 +144,7 @@
         self._tokens = tokens
         self._streams = streams
 
-    def told(self, now_s: float) -> tuple[LaneDemand, ...]:
+    def to_report(self, now_s: float) -> tuple[LaneDemand, ...]:
         """Returns this host's own demand, for its report."""
         services = sorted({service for service, _ in self._own})
         return tuple(
@@ -176,7 +176,7 @@
         """
         lane = (service, is_loose)
         counted = self._streams[lane] + self._own_streams[lane]
-        return counted / self._heard_part
+        return counted / self._heard_fraction
 
     def _tokens_per_s(
         self, service: str, is_loose: bool, now_s: float
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define
-class _ClosedUntil:
+class _BlockedUntil:
     """Time until which no permit of an upstream is asked for.
 
     Attributes:
@@ -133,7 +133,7 @@
         self._rng = rng
         self._number = 0
         self._waiting: dict[int, PermitRequest] = {}
-        self._closed: dict[str, _ClosedUntil] = {}
+        self._blocked: dict[str, _BlockedUntil] = {}
 
     def is_limited(self, entry: UpstreamEntry) -> bool:
         """Returns whether requests to an upstream need a permit."""
@@ -145,7 +145,7 @@
             return frozenset()
         return frozenset(e.incarnation for e in entries if self.is_limited(e))
 
-    def closed(
+    def blocked(
         self,
         entries: Iterable[UpstreamEntry],
         now_s: float,
@@ -157,7 +157,7 @@
         A permit of theirs was refused, or its issuer did not answer, and the
         time to ask again has not come.
         """
-        if not self._closed:
+        if not self._blocked:
             return frozenset()
         return frozenset(
             entry.incarnation
@@ -186,7 +186,9 @@
         ]
         return min(waits, default=None)
 
-    def told(self, now_s: float, *, is_all: bool) -> tuple[NamedLimit, ...]:
+    def to_report(
+        self, now_s: float, *, is_all: bool
+    ) -> tuple[NamedLimit, ...]:
         """Returns the limits for the next report, with their issuers' claims.
 
         Args:
@@ -194,23 +196,25 @@
             is_all: Whether to include limits that have not changed recently.
         """
         return tuple(
-            attrs.evolve(limit, issuer=self._claims.told(limit.upstream, now_s))
-            for limit in self._named.told(now_s, is_all=is_all)
+            attrs.evolve(
+                limit, issuer=self._claims.to_report(limit.upstream, now_s)
+            )
+            for limit in self._named.to_report(now_s, is_all=is_all)
         )
 
-    def take(
-        self, told: Iterable[NamedLimit], now_s: float
+    def apply_reported(
+        self, reported: Iterable[NamedLimit], now_s: float
     ) -> list[NamedLimit]:
         """Applies the limits in another host's report.
 
         Returns:
             The limits whose rate has changed by it.
         """
-        told = tuple(told)
-        for limit in told:
+        reported = tuple(reported)
+        for limit in reported:
             if limit.issuer is not None:
-                self._claims.take(limit.upstream, limit.issuer, now_s)
-        return self._named.take(told, now_s)
+                self._claims.apply_claim(limit.upstream, limit.issuer, now_s)
+        return self._named.apply_reported(reported, now_s)
 
     def ask(
         self, entry: UpstreamEntry, now_s: float, *, is_least_urgent: bool
@@ -250,7 +254,7 @@
 
     def answer(self, query: PermitQuery, now_s: float) -> PermitAnswer:
         """Answers another host's query: a permit, a wait or a redirect."""
-        self._named.take((query.limit,), now_s)
+        self._named.apply_reported((query.limit,), now_s)
         limit = self._named.known_limit(query.upstream, now_s)
         if limit.rate is None:
             return PermitAnswer(query.number, is_issued=True, limit=limit)
@@ -284,7 +288,7 @@
             The query to send if the answer is a redirect to another issuer.
         """
         if answer.limit is not None:
-            self._named.take((answer.limit,), now_s)
+            self._named.apply_reported((answer.limit,), now_s)
         request = self._waiting.pop(answer.number, None)
         if request is None:
             # The answer came too late, and its permit stays unused.
@@ -313,7 +317,7 @@
 
     def forget(self, incarnation: str) -> None:
         """Drops all state of an upstream that has left for good."""
-        self._closed.pop(incarnation, None)
+        self._blocked.pop(incarnation, None)
         self._issuer.forget(incarnation)
         self._claims.forget(short_name(incarnation))
 
@@ -409,26 +413,26 @@
     ) -> None:
         request.is_issued = is_issued
         if not is_issued:
-            self._close(request, wait_s, now_s)
+            self._block(request, wait_s, now_s)
         request.on_done()
 
-    def _close(
+    def _block(
         self, request: PermitRequest, wait_s: float, now_s: float
     ) -> None:
         spread = self._rng.uniform(1 - _WAIT_JITTER, 1 + _WAIT_JITTER)
         until_s = now_s + wait_s * spread
-        closed = self._closed.setdefault(
-            request.entry.incarnation, _ClosedUntil()
+        blocked = self._blocked.setdefault(
+            request.entry.incarnation, _BlockedUntil()
         )
         if request.is_least_urgent:
-            closed.least_urgent_s = until_s
+            blocked.least_urgent_s = until_s
         else:
-            closed.all_s = until_s
+            blocked.all_s = until_s
 
     def _wait_s(
         self, entry: UpstreamEntry, now_s: float, *, is_least_urgent: bool
     ) -> float:
-        closed = self._closed.get(entry.incarnation)
-        if closed is None or not self.is_limited(entry):
+        blocked = self._blocked.get(entry.incarnation)
+        if blocked is None or not self.is_limited(entry):
             return 0.0
-        return closed.until_s(is_least_urgent=is_least_urgent) - now_s
+        return blocked.until_s(is_least_urgent=is_least_urgent) - now_s
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -206,15 +206,17 @@
             return
         if self.now_s >= host.frozen_until_s and host.known:
             target = self.rng.choice(host.known).address
-            told = host.permits.told(self.now_s, is_all=True)
-            self._send(host, target, self._handle_report, told)
+            reported = host.permits.to_report(self.now_s, is_all=True)
+            self._send(host, target, self._handle_report, reported)
         is_settled = self.now_s > self._changed_s + SETTLED_S
         is_rare = is_settled and self._sees is not None
         pause_s = SETTLED_REPORT_INTERVAL_S if is_rare else REPORT_INTERVAL_S
         self._at(self.now_s + pause_s, self._report, host)
 
-    def _handle_report(self, host: Host, told: tuple[NamedLimit, ...]) -> None:
-        host.permits.take(told, self.now_s)
+    def _handle_report(
+        self, host: Host, reported: tuple[NamedLimit, ...]
+    ) -> None:
+        host.permits.apply_reported(reported, self.now_s)
 
     def _schedule_demand(self, wanted: float, end_s: float) -> None:
         next_s = self.now_s + self.rng.expovariate(wanted)
@@ -232,7 +234,7 @@
         if not host.permits.is_limited(ENTRY):
             self.arrived.append(self.now_s)
             return
-        if host.permits.closed(
+        if host.permits.blocked(
             [ENTRY], self.now_s, is_least_urgent=is_least_urgent
         ):
             return
@@ -267,32 +269,32 @@
     def _answer(self, issuer: Host, query: PermitQuery, asker: Host) -> None:
         answer = issuer.permits.answer(query, self.now_s)
 
-        def take(host: Host) -> None:
+        def handler(host: Host) -> None:
             more = host.permits.handle_answer(answer, self.now_s)
             for address, following in more:
                 self._send(host, address, self._answer, following, host)
 
-        self._send(issuer, asker.address, take)
+        self._send(issuer, asker.address, handler)
 
     def _send(
         self,
         sender: Host,
         address: Address,
-        take: Callable[..., None],
+        handler: Callable[..., None],
         *args: object,
     ) -> None:
         if self.rng.random() < self.loss_rate:
             return
         host = self._by_address[address]
         self._at(
-            self.now_s + ONE_WAY_S, self._deliver, sender, host, take, args
+            self.now_s + ONE_WAY_S, self._deliver, sender, host, handler, args
         )
 
     def _deliver(
         self,
         sender: Host,
         host: Host,
-        take: Callable[..., None],
+        handler: Callable[..., None],
         args: tuple[object, ...],
     ) -> None:
         if not host.is_up or host.side != sender.side:
@@ -300,10 +302,10 @@
         if self.now_s < host.frozen_until_s:
             # It waits in the socket buffer until the process resumes.
             self._at(
-                host.frozen_until_s, self._deliver, sender, host, take, args
+                host.frozen_until_s, self._deliver, sender, host, handler, args
             )
             return
-        take(host, *args)
+        handler(host, *args)
 
     def _at(
         self, when_s: float, call: Callable[..., None], *args: object
--- a/packages/gateway/src/hollyknot_gateway/_flow.py
+++ b/packages/gateway/src/hollyknot_gateway/_flow.py
@@ -63,7 +63,7 @@
         self, request: CallerRequest, reply: Reply, call: CallTraits
     ) -> Job | GiveUp:
         index = self._parts.in_force.index
-        if index is None or not self._parts.in_force.has_fleet:
+        if index is None or not self._parts.in_force.has_upstreams:
             return _not_run(_UNAVAILABLE, Reason.NOT_READY)
         host = request.fields.get("Host", "")
         route = index.find(host, request.target)
@@ -86,7 +86,7 @@
             fingerprint=fingerprint(request, call),
             urgency=index.urgency(route, owner),
             is_loose=index.is_loose(route, service.name),
-            sheds_from=index.sheds_from(service.name),
+            shed_from_urgency=index.shed_from_urgency(service.name),
             deadline_s=request.arrived_s + limit_s,
         )
 
@@ -189,7 +189,7 @@
         if not job.call.prompt or not job.is_least_urgent:
             return None
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         unreachable = parts.reachability.unreachable(usable)
         entries = job.asked or [
             e for e in usable if e.incarnation not in unreachable
@@ -197,7 +197,7 @@
         # Free slots of a rate-limited upstream don't relieve the others.
         unlimited = [e for e in entries if not parts.permits.is_limited(e)]
         decision = parts.shedding.decide(
-            unlimited or entries, job.sheds_from, now
+            unlimited or entries, job.shed_from_urgency, now
         )
         if not isinstance(decision, Shed):
             return None
@@ -227,8 +227,8 @@
     def _try_state(self, job: Job) -> TryState:
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
-        excluded = job.tried | self._tries.closed(job, usable, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
+        excluded = job.tried | self._tries.blocked(job, usable, now)
         return TryState(
             sent=job.sent,
             may_have_run=job.may_have_run,
--- a/packages/gateway/src/hollyknot_gateway/_tries.py
+++ b/packages/gateway/src/hollyknot_gateway/_tries.py
@@ -60,12 +60,12 @@
             job.asked = ()
             return
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         excluded = parts.reachability.unreachable(usable) | job.tried
         excluded |= parts.health.ejected(usable, now)
         if isinstance(gate, Isolate):
             excluded |= gate.exclude
-        excluded |= self.closed(job, usable, now)
+        excluded |= self.blocked(job, usable, now)
         job.asked = parts.placement.shortlist(
             job.service,
             usable,
@@ -99,7 +99,7 @@
         ]
         return [parts.rng.choice(permitted)] if permitted else []
 
-    def closed(
+    def blocked(
         self, job: Job, entries: Sequence[UpstreamEntry], now_s: float
     ) -> frozenset[str]:
         """Returns the incarnations that must not be sent a request now.
@@ -109,23 +109,23 @@
         `MAX_PERMITS_REFUSED` permits.
         """
         parts = self._parts
-        closed = parts.cold_starts.closed(entries, now_s)
-        closed |= parts.permits.closed(
+        blocked = parts.cold_starts.blocked(entries, now_s)
+        blocked |= parts.permits.blocked(
             entries, now_s, is_least_urgent=job.is_least_urgent
         )
         if job.permits_refused >= MAX_PERMITS_REFUSED:
-            closed |= {
+            blocked |= {
                 entry.incarnation
                 for entry in entries
                 if parts.permits.is_limited(entry)
             }
-        return closed
+        return blocked
 
     def no_upstream_result(self, job: Job) -> Result:
         """Returns the result of a request that no upstream can be sent."""
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         wait_s = parts.permits.shortest_wait_s(
             usable, now, is_least_urgent=job.is_least_urgent
         )
@@ -142,12 +142,12 @@
         """Returns the upstream to send a request to next."""
         parts = self._parts
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(job.service.name, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
         unreachable = parts.reachability.unreachable(usable)
         if isinstance(gate, Isolate):
             unreachable |= gate.exclude
         ejected = parts.health.ejected(usable, now)
-        closed = self.closed(job, usable, now)
+        blocked = self.blocked(job, usable, now)
         limited = parts.permits.limited(usable)
         chosen: Choice | NoUpstream = NoUpstream.NONE_KNOWN
         # An upstream that fails often or was unreachable lately is better than
@@ -157,7 +157,7 @@
                 job.service,
                 usable,
                 job.call,
-                job.tried | avoided | closed,
+                job.tried | avoided | blocked,
                 now,
                 is_loose=job.is_loose,
                 urgency=job.urgency,
@@ -181,7 +181,7 @@
         if was_limited and not await self._has_permit(job, entry):
             return self.no_upstream_result(job)
         was_cold = parts.cold_starts.is_cold(entry.incarnation, parts.clock())
-        if not parts.cold_starts.take(entry.incarnation, parts.clock()):
+        if not parts.cold_starts.acquire(entry.incarnation, parts.clock()):
             return Result(Verdict(Outcome.NOT_RUN, Reason.NO_UPSTREAM))
         work = parts.placement.begin(
             choice,
@@ -193,7 +193,7 @@
         is_detached = False
         try:
             left_s = job.deadline_s - parts.clock()
-            connection = await parts.pool.take(
+            connection = await parts.pool.acquire(
                 entry.incarnation, entry.address, left_s
             )
             if isinstance(connection, ConnectFailure):
@@ -257,7 +257,7 @@
         parts = self._parts
         now = parts.clock()
         is_cold = parts.cold_starts.is_cold(entry.incarnation, now)
-        is_usable = parts.in_force.fleet.is_usable(entry.incarnation, now)
+        is_usable = parts.in_force.registry.is_usable(entry.incarnation, now)
         is_limited = parts.permits.is_limited(entry)
         return (
             is_usable
@@ -270,8 +270,8 @@
         parts = self._parts
         now = parts.clock()
         tried = job.tried | {entry.incarnation}
-        usable = parts.in_force.fleet.usable(job.service.name, now)
-        tried |= self.closed(job, usable, now)
+        usable = parts.in_force.registry.usable(job.service.name, now)
+        tried |= self.blocked(job, usable, now)
         others = any(e.incarnation not in tried for e in usable)
         if job.sent >= job.route.max_attempts or not others:
             return 0.0
@@ -294,8 +294,8 @@
         parts = self._parts
         entry = choice.entry
         stream = job.stream
-        stream.cutter.drop_partial()
-        stream.resumes_after = stream.cutter.last_id or job.call.last_event_id
+        stream.framer.drop_partial()
+        stream.resumes_after = stream.framer.last_id or job.call.last_event_id
         exchange = Exchange(
             parts.dialect,
             job.call.attempt_id,
@@ -424,7 +424,7 @@
         else:
             job.may_have_run_before = True
         if result.is_other_upstream:
-            self._parts.in_force.fleet.mark_replaced(entry.incarnation)
+            self._parts.in_force.registry.mark_replaced(entry.incarnation)
             self._parts.pool.drop(entry.incarnation)
         if verdict.is_complete and result.intervals and job.sent == 1:
             # The intervals of a resumed stream cover only its last part.
@@ -482,7 +482,7 @@
         if verdict.reason in _NOT_SENT:
             return
         now = parts.clock()
-        usable = parts.in_force.fleet.usable(entry.service, now)
+        usable = parts.in_force.registry.usable(entry.service, now)
         is_good = verdict.outcome is Outcome.COMPLETE
         if parts.health.note(entry, usable, now, is_good=is_good):
             parts.log.line(
