--- a/packages/bench/src/hollyknot_bench/experiment/__init__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__init__.py
@@ -11,11 +11,11 @@
 
 from hollyknot_bench.experiment._host import Host, make_host
 from hollyknot_bench.experiment._load import Load, read_load
-from hollyknot_bench.experiment._outcome import Ended, Outcome
+from hollyknot_bench.experiment._outcome import Outcome, RequestOutcome
 from hollyknot_bench.experiment._play import play
 
 __all__ = [
-    "Ended",
+    "RequestOutcome",
     "Host",
     "Load",
     "Outcome",
--- a/packages/bench/src/hollyknot_bench/experiment/_wire.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_host_network.py
@@ -6,8 +6,8 @@
 from hollyknot_bench.experiment._clock import Clock
 from hollyknot_bench.experiment._host import Host
 from hollyknot_bench.experiment._reports import (
-    Teller,
-    make_tellers,
+    Reporter,
+    make_reporters,
     number_of,
 )
 from hollyknot_coordination.forwarding import (
@@ -21,14 +21,14 @@
 from hollyknot_state import LoadAnswer, LoadNote, LoadQuery, UseReport
 from hollyknot_state.routes import UpstreamEntry
 
-HOSTS_S = 0.0014
+HOST_LATENCY_S = 0.0014
 """One way between hosts, in different data centres of a region."""
 
 EntryOf = Callable[[str], UpstreamEntry | None]
 """Returns an upstream that is known, by its incarnation."""
 
 
-class Wire:
+class HostNetwork:
     """The datagrams between all hosts of a day."""
 
     def __init__(
@@ -42,25 +42,25 @@
         self._clock = clock
         self._rng = rng
         self._entry_of = entry_of
-        self.tellers = make_tellers(hosts, rng)
+        self.reporters = make_reporters(hosts, rng)
 
     def begin_reports(self) -> None:
         """Has each host send as many reports as its bytes allow."""
-        for number in range(len(self.tellers)):
-            self._later(
+        for number in range(len(self.reporters)):
+            self._call_at(
                 self._rng.random() * REPORT_INTERVAL_S, self._report, number
             )
 
     def begin_notes(self) -> None:
         """Has trackers told of each change, and now and then of all work."""
-        for teller in self.tellers:
-            self._begin_notes(teller)
+        for reporter in self.reporters:
+            self._begin_notes(reporter)
 
     def may_ask(self, number: int) -> bool:
         """Whether a host asks trackers now."""
-        teller = self.tellers[number]
-        is_old = teller.peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
-        return is_old and teller.rate.may_ask(self._clock.now_s)
+        reporter = self.reporters[number]
+        is_old = reporter.peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
+        return is_old and reporter.rate.may_ask(self._clock.now_s)
 
     def ask(
         self,
@@ -78,80 +78,82 @@
             on_known: Called once, after all answers or the longest wait.
         """
         now_s = self._clock.now_s
-        teller = self.tellers[number]
-        inquiry = teller.inquiries.ask(entries, runs, now_s)
-        inquiry.on_done = _once(on_known)
+        reporter = self.reporters[number]
+        inquiry = reporter.inquiries.ask(entries, runs, now_s)
+        inquiry.on_done = _call_once(on_known)
         for tracker, query in inquiry.sent:
-            teller.spend(query)
-            other = self.tellers[number_of(tracker.address)]
-            self._send(self._answer, other, teller, query)
+            reporter.spend(query)
+            other = self.reporters[number_of(tracker.address)]
+            self._send(self._answer, other, reporter, query)
         wait_s = ANSWER_TIMEOUT_S if inquiry.sent else 0.0
-        self._later(now_s + wait_s, self._give_up, teller, inquiry)
+        self._call_at(now_s + wait_s, self._handle_timeout, reporter, inquiry)
 
-    def _begin_notes(self, teller: Teller) -> None:
+    def _begin_notes(self, reporter: Reporter) -> None:
         is_due = [False]
 
-        def tell() -> None:
+        def send_notes() -> None:
             is_due[0] = False
-            self._note(teller)
+            self._note(reporter)
 
         def changed() -> None:
             if not is_due[0]:
                 is_due[0] = True
-                self._later(self._clock.now_s, tell)
+                self._call_at(self._clock.now_s, send_notes)
 
         def renew() -> None:
             changed()
-            self._later(self._clock.now_s + RENEW_S, renew)
+            self._call_at(self._clock.now_s + RENEW_S, renew)
 
-        teller.host.loads.on_change = changed
-        self._later(self._rng.random() * RENEW_S, renew)
+        reporter.host.loads.on_change = changed
+        self._call_at(self._rng.random() * RENEW_S, renew)
 
     def _report(self, number: int) -> None:
         now_s = self._clock.now_s
-        found = self.tellers[number].report(now_s)
+        found = self.reporters[number].report(now_s)
         if found is not None:
             report, targets = found
             for target in targets:
-                other = self.tellers[number_of(target)]
-                self._send(self._take_report, other, report)
-        self._later(now_s + REPORT_INTERVAL_S, self._report, number)
+                other = self.reporters[number_of(target)]
+                self._send(self._handle_report, other, report)
+        self._call_at(now_s + REPORT_INTERVAL_S, self._report, number)
 
-    def _take_report(self, teller: Teller, report: UseReport) -> None:
-        teller.take(report, self._clock.now_s)
+    def _handle_report(self, reporter: Reporter, report: UseReport) -> None:
+        reporter.take(report, self._clock.now_s)
 
-    def _answer(self, tracker: Teller, asker: Teller, query: LoadQuery) -> None:
+    def _answer(
+        self, tracker: Reporter, asker: Reporter, query: LoadQuery
+    ) -> None:
         answer = tracker.inquiries.answer(query, self._clock.now_s)
         tracker.spend(answer)
-        self._send(self._take_answer, asker, answer)
+        self._send(self._handle_answer, asker, answer)
 
-    def _take_answer(self, asker: Teller, answer: LoadAnswer) -> None:
+    def _handle_answer(self, asker: Reporter, answer: LoadAnswer) -> None:
         asker.inquiries.handle_answer(answer, self._clock.now_s)
 
-    def _give_up(self, asker: Teller, inquiry: Inquiry) -> None:
+    def _handle_timeout(self, asker: Reporter, inquiry: Inquiry) -> None:
         asker.inquiries.give_up(inquiry, self._clock.now_s)
         inquiry.on_done()
 
-    def _note(self, teller: Teller) -> None:
-        notes = teller.inquiries.notes(self._entry_of, self._clock.now_s)
+    def _note(self, reporter: Reporter) -> None:
+        notes = reporter.inquiries.notes(self._entry_of, self._clock.now_s)
         for tracker, note in notes:
-            teller.spend(note)
-            other = self.tellers[number_of(tracker.address)]
-            self._send(self._take_note, other.inquiries, note)
+            reporter.spend(note)
+            other = self.reporters[number_of(tracker.address)]
+            self._send(self._handle_note, other.inquiries, note)
 
-    def _take_note(self, inquiries: Inquiries, note: LoadNote) -> None:
+    def _handle_note(self, inquiries: Inquiries, note: LoadNote) -> None:
         inquiries.handle_note(note, self._clock.now_s)
 
     def _send(self, take: Callable[..., None], *args: object) -> None:
-        self._later(self._clock.now_s + HOSTS_S, take, *args)
+        self._call_at(self._clock.now_s + HOST_LATENCY_S, take, *args)
 
-    def _later(
+    def _call_at(
         self, when_s: float, call: Callable[..., None], *args: object
     ) -> None:
         self._clock.at(when_s, lambda: call(*args))
 
 
-def _once(call: Callable[[], None]) -> Callable[[], None]:
+def _call_once(call: Callable[[], None]) -> Callable[[], None]:
     """Returns a function that makes a call the first time only."""
     is_made = [False]
 
--- a/packages/bench/src/hollyknot_bench/experiment/_load.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_load.py
@@ -14,7 +14,7 @@
 from hollyknot_bench.experiment._engine import EngineFigures
 from hollyknot_state import TIERS, Problem, structure_or_first_problem
 
-HINT_SPREAD = 0.5
+HINT_SIGMA = 0.5
 """How far callers' estimates of their answers are off, as a sigma."""
 
 
@@ -186,7 +186,7 @@
     return structure_or_first_problem(document, Load)
 
 
-def requests_of(load: Load, seed: int) -> list[Request]:
+def draw_requests(load: Load, seed: int) -> list[Request]:
     """Draws all requests of a day, in the order of their times."""
     rng = random.Random(seed)
     drawn = [
@@ -219,17 +219,17 @@
         prompt=_prompt(kind, number, rng, lengths),
         out_tokens=out_tokens,
         rank=rng.randrange(len(TIERS)),
-        hint=_lognormal(out_tokens, HINT_SPREAD, rng),
+        hint=_lognormal(out_tokens, HINT_SIGMA, rng),
     )
 
 
 def _times(load: Load, kind: ClassFigures, rng: random.Random) -> list[float]:
     bursts = [b for b in load.bursts if b.name == kind.name]
-    most = max([1.0, *(b.times for b in bursts)])
+    max_factor = max([1.0, *(b.times for b in bursts)])
     times: list[float] = []
     now_s = 0.0
     while True:
-        now_s += rng.expovariate(kind.per_s * most)
+        now_s += rng.expovariate(kind.per_s * max_factor)
         if now_s >= load.length_s:
             return times
         factor = max(
@@ -242,7 +242,7 @@
                 ),
             ]
         )
-        if rng.random() < factor / most:
+        if rng.random() < factor / max_factor:
             times.append(now_s)
 
 
--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Ended:
+class RequestOutcome:
     """What became of a request.
 
     Attributes:
@@ -55,7 +55,7 @@
         reading: The share of the engines' time in which they read prompts.
     """
 
-    ended: tuple[Ended, ...]
+    ended: tuple[RequestOutcome, ...]
     tokens_read: int
     tokens_read_again: int
     put_back: int
--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -15,9 +15,9 @@
 from hollyknot_bench.experiment._clock import Clock
 from hollyknot_bench.experiment._engine import Engine, Run
 from hollyknot_bench.experiment._host import Host, make_host
-from hollyknot_bench.experiment._load import Load, Request, requests_of
-from hollyknot_bench.experiment._outcome import Ended, Outcome
-from hollyknot_bench.experiment._wire import Wire
+from hollyknot_bench.experiment._host_network import HostNetwork
+from hollyknot_bench.experiment._load import Load, Request, draw_requests
+from hollyknot_bench.experiment._outcome import Outcome, RequestOutcome
 from hollyknot_coordination.forwarding import (
     SHED_RETRY_AFTER_S,
     Choice,
@@ -48,13 +48,13 @@
     Engine as EngineService,
 )
 
-NETWORK_S = 0.003
+NETWORK_LATENCY_S = 0.003
 """One way between callers, hosts and engines."""
 
 COME_BACK_SPREAD = 0.5
 """By how much the time to come back varies either way."""
 
-SETTLE_S = 20.0
+DRAIN_S = 20.0
 """After the last request is sent, until the last one has ended."""
 
 _SERVICE = "engines"
@@ -86,7 +86,7 @@
         self._load = load
         self._clock = Clock()
         self._rng = random.Random(seed + 1)
-        self._requests = requests_of(load, seed)
+        self._requests = draw_requests(load, seed)
         self._hosts = [
             make(random.Random(seed * 1000 + number))
             for number in range(load.hosts)
@@ -101,32 +101,34 @@
         ]
         self._entries = [self._entry(n, 0) for n in range(load.engines)]
         self._by_incarnation = {e.incarnation: e for e in self._entries}
-        self._wire = Wire(
+        self._host_network = HostNetwork(
             self._clock, self._hosts, self._rng, self._by_incarnation.get
         )
         self._index = RouteIndex(_table(load))
         self._service = Service(_SERVICE, EngineService(load.engine.slots))
-        self._ended = {r.number: Ended(r) for r in self._requests}
+        self._ended = {r.number: RequestOutcome(r) for r in self._requests}
         self._reports: dict[int, HostReport] = {}
-        self._named = NamedLimits()
+        self._rate_limits = NamedLimits()
         self._permits = self._make_permits()
 
     def run(self) -> Outcome:
         """Plays it to its end."""
         for request in self._requests:
-            self._later(request.at_s, self._arrive, request, request.host)
+            self._call_at(request.at_s, self._arrive, request, request.host)
         for crash in self._load.crashes:
             for number in range(crash.engines):
-                self._later(crash.at_s, self._crash, number)
+                self._call_at(crash.at_s, self._crash, number)
                 back_s = crash.at_s + crash.for_s
-                self._later(back_s, self._come_back, number)
+                self._call_at(back_s, self._restart, number)
         for limit in self._load.limits:
             for number in limit.engines:
-                self._later(limit.at_s, self._name, number, limit.rate)
+                self._call_at(
+                    limit.at_s, self._set_rate_limit, number, limit.rate
+                )
                 end_s = limit.at_s + limit.for_s
-                self._later(end_s, self._name, number, None)
+                self._call_at(end_s, self._set_rate_limit, number, None)
         self._begin_reports()
-        until_s = self._load.length_s + SETTLE_S
+        until_s = self._load.length_s + DRAIN_S
         self._clock.run(until_s)
         time_s = self._load.length_s * self._load.engines
         return Outcome(
@@ -143,30 +145,30 @@
         return Permits(
             Trackers(own, tuple),
             HostCount(-math.inf, is_alone=True),
-            self._named,
+            self._rate_limits,
             self._by_incarnation.get,
             self._rng,
         )
 
-    def _name(self, number: int, rate: float | None) -> None:
+    def _set_rate_limit(self, number: int, rate: float | None) -> None:
         """Has all hosts know an engine's limit."""
         name = self._entries[number].incarnation
         now_s = self._clock.now_s
-        self._named.observe(name, rate, now_s, now_s)
+        self._rate_limits.observe(name, rate, now_s, now_s)
 
     def _begin_reports(self) -> None:
         if self._is_shared:
             return
         if self._asks:
-            self._wire.begin_notes()
+            self._host_network.begin_notes()
         if not self._load.report_s:
-            self._wire.begin_reports()
+            self._host_network.begin_reports()
             return
         for number in range(self._load.hosts):
             first_s = self._rng.random() * self._load.report_s
-            self._later(first_s, self._report, number, 1)
+            self._call_at(first_s, self._report, number, 1)
 
-    def _later(
+    def _call_at(
         self, when_s: float, call: Callable[..., None], *args: object
     ) -> None:
         self._clock.at(when_s, lambda: call(*args))
@@ -194,17 +196,17 @@
         )
         self._reports[number] = report
         for other, peer in enumerate(self._hosts):
-            heard = [r for n, r in self._reports.items() if n != other]
-            peer.loads.replace_reports(heard)
-            peer.demand.take(d for r in heard for d in r.demands)
+            received = [r for n, r in self._reports.items() if n != other]
+            peer.loads.replace_reports(received)
+            peer.demand.take(d for r in received for d in r.demands)
             peer.cached.take(report.held, self._clock.now_s)
         again_s = self._clock.now_s + self._load.report_s
-        self._later(again_s, self._report, number, sequence + 1)
+        self._call_at(again_s, self._report, number, sequence + 1)
 
     def _crash(self, number: int) -> None:
         self._engines[number].crash(self._clock.now_s)
 
-    def _come_back(self, number: int) -> None:
+    def _restart(self, number: int) -> None:
         self._engines[number].come_back()
         entry = self._entry(number, int(self._clock.now_s * 1000))
         self._entries[number] = entry
@@ -219,14 +221,14 @@
         host = self._hosts[number]
         now_s = self._clock.now_s
         if not self._is_shared and not self._load.report_s:
-            self._wire.tellers[number].sum_up(now_s)
+            self._host_network.reporters[number].apply_fresh_reports(now_s)
         host.forecasts.note_request(request.kind.name, request.hint)
         if now_s - request.at_s >= request.kind.timeout_s:
             return
-        if not self._asks or not self._wire.may_ask(number):
+        if not self._asks or not self._host_network.may_ask(number):
             self._place(request, number, [])
             return
-        route = self._index.table.routes[_place_of(self._load, request)]
+        route = self._index.table.routes[_route_index(self._load, request)]
         call = _call(request)
         asked = host.placement.shortlist(
             self._service,
@@ -236,7 +238,7 @@
             now_s,
             is_loose=self._index.is_loose(route, _SERVICE),
         )
-        self._wire.ask(
+        self._host_network.ask(
             number,
             asked,
             runs_of(call.prompt),
@@ -251,16 +253,16 @@
         entries = self._usable()
         if not entries:
             return
-        route = self._index.table.routes[_place_of(self._load, request)]
+        route = self._index.table.routes[_route_index(self._load, request)]
         urgency = self._index.urgency(route, KeyOwner("c", request.rank))
         sheds_from = self._index.sheds_from(_SERVICE)
         is_loose = self._index.is_loose(route, _SERVICE)
         call = _call(request)
-        counted = [
+        unlimited = [
             e for e in asked or entries if not self._permits.is_limited(e)
         ]
         if urgency >= sheds_from and isinstance(
-            host.shedding.decide(counted or entries, sheds_from, now_s), Shed
+            host.shedding.decide(unlimited or entries, sheds_from, now_s), Shed
         ):
             self._refuse(request)
             return
@@ -307,8 +309,8 @@
         )
         if needed_s is None:
             return False
-        left_s = request.at_s + kind.timeout_s - now_s - kind.first_s
-        found = host.shedding.decide_by_time(needed_s, left_s)
+        remaining_s = request.at_s + kind.timeout_s - now_s - kind.first_s
+        found = host.shedding.decide_by_time(needed_s, remaining_s)
         return isinstance(found, TooSlow)
 
     def _refuse(self, request: Request) -> None:
@@ -317,10 +319,10 @@
         if ended.refusals > 1:
             return
         spread = self._rng.uniform(1 - COME_BACK_SPREAD, 1 + COME_BACK_SPREAD)
-        left_s = request.at_s + request.kind.timeout_s - self._clock.now_s
-        wait_s = min(SHED_RETRY_AFTER_S * spread, left_s / 3)
+        remaining_s = request.at_s + request.kind.timeout_s - self._clock.now_s
+        wait_s = min(SHED_RETRY_AFTER_S * spread, remaining_s / 3)
         host = self._rng.randrange(self._load.hosts)
-        self._later(self._clock.now_s + wait_s, self._arrive, request, host)
+        self._call_at(self._clock.now_s + wait_s, self._arrive, request, host)
 
     def _send(
         self, request: Request, host: Host, choice: Choice, work: PlacedRequest
@@ -332,9 +334,9 @@
         state = _Stream(request.at_s + request.kind.timeout_s)
 
         def on_event(when_s: float, is_last: bool) -> None:
-            self._later(when_s + NETWORK_S, seen, is_last)
+            self._call_at(when_s + NETWORK_LATENCY_S, on_received, is_last)
 
-        def seen(is_last: bool) -> None:
+        def on_received(is_last: bool) -> None:
             if state.is_over:
                 return
             now_s = clock.now_s
@@ -355,9 +357,9 @@
                     host.forecasts.note_answer(
                         request.kind.name, request.hint, state.intervals
                     )
-                over()
+                finish()
 
-        def over() -> None:
+        def finish() -> None:
             if not state.is_over:
                 state.is_over = True
                 ended.read = run.read
@@ -369,35 +371,35 @@
             request.out_tokens,
             work.urgency,
             on_event,
-            lambda _: over(),
+            lambda _: finish(),
             self._engine_of(choice.source),
         )
 
         def submit() -> None:
             if engine.is_away:
-                over()
+                finish()
             else:
                 engine.submit(run, clock.now_s)
-                self._step_later(engine)
+                self._schedule_step(engine)
 
-        self._later(clock.now_s + NETWORK_S, submit)
-        self._later(state.deadline_s, over)
+        self._call_at(clock.now_s + NETWORK_LATENCY_S, submit)
+        self._call_at(state.deadline_s, finish)
 
     def _engine_of(self, entry: UpstreamEntry | None) -> Engine | None:
         return None if entry is None else self._engines[entry.address.port - 1]
 
-    def _step_later(self, engine: Engine) -> None:
+    def _schedule_step(self, engine: Engine) -> None:
         """Has an engine's next step ended when it is due."""
         if engine.next_s is None or engine.is_scheduled:
             return
         engine.is_scheduled = True
-        self._later(engine.next_s, self._step, engine)
+        self._call_at(engine.next_s, self._step, engine)
 
     def _step(self, engine: Engine) -> None:
         engine.is_scheduled = False
         if engine.next_s is not None:
             engine.step()
-            self._step_later(engine)
+            self._schedule_step(engine)
 
 
 @attrs.define
@@ -410,7 +412,7 @@
     is_over: bool = False
 
 
-def _place_of(load: Load, request: Request) -> int:
+def _route_index(load: Load, request: Request) -> int:
     return load.classes.index(request.kind)
 
 
--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -35,12 +35,12 @@
 
 _DATA_CENTRE = "one"
 
-SEEN_S = 0.1
+MAX_SUMMARY_AGE_S = 0.1
 """How old the sums of what peers told may be when they are used."""
 
 
 @attrs.define
-class Teller:
+class Reporter:
     """One host's reports.
 
     Attributes:
@@ -91,8 +91,8 @@
             is_whole=is_whole,
         )
         self._size = len(encode_report(report))
-        most = self.rate.affordable(self._size, now_s)
-        targets = self.peers.targets(now_s, most)
+        max_targets = self.rate.affordable(self._size, now_s)
+        targets = self.peers.targets(now_s, max_targets)
         self.rate.spend(self._size * len(targets))
         return report, targets
 
@@ -101,9 +101,9 @@
         self.host.cached.take(report.held, now_s)
         self.peers.take_uses(report, now_s)
 
-    def sum_up(self, now_s: float) -> None:
+    def apply_fresh_reports(self, now_s: float) -> None:
         """Has the host's beliefs follow from what its peers have told."""
-        if now_s - self._summed_s < SEEN_S:
+        if now_s - self._summed_s < MAX_SUMMARY_AGE_S:
             return
         self._summed_s = now_s
         self.peers.expire(now_s)
@@ -115,18 +115,20 @@
         )
 
 
-def make_tellers(hosts: list[Host], rng: random.Random) -> list[Teller]:
+def make_reporters(hosts: list[Host], rng: random.Random) -> list[Reporter]:
     """Returns a teller for each host; all have met each other."""
     addresses = [address_of(number) for number in range(len(hosts))]
-    tellers = [
-        Teller(number, host, Peers(addresses[number], _DATA_CENTRE, (), rng))
+    reporters = [
+        Reporter(number, host, Peers(addresses[number], _DATA_CENTRE, (), rng))
         for number, host in enumerate(hosts)
     ]
     for number, address in enumerate(addresses):
-        met = HostReport(str(number), number, 1, address, _DATA_CENTRE, 1)
-        for teller in tellers:
-            teller.peers.take(met, 0.0)
-    return tellers
+        first_report = HostReport(
+            str(number), number, 1, address, _DATA_CENTRE, 1
+        )
+        for reporter in reporters:
+            reporter.peers.take(first_report, 0.0)
+    return reporters
 
 
 def address_of(number: int) -> Address:
--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -8,7 +8,7 @@
 
 from hollyknot_bench.experiment import Load, play, read_load
 from hollyknot_bench.experiment._engine import Engine, EngineFigures, Run
-from hollyknot_bench.experiment._play import SETTLE_S, Play
+from hollyknot_bench.experiment._play import DRAIN_S, Play
 from hollyknot_coordination.forwarding._report_rate import BYTES_A_SECOND
 from hollyknot_state import Problem
 
@@ -207,14 +207,16 @@
         load = _many_hosts(2.0)
         day = Play(load, 1, asks=False)
         sent = [0] * load.hosts
-        spends = [teller.rate.spend for teller in day._wire.tellers]
-        for number, teller in enumerate(day._wire.tellers):
+        spends = [
+            reporter.rate.spend for reporter in day._host_network.reporters
+        ]
+        for number, reporter in enumerate(day._host_network.reporters):
 
             def spend(size: int, number: int = number) -> None:
                 sent[number] += size
                 spends[number](size)
 
-            teller.rate.spend = spend  # type: ignore[method-assign]
+            reporter.rate.spend = spend  # type: ignore[method-assign]
         day.run()
-        seconds = load.length_s + SETTLE_S
+        seconds = load.length_s + DRAIN_S
         assert max(sent) < (BYTES_A_SECOND + 100) * seconds
--- a/packages/bench/src/hollyknot_bench/matrix.py
+++ b/packages/bench/src/hollyknot_bench/matrix.py
@@ -142,9 +142,9 @@
 
 
 def _counts(cells: dict[tuple[str, str], list[Proof]]) -> Iterator[str]:
-    every = [_state((f, s), cells) for f in FAULTS for s in STEPS]
-    told = [f"{every.count(state)} {state.value}" for state in State]
-    yield f"{len(every)} cells: {', '.join(told)}."
+    all_states = [_state((f, s), cells) for f in FAULTS for s in STEPS]
+    texts = [f"{all_states.count(state)} {state.value}" for state in State]
+    yield f"{len(all_states)} cells: {', '.join(texts)}."
     yield ""
 
 
@@ -153,8 +153,8 @@
     yield "| --- |" + " --- |" * len(STEPS)
     for fault in FAULTS:
         states = [_state((fault, step), cells) for step in STEPS]
-        told = [state.value.partition(",")[0] for state in states]
-        yield f"| {fault} | " + " | ".join(told) + " |"
+        texts = [state.value.partition(",")[0] for state in states]
+        yield f"| {fault} | " + " | ".join(texts) + " |"
     yield ""
 
 
--- a/packages/bench/src/hollyknot_bench/scenario/_load.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_load.py
@@ -39,7 +39,7 @@
     prompt_cost: float
     rate: float
     burst: float
-    patience_s: float
+    resend_after_s: float
     first_host_share: float
 
 
@@ -131,8 +131,8 @@
     burst_start_s: float = 300.0
     burst_end_s: float = 540.0
     crowd_share: float = 0.5
-    gossip_s: float = 0.5
-    link_s: float = 0.001
+    gossip_interval_s: float = 0.5
+    link_latency_s: float = 0.001
 
     def capacity_tokens(self) -> float:
         """Returns the tokens a second of all engines with full batches."""
--- a/packages/bench/src/hollyknot_bench/scenario/_measures.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_measures.py
@@ -18,7 +18,7 @@
 _RECOVERED_SHARE = 0.95
 """The share of the attainment before the burst that counts as good again."""
 
-_SIGNAL_S = 3.0
+_REFUSAL_WINDOW_S = 3.0
 """How long after a refusal of tier 1 the other hosts' tier 3 is counted."""
 
 
@@ -131,7 +131,7 @@
     calls = tuple(calls)
     judged = [c for c in calls if _has_deadline_within(scenario, c)]
     burst = [c for c in judged if scenario.is_burst(c.arrival.at_s)]
-    computed = sum(c.full_runs * _tokens(c) + c.cut_tokens for c in calls)
+    computed = sum(c.full_runs * _tokens(c) + c.cancelled_tokens for c in calls)
     computed = max(computed, 1.0)
     good = sum(_tokens(c) for c in calls if is_met(c))
     late = sum(_tokens(c) for c in calls if c.ended_s >= 0 and not is_met(c))
@@ -155,8 +155,8 @@
 
 
 def _discarded(call: CallRecord) -> float:
-    unread = call.full_runs > 0 and call.ended_s < 0
-    return call.cut_tokens + (_tokens(call) if unread else 0.0)
+    undelivered = call.full_runs > 0 and call.ended_s < 0
+    return call.cancelled_tokens + (_tokens(call) if undelivered else 0.0)
 
 
 def _has_deadline_within(scenario: Scenario, call: CallRecord) -> bool:
@@ -246,7 +246,7 @@
     spans: list[tuple[float, float]] = []
     for at_s in times:
         if spans and at_s <= spans[-1][1]:
-            spans[-1] = (spans[-1][0], at_s + _SIGNAL_S)
+            spans[-1] = (spans[-1][0], at_s + _REFUSAL_WINDOW_S)
         else:
-            spans.append((at_s, at_s + _SIGNAL_S))
+            spans.append((at_s, at_s + _REFUSAL_WINDOW_S))
     return spans
--- a/packages/bench/src/hollyknot_bench/scenario/_play.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_play.py
@@ -34,7 +34,7 @@
 from hollyknot_state import Nature, RequestInfo, TargetKind, TierPressure
 
 _POOL = "model"
-_RESEND_S = 5.0
+_RESEND_DELAY_S = 5.0
 """How long a caller that gave up waiting takes to send again."""
 
 Route = Callable[[list[Upstream]], Upstream]
@@ -184,12 +184,12 @@
         )
         attempt = _Try(call, request, self._choose_host(load.first_host_share))
         self._tries[request.request_id] = attempt
-        give_up_s = now_s + load.patience_s
-        self._clock.call_at(give_up_s, lambda: self._give_up(attempt))
+        timeout_s = now_s + load.resend_after_s
+        self._clock.call_at(timeout_s, lambda: self._on_caller_timeout(attempt))
         host = self._hosts[attempt.host]
         if self._policy is Policy.NAIVE:
             host.checker.observe(Offered(request, now_s))
-        self._obey(host.admission.offer(request, now_s))
+        self._execute(host.admission.offer(request, now_s))
         self._offer_slots(attempt.host)
 
     def _choose_host(self, first_share: float) -> int:
@@ -198,7 +198,7 @@
             return 0
         return 1 + self._balancer.randrange(others)
 
-    def _obey(self, commands: tuple[AdmissionCommand, ...]) -> None:
+    def _execute(self, commands: tuple[AdmissionCommand, ...]) -> None:
         for command in commands:
             attempt = self._tries[command.request_id]
             if isinstance(command, Admit):
@@ -207,14 +207,14 @@
             attempt.is_open = False
             call = attempt.call
             call.refusals += 1
-            self._refusals.append(self._mark(attempt))
+            self._refusals.append(self._start_record(attempt))
             self._send_again(call, command.verdict.retry_after_s)
 
     def _send_again(self, call: CallRecord, after_s: float) -> None:
         at_s = self._clock.now_s + after_s
         self._clock.call_at(at_s, lambda: self._send(call))
 
-    def _mark(self, attempt: _Try) -> StartRecord:
+    def _start_record(self, attempt: _Try) -> StartRecord:
         now_s = self._clock.now_s
         return StartRecord(now_s, attempt.host, attempt.request.tier)
 
@@ -233,7 +233,7 @@
         attempt.upstream.submit(attempt.job)
 
     def _on_start(self, attempt: _Try) -> None:
-        self._starts.append(self._mark(attempt))
+        self._starts.append(self._start_record(attempt))
         if self._policy is Policy.NAIVE:
             now_s = self._clock.now_s
             checker = self._hosts[attempt.host].checker
@@ -261,19 +261,21 @@
         )
         self._offer_slots_to_all(attempt.host)
 
-    def _give_up(self, attempt: _Try) -> None:
+    def _on_caller_timeout(self, attempt: _Try) -> None:
         """A caller waits no longer, and sends its request again."""
-        streams = attempt.request.target_kind is TargetKind.FIRST_TOKEN
-        if not attempt.is_open or (streams and attempt.first_token_s >= 0):
+        is_stream = attempt.request.target_kind is TargetKind.FIRST_TOKEN
+        if not attempt.is_open or (is_stream and attempt.first_token_s >= 0):
             return
         attempt.is_open = False
-        self._send_again(attempt.call, _RESEND_S)
+        self._send_again(attempt.call, _RESEND_DELAY_S)
         if self._policy is Policy.NAIVE:
             return
         host = self._hosts[attempt.host]
         host.admission.withdraw(attempt.request.request_id, self._clock.now_s)
         if attempt.job is not None and attempt.upstream is not None:
-            attempt.call.cut_tokens += attempt.upstream.cancel(attempt.job)
+            attempt.call.cancelled_tokens += attempt.upstream.cancel(
+                attempt.job
+            )
             self._offer_slots_to_all(attempt.host)
 
     def _offer_slots(self, index: int) -> None:
@@ -281,7 +283,7 @@
         if free <= 0:
             return
         admission = self._hosts[index].admission
-        self._obey(admission.on_capacity(_POOL, free, self._clock.now_s))
+        self._execute(admission.on_capacity(_POOL, free, self._clock.now_s))
 
     def _offer_slots_to_all(self, first: int) -> None:
         for step in range(len(self._hosts)):
@@ -294,11 +296,13 @@
             for index, host in enumerate(self._hosts):
                 pressures = host.admission.local_pressure(now_s)
                 if pressures:
-                    self._tell_others(index, pressures)
+                    self._send_pressures(index, pressures)
         self._offer_slots_to_all(0)
-        self._clock.call_at(now_s + self._scenario.gossip_s, self._gossip)
+        self._clock.call_at(
+            now_s + self._scenario.gossip_interval_s, self._gossip
+        )
 
-    def _tell_others(
+    def _send_pressures(
         self, index: int, pressures: tuple[TierPressure, ...]
     ) -> None:
         def deliver() -> None:
@@ -307,7 +311,7 @@
                     now_s = self._clock.now_s
                     host.admission.on_peer_pressure(pressures, now_s)
 
-        at_s = self._clock.now_s + self._scenario.link_s
+        at_s = self._clock.now_s + self._scenario.link_latency_s
         self._clock.call_at(at_s, deliver)
 
 
--- a/packages/bench/src/hollyknot_bench/scenario/_records.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_records.py
@@ -27,7 +27,7 @@
     tries: int = 0
     refusals: int = 0
     full_runs: int = 0
-    cut_tokens: float = 0.0
+    cancelled_tokens: float = 0.0
 
 
 @attrs.frozen
--- a/packages/bench/src/hollyknot_bench/scenario/_upstream.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_upstream.py
@@ -31,7 +31,7 @@
     on_first_token: Callable[[], None]
     on_end: Callable[[], None]
     started_s: float = -1.0
-    began: float = 0.0
+    start_progress: float = 0.0
     is_over: bool = False
 
 
@@ -55,8 +55,8 @@
         self._running = 0
         self._queue: collections.deque[Job] = collections.deque()
         self._sequence = itertools.count()
-        self._marks: list[tuple[float, int, Job, bool]] = []
-        self._wake = 0
+        self._milestones: list[tuple[float, int, Job, bool]] = []
+        self._schedule_version = 0
 
     @property
     def free_slots(self) -> int:
@@ -85,22 +85,22 @@
         self._running -= 1
         self._start_some()
         self._schedule()
-        return self._progress - job.began
+        return self._progress - job.start_progress
 
     def _start_some(self) -> None:
         while self._queue and self._running < self._slots:
             job = self._queue.popleft()
             self._running += 1
             job.started_s = self._clock.now_s
-            job.began = self._progress
+            job.start_progress = self._progress
             first = self._progress + job.prompt_cost
-            self._mark(first, job, False)
-            self._mark(first + job.tokens, job, True)
+            self._add_milestone(first, job, False)
+            self._add_milestone(first + job.tokens, job, True)
             job.on_start()
 
-    def _mark(self, progress: float, job: Job, is_end: bool) -> None:
-        mark = (progress, next(self._sequence), job, is_end)
-        heapq.heappush(self._marks, mark)
+    def _add_milestone(self, progress: float, job: Job, is_end: bool) -> None:
+        milestone = (progress, next(self._sequence), job, is_end)
+        heapq.heappush(self._milestones, milestone)
 
     def _speed(self) -> float:
         return self._rate / (1 + self._slowdown * max(0, self._running - 1))
@@ -112,21 +112,21 @@
         self._updated_s = now_s
 
     def _schedule(self) -> None:
-        while self._marks and self._marks[0][2].is_over:
-            heapq.heappop(self._marks)
-        self._wake += 1
-        if not self._marks:
+        while self._milestones and self._milestones[0][2].is_over:
+            heapq.heappop(self._milestones)
+        self._schedule_version += 1
+        if not self._milestones:
             return
-        wake = self._wake
-        left = max(0.0, self._marks[0][0] - self._progress)
+        version = self._schedule_version
+        left = max(0.0, self._milestones[0][0] - self._progress)
         at_s = self._clock.now_s + left / self._speed()
-        self._clock.call_at(at_s, lambda: self._on_wake(wake))
+        self._clock.call_at(at_s, lambda: self._on_milestone(version))
 
-    def _on_wake(self, wake: int) -> None:
-        if wake != self._wake:
+    def _on_milestone(self, version: int) -> None:
+        if version != self._schedule_version:
             return
         self._advance()
-        progress, _, job, is_end = heapq.heappop(self._marks)
+        progress, _, job, is_end = heapq.heappop(self._milestones)
         self._progress = max(self._progress, progress)
         if is_end:
             job.is_over = True
