--- a/packages/bench/src/hollyknot_bench/experiment/_host_network.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_host_network.py
@@ -1,4 +1,4 @@
-"""Carries what emulated hosts tell and ask each other."""
+"""Carries reports, notes and queries between emulated hosts."""
 
 import random
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 from hollyknot_state.routes import UpstreamEntry
 
 HOST_LATENCY_S = 0.0014
-"""One way between hosts, in different data centres of a region."""
+"""One-way latency between hosts in different data centres of a region."""
 
 EntryOf = Callable[[str], UpstreamEntry | None]
-"""Returns an upstream that is known, by its incarnation."""
+"""Looks up a known upstream by its incarnation."""
 
 
 class HostNetwork:
-    """The datagrams between all hosts of a day."""
+    """Emulated network that delivers datagrams between all hosts of a run."""
 
     def __init__(
         self,
@@ -38,26 +38,34 @@
         rng: random.Random,
         entry_of: EntryOf,
     ) -> None:
-        """Has all hosts meet each other; nothing is sent yet."""
+        """Creates a reporter for each host; nothing is sent yet."""
         self._clock = clock
         self._rng = rng
         self._entry_of = entry_of
         self.reporters = make_reporters(hosts, rng)
 
     def begin_reports(self) -> None:
-        """Has each host send as many reports as its bytes allow."""
+        """Starts each host's reports, as many as its byte budget allows."""
         for number in range(len(self.reporters)):
             self._call_at(
                 self._rng.random() * REPORT_INTERVAL_S, self._report, number
             )
 
     def begin_notes(self) -> None:
-        """Has trackers told of each change, and now and then of all work."""
+        """Starts the notes to trackers.
+
+        Hosts send a note after each change of their loads, and renew their
+        notes at a fixed interval.
+        """
         for reporter in self.reporters:
             self._begin_notes(reporter)
 
     def may_ask(self, number: int) -> bool:
-        """Whether a host asks trackers now."""
+        """Whether a host queries trackers now.
+
+        It does if reports come so rarely that they are old, and if its byte
+        budget allows a query.
+        """
         reporter = self.reporters[number]
         is_old = reporter.peers.interval_s >= MIN_INTERVAL_TO_QUERY_S
         return is_old and reporter.rate.may_ask(self._clock.now_s)
@@ -69,13 +77,13 @@
         runs: tuple[int, ...],
         on_known: Callable[[], None],
     ) -> None:
-        """Asks for loads.
+        """Queries trackers for the loads of upstreams.
 
         Args:
-            number: Of the host that asks.
-            entries: The upstreams.
-            runs: The shared parts of the request's prompt.
-            on_known: Called once, after all answers or the longest wait.
+            number: Number of the host that queries.
+            entries: Upstreams whose loads are queried.
+            runs: Prefixes of the request's prompt that consist of shared parts.
+            on_known: Called once, after all answers or the timeout.
         """
         now_s = self._clock.now_s
         reporter = self.reporters[number]
@@ -154,7 +162,7 @@
 
 
 def _call_once(call: Callable[[], None]) -> Callable[[], None]:
-    """Returns a function that makes a call the first time only."""
+    """Wraps a function so that only the first call reaches it."""
     is_made = [False]
 
     def made() -> None:
--- a/packages/bench/src/hollyknot_bench/experiment/_load.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_load.py
@@ -1,7 +1,7 @@
-"""The load of an experiment: what is asked for, of which engines, when.
+"""Describes the load of an experiment and draws its requests.
 
-A load is a JSON file, so that days of other customers are played without a
-change of code. Its fields are those of the classes below.
+A load is a JSON file, so that the load of another customer needs no change of
+code. The fields of the file are the attributes of the classes below.
 """
 
 import math
@@ -15,17 +15,17 @@
 from hollyknot_state import TIERS, Problem, structure_or_first_problem
 
 HINT_SIGMA = 0.5
-"""How far callers' estimates of their answers are off, as a sigma."""
+"""Error of callers' estimates of the answer length, as a lognormal sigma."""
 
 
 @attrs.frozen
 class PartFigures:
-    """A part of prompts that requests share.
+    """Shared part of prompts, such as a system prompt or a document.
 
     Attributes:
-        tokens: Its length, on the mean.
-        spread: Of the length, as the sigma of a lognormal distribution.
-        things: How many different ones there are.
+        tokens: Mean length in tokens.
+        spread: Sigma of the lognormal distribution of the length.
+        things: Number of different contents that this part can have.
     """
 
     tokens: float
@@ -35,22 +35,22 @@
 
 @attrs.frozen
 class ClassFigures:
-    """A class of streams.
+    """Class of streaming requests.
 
     Attributes:
-        name: In reports.
-        per_s: Requests a second outside of bursts.
+        name: Name of the class in the printed results.
+        per_s: Requests per second outside of bursts.
         parts: Shared parts of its prompts, in order.
-        own_tokens: The part that is a request's own, on the mean.
-        out_tokens: Of the answer, on the mean.
-        first_s: Until the first event, to be in time.
-        gap_s: Between two events, likewise.
-        timeout_s: After which an answer is worth nothing.
-        worth: Of an answer in time.
-        late_worth: Of one that is late.
-        priority: 0 is the most urgent.
-        own_spread: As of parts.
-        out_spread: As of parts.
+        own_tokens: Mean length of the prompt part that only one request has.
+        out_tokens: Mean length of an answer in tokens.
+        first_s: Target for the time to first token.
+        gap_s: Target for the longest inter-token gap.
+        timeout_s: Time after which an answer is worth nothing.
+        worth: Value of an answer that meets both targets.
+        late_worth: Value of a complete answer that misses a target.
+        priority: Priority of the class; 0 is the most urgent.
+        own_spread: Sigma of the lognormal distribution of `own_tokens`.
+        out_spread: Sigma of the lognormal distribution of `out_tokens`.
     """
 
     name: str
@@ -70,13 +70,13 @@
 
 @attrs.frozen
 class Burst:
-    """A time in which a class sends more.
+    """Period in which a class sends requests at a higher rate.
 
     Attributes:
-        name: The class.
-        at_s: Its begin.
-        for_s: Its length.
-        times: The usual rate.
+        name: Name of the class.
+        at_s: Start of the burst.
+        for_s: Duration of the burst.
+        times: Factor by which the rate of the class is multiplied, at least 1.
     """
 
     name: str
@@ -87,12 +87,12 @@
 
 @attrs.frozen
 class Crash:
-    """Engines that stop, lose all and come back empty.
+    """Crash of engines, which lose all requests and restart with empty caches.
 
     Attributes:
-        at_s: When.
-        for_s: How long they are away.
-        engines: How many.
+        at_s: Time of the crash.
+        for_s: Time from the crash to the restart.
+        engines: Number of engines that crash, counted from the first engine.
     """
 
     at_s: float
@@ -102,13 +102,14 @@
 
 @attrs.frozen
 class Limit:
-    """Engines that name a rate limit in their answers.
+    """Period in which engines name a rate limit in their answers.
 
     Attributes:
-        at_s: From when on.
-        for_s: How long.
-        engines: Their numbers.
-        rate: Requests a second that each takes from all hosts together.
+        at_s: Start of the period.
+        for_s: Duration of the period.
+        engines: Numbers of the engines.
+        rate: Requests per second that each engine accepts from all hosts
+            together.
     """
 
     at_s: float
@@ -119,20 +120,20 @@
 
 @attrs.frozen
 class Load:
-    """A day.
+    """Load of one simulated run.
 
     Attributes:
-        length_s: How long requests are sent.
-        hosts: That take them.
-        report_s: Between two reports that a host hears of each peer; 0 for as
-            many as the budget of bytes allows.
-        engines: Their number.
-        engine: What all are like.
-        slowness: By how much each is slower, in turn.
-        classes: What is asked for.
-        bursts: When more of it is.
-        crashes: Of engines.
-        limits: Of engines in need.
+        length_s: Time during which requests are sent.
+        hosts: Number of hosts that receive them.
+        report_s: Interval between two reports that a host receives from each
+            peer; 0 for as many reports as the byte budget of a host allows.
+        engines: Number of engines.
+        engine: Properties that all engines share.
+        slowness: Factors by which engines are slower, assigned in turn.
+        classes: Classes of requests.
+        bursts: Periods of a higher request rate.
+        crashes: Crashes of engines.
+        limits: Periods in which engines name a rate limit.
     """
 
     length_s: float
@@ -149,17 +150,18 @@
 
 @attrs.frozen
 class Request:
-    """One request, as its caller sends it.
+    """Request, as its caller sends it.
 
     Attributes:
-        number: Unique in a day.
-        kind: Its class.
-        at_s: When it is sent.
-        host: The number of the host that takes it first.
-        prompt: Names and lengths of its parts; the last is its own.
-        out_tokens: That its answer will have.
-        rank: Of its customer; 0 is the first.
-        hint: What the caller takes the answer's length to be.
+        number: Number of the request, unique within a run.
+        kind: Class of the request.
+        at_s: Time at which it is sent.
+        host: Number of the host that receives the first try.
+        prompt: Names and lengths of the prompt parts; the last part is the
+            request's own, the others are shared.
+        out_tokens: Length of its answer in tokens.
+        rank: Rank of its customer; 0 is the most urgent.
+        hint: Caller's estimate of the answer length in tokens.
     """
 
     number: int
@@ -173,12 +175,12 @@
 
     @property
     def tokens(self) -> int:
-        """Of the whole prompt."""
+        """Length of the whole prompt in tokens."""
         return sum(tokens for _, tokens in self.prompt)
 
 
 def read_load(path: pathlib.Path) -> Load | Problem:
-    """Reads a load, or tells the first mistake in it."""
+    """Reads a load from a file, or returns the first problem found in it."""
     try:
         document = orjson.loads(path.read_bytes())
     except (OSError, ValueError) as error:
@@ -187,7 +189,7 @@
 
 
 def draw_requests(load: Load, seed: int) -> list[Request]:
-    """Draws all requests of a day, in the order of their times."""
+    """Draws all requests of a run, in the order of their times."""
     rng = random.Random(seed)
     drawn = [
         (at_s, kind)
--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a played day, and of the engines' time."""
+"""Holds the results of a simulated run: those of requests and of engines."""
 
 import attrs
 
@@ -7,16 +7,17 @@
 
 @attrs.define
 class RequestOutcome:
-    """What became of a request.
+    """Outcome of a request over all its tries.
 
     Attributes:
-        request: Which.
-        first_s: From its sending to its first event; 0 if none came.
-        gap_s: Its longest pause.
-        is_whole: Whether its answer came whole in time.
-        refusals: How often it was refused.
-        expected: Prompt tokens that the host expected to be read.
-        read: Prompt tokens that were.
+        request: The request.
+        first_s: Time to first token, from when the request was first sent; 0 if
+            none came.
+        gap_s: Longest inter-token gap.
+        is_whole: Whether the complete answer came before the request timed out.
+        refusals: Number of times that a host refused it.
+        expected: Prompt tokens that the host expected the engine to prefill.
+        read: Prompt tokens that the engine did prefill.
     """
 
     request: Request
@@ -29,14 +30,14 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Whether the answer was in time throughout."""
+        """Whether the complete answer met both targets of its class."""
         kind = self.request.kind
         on_time = self.first_s <= kind.first_s and self.gap_s <= kind.gap_s
         return self.is_whole and on_time
 
     @property
     def credit(self) -> float:
-        """What the answer is worth."""
+        """Value of the answer: full, reduced because it was late, or 0."""
         kind = self.request.kind
         if not self.is_whole:
             return 0.0
@@ -45,14 +46,16 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of a day.
+    """Outcome of a run.
 
     Attributes:
-        ended: All requests.
-        tokens_read: By all engines.
-        tokens_read_again: Of shared parts that the engine had read before.
-        put_back: Runs that lost their place to more urgent ones.
-        reading: The share of the engines' time in which they read prompts.
+        ended: Outcomes of all requests.
+        tokens_read: Prompt tokens that all engines prefilled.
+        tokens_read_again: Those of shared parts that the same engine had
+            prefilled before and no longer had in its cache.
+        put_back: Number of times that a request was preempted for a more urgent
+            one.
+        reading: Fraction of the engines' time spent on prefill.
     """
 
     ended: tuple[RequestOutcome, ...]
@@ -63,6 +66,6 @@
 
     @property
     def worth(self) -> float:
-        """Credit, as a share of what all answers in time would bring."""
+        """Value of all answers, as a fraction of the value if all were in time."""
         owed = sum(e.request.kind.worth for e in self.ended)
         return sum(e.credit for e in self.ended) / owed if owed else 0.0
--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -1,8 +1,8 @@
-"""Plays a load through the decisions that serve, under a virtual clock.
+"""Simulates a load under a virtual clock, with the router's own decisions.
 
-Several hosts, each with its own loads, lanes and caches as it believes them;
-reports between them that are as old as they are in a fleet; engines that batch.
-Bytes, connections and health are left out: the decisions are what is measured.
+Each of several hosts keeps its own view of loads, lanes and caches; reports
+between hosts are as old as they are in a fleet, and engines batch requests.
+Bytes, connections and health are left out, since only decisions are compared.
 """
 
 import itertools
@@ -49,19 +49,19 @@
 )
 
 NETWORK_LATENCY_S = 0.003
-"""One way between callers, hosts and engines."""
+"""One-way latency between callers, hosts and engines."""
 
 COME_BACK_SPREAD = 0.5
 """By how much the time to come back varies either way."""
 
 DRAIN_S = 20.0
-"""After the last request is sent, until the last one has ended."""
+"""Time that a run goes on after sending ends, so that requests can end."""
 
 _SERVICE = "engines"
 
 
 class Play:
-    """One day of one load."""
+    """One simulated run of a load."""
 
     def __init__(
         self,
@@ -72,16 +72,16 @@
         is_shared: bool = False,
         asks: bool = True,
     ) -> None:
-        """Draws the requests.
+        """Draws the requests and builds the hosts and engines.
 
         Args:
-            load: What is played.
-            seed: Of requests and of the hosts' chance.
-            make: Makes each host; policies are compared by other ones.
-            asks: Whether hosts ask trackers before they choose.
-            is_shared: Whether all hosts share one's beliefs, as if they told
-                each other everything at once and at no cost: the bound of what
-                knowledge is worth.
+            load: Load that is simulated.
+            seed: Seed of the requests and of the hosts' random choices.
+            make: Makes a host; pass another function to compare policies.
+            asks: Whether hosts query trackers before they choose an engine.
+            is_shared: Whether all hosts share the state of one host, as if
+                reports were instant and free. The result bounds what better
+                knowledge could gain.
         """
         self._load = load
         self._clock = Clock()
@@ -112,7 +112,7 @@
         self._permits = self._make_permits()
 
     def run(self) -> Outcome:
-        """Plays it to its end."""
+        """Runs the simulation to its end and returns the outcome."""
         for request in self._requests:
             self._call_at(request.at_s, self._arrive, request, request.host)
         for crash in self._load.crashes:
@@ -140,7 +140,7 @@
         )
 
     def _make_permits(self) -> Permits:
-        """Returns the permits that all hosts get, at once and at no cost."""
+        """Returns the permits that all hosts share, at once and at no cost."""
         own = Tracker(0, Address("10.0.1.1", 1), "one")
         return Permits(
             Trackers(own, tuple),
@@ -151,7 +151,7 @@
         )
 
     def _set_rate_limit(self, number: int, rate: float | None) -> None:
-        """Has all hosts know an engine's limit."""
+        """Makes an engine's rate limit known to all hosts; None ends it."""
         name = self._entries[number].incarnation
         now_s = self._clock.now_s
         self._rate_limits.observe(name, rate, now_s, now_s)
@@ -217,7 +217,7 @@
         return [entry for entry, engine in pairs if not engine.is_away]
 
     def _arrive(self, request: Request, number: int) -> None:
-        """Takes a request, and asks for loads before it is placed."""
+        """Receives a request, and queries loads before placing it if allowed."""
         host = self._hosts[number]
         now_s = self._clock.now_s
         if not self._is_shared and not self._load.report_s:
@@ -389,7 +389,7 @@
         return None if entry is None else self._engines[entry.address.port - 1]
 
     def _schedule_step(self, engine: Engine) -> None:
-        """Has an engine's next step ended when it is due."""
+        """Schedules the end of an engine's current step, unless it is scheduled."""
         if engine.next_s is None or engine.is_scheduled:
             return
         engine.is_scheduled = True
@@ -404,7 +404,7 @@
 
 @attrs.define
 class _Stream:
-    """What a host knows of a stream that it relays."""
+    """State that a host keeps of a stream that it relays."""
 
     deadline_s: float
     last_s: float = 0.0
@@ -453,5 +453,5 @@
     is_shared: bool = False,
     asks: bool = True,
 ) -> Outcome:
-    """Plays one day of a load with a policy."""
+    """Simulates one run of a load with a policy."""
     return Play(load, seed, make, is_shared=is_shared, asks=asks).run()
--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -1,8 +1,8 @@
-"""What emulated hosts tell each other: real messages within the real budget.
+"""Sends the reports of emulated hosts, with real messages and byte budgets.
 
-Each host sends reports as the product does: of the sizes that they have on the
-wire, as many as its bytes allow, to the peers that it would choose. So what a
-host knows grows old with the number of hosts as it does in a fleet.
+Each host sends reports as a real host does: with their encoded sizes, as many
+as its byte budget allows, and to the peers that the same code selects. So the
+age of what a host knows grows with the number of hosts as it does in a fleet.
 """
 
 import random
@@ -36,18 +36,19 @@
 _DATA_CENTRE = "one"
 
 MAX_SUMMARY_AGE_S = 0.1
-"""How old the sums of what peers told may be when they are used."""
+"""Longest time for which the summed-up reports of peers are reused."""
 
 
 @attrs.define
 class Reporter:
-    """One host's reports.
+    """Sends and receives the reports of one host.
 
     Attributes:
-        number: Of the host.
-        host: Whose beliefs are told and fed.
-        peers: What it has heard.
-        rate: What it may send.
+        number: Number of the host.
+        host: Host whose state is reported and updated.
+        peers: Peers that it knows, with their latest reports.
+        rate: Byte budget for what it sends.
+        inquiries: Queries to trackers, and the answers to those of peers.
     """
 
     number: int
@@ -71,11 +72,11 @@
         )
 
     def spend(self, message: Message) -> None:
-        """Notes what a message costs."""
+        """Charges the size of a message to the byte budget."""
         self.rate.spend_on_queries(len(encode_message(message)))
 
     def report(self, now_s: float) -> tuple[UseReport, list[Address]] | None:
-        """Returns a report and to whom it goes; None if none may be sent."""
+        """Returns a report and its targets; None if the budget allows none."""
         if not self.rate.affordable(self._size, now_s):
             return None
         self._sequence += 1
@@ -97,12 +98,12 @@
         return report, targets
 
     def take(self, report: UseReport, now_s: float) -> None:
-        """Takes a peer's report."""
+        """Applies a report of a peer."""
         self.host.cached.take(report.held, now_s)
         self.peers.take_uses(report, now_s)
 
     def apply_fresh_reports(self, now_s: float) -> None:
-        """Has the host's beliefs follow from what its peers have told."""
+        """Updates the host's loads and demand from fresh reports of peers."""
         if now_s - self._summed_s < MAX_SUMMARY_AGE_S:
             return
         self._summed_s = now_s
@@ -116,7 +117,7 @@
 
 
 def make_reporters(hosts: list[Host], rng: random.Random) -> list[Reporter]:
-    """Returns a teller for each host; all have met each other."""
+    """Returns a reporter for each host; all hosts know each other."""
     addresses = [address_of(number) for number in range(len(hosts))]
     reporters = [
         Reporter(number, host, Peers(addresses[number], _DATA_CENTRE, (), rng))
@@ -132,10 +133,10 @@
 
 
 def address_of(number: int) -> Address:
-    """Returns where a host takes reports."""
+    """Returns the address at which a host receives reports."""
     return Address("10.0.1.1", number + 1)
 
 
 def number_of(address: Address) -> int:
-    """Returns which host takes reports at an address."""
+    """Returns the number of the host that receives reports at an address."""
     return address.port - 1
--- a/packages/bench/src/hollyknot_bench/matrix.py
+++ b/packages/bench/src/hollyknot_bench/matrix.py
@@ -1,8 +1,8 @@
-"""`make matrix`: writes docs/FAULT_MATRIX.md from the tests themselves.
+"""Writes docs/FAULT_MATRIX.md from the markers of the tests (`make matrix`).
 
 A test names its cell by `@pytest.mark.fault(fault=..., step=..., rule=...)`.
-`seen_failing="..."` says what was broken to see the test fail; without it the
-page doesn't say "proved".
+`seen_failing="..."` says which change to the code made the test fail; a cell
+counts as proved only if all its tests state it.
 """
 
 import enum
@@ -25,7 +25,7 @@
 
 
 class State(enum.Enum):
-    """How far a cell is."""
+    """Test coverage of a cell."""
 
     PROVED = "proved"
     TESTED = "tested, not seen failing"
@@ -36,15 +36,16 @@
 
 @attrs.frozen
 class Proof:
-    """One test of one cell.
+    """A test that covers a cell.
 
     Attributes:
-        fault: The row.
-        step: The column.
-        rule: What could break.
-        test: The test's id, without its parameters.
-        seen_failing: What was broken to see it fail; empty if it wasn't.
-        is_known_red: Whether KNOWN-RED.txt lists it.
+        fault: Fault that the test causes, the row of the cell.
+        step: Step of a request's life, the column of the cell.
+        rule: Rule that the fault could break.
+        test: Node id of the test, without its parameters.
+        seen_failing: Change to the code that made the test fail; empty if the
+            test was never seen failing.
+        is_known_red: Whether KNOWN-RED.txt lists the test as failing.
     """
 
     fault: str = attrs.field(validator=attrs.validators.in_(FAULTS))
@@ -56,21 +57,21 @@
 
     @property
     def state(self) -> State:
-        """What the test shows."""
+        """State that this test alone gives its cell."""
         if self.is_known_red:
             return State.FAILING
         return State.PROVED if self.seen_failing else State.TESTED
 
 
 class _Collector:
-    """A plugin of pytest that takes the markers of all tests."""
+    """Pytest plugin that collects the `fault` markers of all tests."""
 
     def __init__(self, known_red: frozenset[str]) -> None:
         self._known_red = known_red
         self.proofs: dict[tuple[str, str, str], Proof] = {}
 
     def pytest_itemcollected(self, item: pytest.Item) -> None:
-        """Takes the markers of one test, before any test is passed over."""
+        """Records the markers of a test, before any test is deselected."""
         test = item.nodeid.partition("[")[0]
         for mark in item.iter_markers(_MARKER):
             is_known_red = item.nodeid in self._known_red
@@ -81,10 +82,10 @@
 
 
 def collect() -> list[Proof]:
-    """Returns the proofs of all tests of the repository, in order.
+    """Collects the proofs of all tests, in the order of rows and columns.
 
     Raises:
-        click.ClickException: The tests can't be collected.
+        click.ClickException: Pytest could not collect the tests.
     """
     collector = _Collector(_known_red())
     code = pytest.main(
@@ -92,7 +93,10 @@
         plugins=[collector],
     )
     if code is not pytest.ExitCode.OK:
-        raise click.ClickException(f"the tests can't be collected: {code}")
+        raise click.ClickException(
+            f"pytest could not collect the tests below {_ROOT / 'packages'}"
+            f" ({code!r}); run 'pytest --collect-only' to see why"
+        )
     return sorted(
         collector.proofs.values(),
         key=lambda p: (FAULTS.index(p.fault), STEPS.index(p.step), p.test),
@@ -107,7 +111,7 @@
 
 
 def render(proofs: Iterable[Proof]) -> str:
-    """Returns the page."""
+    """Returns the page as Markdown text."""
     cells: dict[tuple[str, str], list[Proof]] = defaultdict(list)
     for proof in proofs:
         cells[proof.fault, proof.step].append(proof)
@@ -131,7 +135,7 @@
 def _state(
     cell: tuple[str, str], cells: dict[tuple[str, str], list[Proof]]
 ) -> State:
-    """Returns a cell's state: the worst of its tests'."""
+    """Returns the state of a cell, which is the worst among its tests."""
     found = {proof.state for proof in cells.get(cell, [])}
     for state in (State.FAILING, State.TESTED, State.PROVED):
         if state in found:
@@ -191,7 +195,7 @@
 @click.command()
 @click.option("--check", is_flag=True, help="Only compare the page.")
 def main(check: bool) -> None:
-    """Writes the page; with --check exits 1 if it differs."""
+    """Writes the page; with --check exits 1 if the page is out of date."""
     page = render(collect())
     if not check:
         _PAGE.write_text(page)
--- a/packages/bench/src/hollyknot_bench/scenario/__init__.py
+++ b/packages/bench/src/hollyknot_bench/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""The same seeded load on hollyknot's admission and on a naive baseline.
+"""Compares hollyknot's admission with a naive baseline on one seeded load.
 
 Run it as `python -m hollyknot_bench.scenario --seed 1`.
 """
--- a/packages/bench/src/hollyknot_bench/scenario/__main__.py
+++ b/packages/bench/src/hollyknot_bench/scenario/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `python -m hollyknot_bench.scenario`."""
+"""Runs the scenario on each policy: `python -m hollyknot_bench.scenario`."""
 
 import click
 
--- a/packages/bench/src/hollyknot_bench/scenario/_clock.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: events in the order of their time, played at once."""
+"""Provides a virtual clock that runs events in time order, without waiting."""
 
 import heapq
 import itertools
@@ -6,26 +6,26 @@
 
 
 class VirtualClock:
-    """Calls what was scheduled, in order; equal times in order of calls."""
+    """Runs scheduled calls in time order; equal times in scheduling order."""
 
     def __init__(self) -> None:
-        """Starts at 0 s."""
+        """Creates a clock at 0 s with nothing scheduled."""
         self._now_s = 0.0
         self._sequence = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     @property
     def now_s(self) -> float:
-        """The virtual time in seconds."""
+        """Virtual time in seconds."""
         return self._now_s
 
     def call_at(self, at_s: float, action: Callable[[], None]) -> None:
-        """Schedules a call, at the earliest now."""
+        """Schedules a call; a time in the past means now."""
         at_s = max(at_s, self._now_s)
         heapq.heappush(self._events, (at_s, next(self._sequence), action))
 
     def run(self, until_s: float) -> None:
-        """Plays all events up to a time."""
+        """Runs all calls up to a time, and sets the clock to it."""
         while self._events and self._events[0][0] <= until_s:
             self._now_s, _, action = heapq.heappop(self._events)
             action()
--- a/packages/bench/src/hollyknot_bench/scenario/_load.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_load.py
@@ -1,4 +1,4 @@
-"""The load of the scenario: classes, customers, arrivals, a burst."""
+"""Describes the scenario's load and draws its arrivals."""
 
 import random
 from collections.abc import Iterator
@@ -8,26 +8,27 @@
 from hollyknot_state import TargetKind
 
 _CUSTOMER_WEIGHTS = (30, 20, 15, 5, 5, 5, 5, 5, 5, 5)
-"""Ten customers, a few of them large."""
+"""Weights of the ten customers; the first three send most requests."""
 
 
 @attrs.frozen
 class ClassLoad:
-    """One class of work and how it arrives.
+    """Class of requests with its target and arrival rate.
 
     Attributes:
-        name: The class's name.
-        tier: 1 is the highest.
-        target_kind: What its target measures.
-        budget_s: Its target.
-        tokens_median: Of the answer, whose length is log-normal.
-        tokens_sigma: The deviation of the logarithm of the length.
-        prompt_cost: What reading the prompt costs, in tokens of output.
-        rate: Arrivals a second outside the burst.
-        burst: By how much the rate is multiplied in the burst.
-        patience_s: How long a caller waits for an answer before it sends
-            again; it never gives up.
-        first_host_share: The share that the balancer sends to the first host.
+        name: Name of the class.
+        tier: Tier of the class; 1 is the highest.
+        target_kind: Event of an answer that the target refers to.
+        budget_s: Target for the time from arrival to that event.
+        tokens_median: Median length of an answer; lengths are lognormal.
+        tokens_sigma: Standard deviation of the logarithm of the length.
+        prompt_cost: Cost of the prompt's prefill, in tokens of output.
+        rate: Arrivals per second outside the burst.
+        burst: Factor by which the rate is multiplied in the burst.
+        resend_after_s: Time that a caller waits for an answer before it sends
+            its request again, which it does without limit.
+        first_host_share: Fraction of requests that the load balancer sends to
+            the first host.
     """
 
     name: str
@@ -97,27 +98,30 @@
         0.8,
     ),
 )
-"""The users' four classes."""
+"""Default classes of the scenario."""
 
 
 @attrs.frozen
 class Scenario:
-    """The sizes and times of one scenario.
+    """Sizes and times of a scenario.
 
     Attributes:
-        classes: The classes of work.
-        hosts: Hosts of the data centre.
-        upstreams: Engines of the one pool.
-        slots: Requests that an engine batches.
-        token_rate: Tokens a second of an engine that runs one request.
-        batch_slowdown: By how much each further request slows the others.
-        straggler_rate: The share of its rate that the last engine has.
-        horizon_s: How long the load lasts.
-        burst_start_s: When the burst starts.
-        burst_end_s: When it ends.
-        crowd_share: The share of a burst that comes from one customer.
-        gossip_s: How often hosts tell each other of pressure.
-        link_s: How long that takes to arrive.
+        classes: Classes of requests.
+        hosts: Number of hosts in the data centre.
+        upstreams: Number of engines in the only pool.
+        slots: Requests that an engine batches at most.
+        token_rate: Tokens per second of an engine that runs one request.
+        batch_slowdown: Increase of the time per token for each further request
+            in the batch, as a fraction of the time with one request.
+        straggler_rate: Speed of the last engine, as a fraction of
+            `token_rate`.
+        horizon_s: Duration of the load.
+        burst_start_s: Start of the burst.
+        burst_end_s: End of the burst.
+        crowd_share: Fraction of a class's requests in the burst that come from
+            one customer beyond its usual weight.
+        gossip_interval_s: Interval at which hosts report pressure to peers.
+        link_latency_s: Latency of a report between hosts.
     """
 
     classes: tuple[ClassLoad, ...] = CLASSES
@@ -135,26 +139,26 @@
     link_latency_s: float = 0.001
 
     def capacity_tokens(self) -> float:
-        """Returns the tokens a second of all engines with full batches."""
+        """Returns the tokens per second of all engines with full batches."""
         slowed = 1 + self.batch_slowdown * (self.slots - 1)
         engine = self.slots * self.token_rate / slowed
         return engine * (self.upstreams - 1 + self.straggler_rate)
 
     def is_burst(self, at_s: float) -> bool:
-        """Tells whether a time lies in the burst."""
+        """Returns whether a time lies in the burst."""
         return self.burst_start_s <= at_s < self.burst_end_s
 
 
 @attrs.frozen
 class Arrival:
-    """A caller's request, before its first try.
+    """Request of a caller, before its first try.
 
     Attributes:
-        key: Unique within the run.
-        load: Its class.
-        customer: Its customer.
-        at_s: When it arrives.
-        tokens: The length of its answer, which nobody knows beforehand.
+        key: Number of the request, unique within the run.
+        load: Class of the request.
+        customer: Customer that sends it.
+        at_s: Time of its arrival.
+        tokens: Length of its answer, unknown to the admission.
     """
 
     key: int
@@ -165,7 +169,7 @@
 
 
 def arrivals(scenario: Scenario, seed: int) -> tuple[Arrival, ...]:
-    """Returns all arrivals, the same for a seed whatever the policy."""
+    """Draws all arrivals; they depend on the seed and not on the policy."""
     drawn: list[tuple[float, ClassLoad, str, float]] = []
     for load in scenario.classes:
         rng = random.Random(f"{seed} {load.name}")
@@ -183,7 +187,7 @@
 def _times(
     scenario: Scenario, load: ClassLoad, rng: random.Random
 ) -> Iterator[float]:
-    """Draws a Poisson process by thinning one of the burst's rate."""
+    """Draws a Poisson process by thinning one with the highest rate."""
     highest = load.rate * max(1.0, load.burst)
     at_s = rng.expovariate(highest)
     while at_s < scenario.horizon_s:
