--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -66,6 +66,6 @@
 
     @property
     def worth(self) -> float:
-        """Value of all answers, as a fraction of the value if all were in time."""
+        """Value of all answers, as a fraction of the value if all in time."""
         owed = sum(e.request.kind.worth for e in self.ended)
         return sum(e.credit for e in self.ended) / owed if owed else 0.0
--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -217,7 +217,7 @@
         return [entry for entry, engine in pairs if not engine.is_away]
 
     def _arrive(self, request: Request, number: int) -> None:
-        """Receives a request, and queries loads before placing it if allowed."""
+        """Receives a request; queries loads before placement if allowed."""
         host = self._hosts[number]
         now_s = self._clock.now_s
         if not self._is_shared and not self._load.report_s:
@@ -389,7 +389,7 @@
         return None if entry is None else self._engines[entry.address.port - 1]
 
     def _schedule_step(self, engine: Engine) -> None:
-        """Schedules the end of an engine's current step, unless it is scheduled."""
+        """Schedules the end of an engine's current step, at most once."""
         if engine.next_s is None or engine.is_scheduled:
             return
         engine.is_scheduled = True
--- a/packages/bench/src/hollyknot_bench/scenario/_measures.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_measures.py
@@ -1,4 +1,4 @@
-"""Attainment, goodput, wasted work, fairness and recovery of a run."""
+"""Computes attainment, goodput, waste, fairness and recovery of a run."""
 
 import collections
 from collections.abc import Iterable
@@ -10,32 +10,35 @@
 from hollyknot_state import TIERS, TargetKind
 
 _WINDOW_S = 30.0
-"""The width of the windows by which recovery is told."""
+"""Width of the time windows in which recovery is checked."""
 
 _STEADY_WINDOWS = 4
-"""Windows in a row that must be good again."""
+"""Consecutive windows that must reach the attainment for a recovery."""
 
 _RECOVERED_SHARE = 0.95
-"""The share of the attainment before the burst that counts as good again."""
+"""Fraction of the attainment before the burst that counts as recovered."""
 
 _REFUSAL_WINDOW_S = 3.0
-"""How long after a refusal of tier 1 the other hosts' tier 3 is counted."""
+"""Time after a refusal of tier 1 in which other hosts' tier 3 is counted."""
 
 
 @attrs.frozen
 class ClassMeasures:
-    """The figures of a class, or of all together.
+    """Measures of one class, or of all classes together.
 
     Attributes:
-        name: The class.
-        arrivals: Requests whose target lies within the run.
-        attainment: The share of them that met it, from the first try on.
-        burst_attainment: The same of those that arrived in the burst.
-        goodput: Tokens a second of answers that met their target.
-        discarded: Of the computed tokens, those of answers nobody received.
-        duplicated: Those of answers computed once more than needed.
-        late: Those of answers received after their target.
-        refusals: Refusals, each try counted.
+        name: Name of the class; `whole` for all.
+        arrivals: Requests whose deadline lies within the run.
+        attainment: Fraction of them that met their target, counted from the
+            first try.
+        burst_attainment: The same fraction of those that arrived in the burst.
+        goodput: Tokens per second of answers that met their target.
+        discarded: Fraction of the computed tokens that no caller received.
+        duplicated: Fraction of the computed tokens that repeat the work of an
+            earlier try.
+        late: Fraction of the computed tokens in answers that missed their
+            target.
+        refusals: Number of refusals; each refused try counts.
     """
 
     name: str
@@ -51,23 +54,23 @@
 
 @attrs.frozen
 class RunMeasures:
-    """The figures of a run.
+    """Measures of a run.
 
     Attributes:
-        policy: Its name.
-        classes: For each class, then for the whole.
+        policy: Name of the policy.
+        classes: Measures of each class, then of all together.
         refused_by_tier: Refusals by tier, highest first.
-        violations: How often each rule was broken.
-        jain_index: Of tier 1's customers in the burst, each against its
-            max-min fair share; 1 is fair.
-        is_recovered: Whether the first class came back after the burst.
-        recovery_s: How long that took.
+        violations: Number of violations by admission rule.
+        jain_index: Jain's fairness index over tier 1's customers in the burst,
+            each relative to its max-min fair share; 1 is fair.
+        is_recovered: Whether the first class recovered after the burst.
+        recovery_s: Time from the end of the burst to the recovery; -1 for none.
         lower_starts_while_shed: Starts of tier 3 on a host in the 3 s after
             another host refused tier 1.
-        seconds_while_shed: How long that state lasted, over all hosts.
+        seconds_while_shed: Duration of that state, summed over all hosts.
         lower_starts_otherwise: Starts of tier 3 in the rest of the run.
-        service_mean_s: The mean service time.
-        service_error_s: The mean absolute error of its estimates.
+        service_mean_s: Mean service time.
+        service_error_s: Mean absolute error of the hosts' estimates of it.
     """
 
     policy: str
@@ -85,7 +88,7 @@
 
 
 def measure(scenario: Scenario, name: str, run: RunRecord) -> RunMeasures:
-    """Returns the figures of a run."""
+    """Computes the measures of a run."""
     classes = [_measure_class(scenario, c, run) for c in scenario.classes]
     refused = collections.Counter(r.tier for r in run.refusals)
     broken = collections.Counter(v.rule.value for v in run.violations)
@@ -109,7 +112,7 @@
 
 
 def is_met(call: CallRecord) -> bool:
-    """Tells whether a caller had what it waited for within its target."""
+    """Returns whether a request met the target of its class."""
     if call.ended_s < 0:
         return False
     load = call.arrival.load
@@ -169,7 +172,7 @@
 
 
 def _recovery_s(scenario: Scenario, calls: Iterable[CallRecord]) -> float:
-    """Returns how long the first class took to recover; -1 for never."""
+    """Returns the time that the first class took to recover; -1 for never."""
     name = scenario.classes[0].name
     own = [c for c in calls if c.arrival.load.name == name]
     before = [c for c in own if c.arrival.at_s < scenario.burst_start_s]
@@ -189,7 +192,7 @@
 
 
 def _jain_index(scenario: Scenario, calls: Iterable[CallRecord]) -> float:
-    """Returns Jain's index of what tier 1's customers got in the burst."""
+    """Returns Jain's index of tier 1's customers in the burst."""
     wanted: dict[str, float] = collections.defaultdict(float)
     served: dict[str, float] = collections.defaultdict(float)
     for call in calls:
@@ -210,7 +213,7 @@
 def _max_min_shares(
     wanted: dict[str, float], capacity: float
 ) -> dict[str, float]:
-    """Divides a capacity so that nobody gets more before all get as much."""
+    """Divides a capacity among customers by max-min fairness."""
     shares: dict[str, float] = {}
     left = capacity
     by_size = sorted(wanted, key=lambda c: (wanted[c], c))
@@ -222,7 +225,12 @@
 
 
 def _while_shed(scenario: Scenario, run: RunRecord) -> tuple[int, float]:
-    """Counts tier 3's starts on hosts while others refuse tier 1."""
+    """Counts tier 3's starts on hosts while other hosts refuse tier 1.
+
+    Returns:
+        The number of starts, and the duration of that state in seconds summed
+        over all hosts.
+    """
     starts = 0
     seconds = 0.0
     for host in range(scenario.hosts):
@@ -242,7 +250,7 @@
 
 
 def _spans(times: list[float]) -> list[tuple[float, float]]:
-    """Joins the 3 s after each time into spans that do not overlap."""
+    """Merges the 3 s after each of the sorted times into disjoint spans."""
     spans: list[tuple[float, float]] = []
     for at_s in times:
         if spans and at_s <= spans[-1][1]:
--- a/packages/bench/src/hollyknot_bench/scenario/_play.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_play.py
@@ -1,8 +1,8 @@
-"""Plays a scenario: callers, hosts and engines under a virtual clock.
+"""Simulates a scenario's callers, hosts and engines under a virtual clock.
 
-What is idealised, so that the admission alone is compared: hosts know the free
-slots of all engines at once and exactly, engines do not fail, and links between
-hosts lose nothing.
+So that runs differ by admission alone, the rest is idealised: hosts know the
+free slots of all engines exactly and without delay, engines do not fail, and
+links between hosts lose nothing.
 """
 
 import random
@@ -35,15 +35,15 @@
 
 _POOL = "model"
 _RESEND_DELAY_S = 5.0
-"""How long a caller that gave up waiting takes to send again."""
+"""Delay before a caller whose wait timed out sends its request again."""
 
 Route = Callable[[list[Upstream]], Upstream]
-"""Chooses the engine of a request."""
+"""Chooses the engine for a request."""
 
 
 @attrs.define(eq=False)
 class _Try:
-    """One sending of a caller's request."""
+    """One try of a caller's request."""
 
     call: CallRecord
     request: RequestInfo
@@ -62,12 +62,12 @@
 
 
 def least_in_flight(upstreams: list[Upstream]) -> Upstream:
-    """Returns the engine with the fewest requests."""
+    """Returns the engine with the fewest requests in flight."""
     return min(upstreams, key=lambda upstream: upstream.in_flight)
 
 
 def round_robin() -> Route:
-    """Returns a route that takes the engines in turn."""
+    """Returns a route that chooses the engines in turn."""
     turn = 0
 
     def route(upstreams: list[Upstream]) -> Upstream:
@@ -79,7 +79,7 @@
 
 
 class Play:
-    """One run of one policy on one seeded load."""
+    """One simulated run of a policy on a seeded load."""
 
     def __init__(
         self,
@@ -88,13 +88,14 @@
         seed: int,
         route: Route = least_in_flight,
     ) -> None:
-        """Sets the scene.
+        """Builds the hosts and engines.
 
         Args:
             scenario: Sizes, times and load.
-            policy: What decides.
-            seed: The same seed gives the same run.
-            route: Chooses engines; the naive policy brings its own.
+            policy: Admission policy of the hosts.
+            seed: Seed of the load and of random choices; the same seed gives
+                the same run.
+            route: Chooses engines; the naive policy uses round robin instead.
         """
         self._scenario = scenario
         self._policy = policy
@@ -113,7 +114,7 @@
         self._refusals: list[StartRecord] = []
 
     def run(self) -> RunRecord:
-        """Plays the whole scenario."""
+        """Runs the whole scenario and returns its record."""
         for arrival in arrivals(self._scenario, self._seed):
             self._clock.call_at(arrival.at_s, self._arrive(arrival))
         if self._policy is not Policy.NAIVE:
@@ -262,7 +263,10 @@
         self._offer_slots_to_all(attempt.host)
 
     def _on_caller_timeout(self, attempt: _Try) -> None:
-        """A caller waits no longer, and sends its request again."""
+        """Ends a try whose caller timed out; the caller sends again later.
+
+        A caller of a stream waits on once it has the first token.
+        """
         is_stream = attempt.request.target_kind is TargetKind.FIRST_TOKEN
         if not attempt.is_open or (is_stream and attempt.first_token_s >= 0):
             return
@@ -290,7 +294,11 @@
             self._offer_slots((first + step) % len(self._hosts))
 
     def _gossip(self) -> None:
-        """Hosts tell each other of pressure, and look at what time made due."""
+        """Sends each host's pressure to its peers and offers free slots.
+
+        Slots are offered at each interval because time alone can make a waiting
+        request admissible.
+        """
         now_s = self._clock.now_s
         if self._policy is Policy.HOLLYKNOT:
             for index, host in enumerate(self._hosts):
@@ -316,5 +324,5 @@
 
 
 def play(scenario: Scenario, policy: Policy, seed: int) -> RunRecord:
-    """Plays a scenario once."""
+    """Simulates one run of a scenario."""
     return Play(scenario, policy, seed).run()
--- a/packages/bench/src/hollyknot_bench/scenario/_policies.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_policies.py
@@ -1,4 +1,4 @@
-"""What the scenario compares: this policy, and a naive one."""
+"""Defines the admission policies that the scenario compares."""
 
 import enum
 import math
@@ -8,20 +8,20 @@
 
 
 class Policy(enum.Enum):
-    """The policies that the scenario plays."""
+    """Admission policies of the scenario."""
 
     HOLLYKNOT = "hollyknot"
-    """Admission as the hosts run it, engines by least in flight."""
+    """Hosts' admission; requests go to the engine with fewest in flight."""
 
     NO_SIGNALS = "no-signals"
-    """The same with every host cut off from its peers' signals."""
+    """The same, but hosts receive no pressure from peers."""
 
     NAIVE = "naive"
-    """Round robin, first come first served, retry always."""
+    """No admission control: round robin, and engines queue in order."""
 
 
 class NaiveAdmission:
-    """Sends everything on at once; engines queue it as it comes."""
+    """Admits each request at once, so that engines queue them in order."""
 
     def offer(
         self, request: RequestInfo, now_s: float
@@ -33,7 +33,7 @@
     def on_capacity(
         self, pool: str, free_slots: int, now_s: float
     ) -> tuple[AdmissionCommand, ...]:
-        """Does nothing: nothing waits here."""
+        """Admits nothing, since no request waits here."""
         del pool, free_slots, now_s
         return ()
 
@@ -55,7 +55,7 @@
         """Does nothing."""
 
     def local_pressure(self, now_s: float) -> tuple[TierPressure, ...]:
-        """Reports nothing."""
+        """Reports no pressure."""
         del now_s
         return ()
 
@@ -65,5 +65,5 @@
         return ()
 
     def next_deadline(self) -> float:
-        """Returns infinity."""
+        """Returns infinity, since no request waits here."""
         return math.inf
--- a/packages/bench/src/hollyknot_bench/scenario/_records.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_records.py
@@ -1,4 +1,4 @@
-"""What a run leaves to be measured."""
+"""Records what happened in a run, for the measures."""
 
 import attrs
 
@@ -8,17 +8,17 @@
 
 @attrs.define
 class CallRecord:
-    """What became of one caller's request, over all its tries.
+    """Outcome of a caller's request over all its tries.
 
     Attributes:
         arrival: The request.
-        first_token_s: When the first token of the try that was answered came;
-            negative for never.
-        ended_s: When its whole answer came; negative for never.
-        tries: How often it was sent.
-        refusals: How often it was refused.
-        full_runs: How often an engine ran it to its end.
-        cut_tokens: Tokens of tries that were cancelled.
+        first_token_s: Time of the first token of the try that was answered;
+            negative for none.
+        ended_s: Time at which its complete answer came; negative for never.
+        tries: Number of times it was sent.
+        refusals: Number of times a host refused it.
+        full_runs: Number of times an engine computed its complete answer.
+        cancelled_tokens: Tokens computed for tries that were cancelled.
     """
 
     arrival: Arrival
@@ -32,12 +32,12 @@
 
 @attrs.frozen
 class StartRecord:
-    """A start of a request on a slot.
+    """Start of a request on a slot, or refusal of a request.
 
     Attributes:
-        at_s: When.
-        host: The host that sent it.
-        tier: Its tier.
+        at_s: Time of the start or refusal.
+        host: Number of the host that sent or refused the request.
+        tier: Tier of the request.
     """
 
     at_s: float
@@ -47,15 +47,15 @@
 
 @attrs.frozen
 class RunRecord:
-    """One run of one policy.
+    """Record of one run of a policy.
 
     Attributes:
-        calls: All requests.
-        starts: All starts, in order.
-        refusals: All refusals, in order.
-        violations: Broken rules, of all hosts.
-        service_mean_s: The mean service time that hosts learnt from.
-        service_error_s: The mean absolute error of their estimates.
+        calls: Outcomes of all requests.
+        starts: All starts, in order of time.
+        refusals: All refusals, in order of time.
+        violations: Violations of admission rules by any host.
+        service_mean_s: Mean service time that the hosts observed.
+        service_error_s: Mean absolute error of the hosts' estimates of it.
     """
 
     calls: tuple[CallRecord, ...]
--- a/packages/bench/src/hollyknot_bench/scenario/_report.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_report.py
@@ -1,4 +1,4 @@
-"""Prints the figures of runs, for people and for programs."""
+"""Renders the measures of runs as tables and as JSON."""
 
 import attrs
 import orjson
@@ -12,12 +12,12 @@
 
 
 def render(runs: tuple[RunMeasures, ...]) -> str:
-    """Returns a table for each run."""
+    """Renders a table for each run."""
     return "\n\n".join(_render_run(run) for run in runs)
 
 
 def to_json(seed: int, runs: tuple[RunMeasures, ...]) -> str:
-    """Returns the runs as one JSON document."""
+    """Encodes the measures of all runs as one JSON document."""
     document = {"seed": seed, "runs": [attrs.asdict(run) for run in runs]}
     return orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
 
--- a/packages/bench/src/hollyknot_bench/scenario/_upstream.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_upstream.py
@@ -1,4 +1,4 @@
-"""A simple model of an engine: slots, and a rate that falls with the batch."""
+"""Models an engine by its slots and a speed that falls with the batch size."""
 
 import collections
 import heapq
@@ -12,17 +12,17 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One try of a request at an engine.
+    """Try of a request at an engine.
 
     Attributes:
-        prompt_cost: What reading the prompt costs, in tokens of output.
-        tokens: The length of the answer.
-        on_start: Called when it gets a slot.
-        on_first_token: Called with the first token.
-        on_end: Called when the answer ends.
-        started_s: When it got a slot; negative before that.
-        began: The engine's progress at that time.
-        is_over: Whether it ended or was cancelled.
+        prompt_cost: Cost of the prompt's prefill, in tokens of output.
+        tokens: Length of the answer.
+        on_start: Called when the job gets a slot.
+        on_first_token: Called at the first token of the answer.
+        on_end: Called at the end of the answer.
+        started_s: Time at which the job got a slot; negative before that.
+        start_progress: Progress of the engine at that time, in tokens.
+        is_over: Whether the job ended or was cancelled.
     """
 
     prompt_cost: float
@@ -36,16 +36,25 @@
 
 
 class Upstream:
-    """An engine with continuous batching; it queues first come first served.
+    """Models an engine with continuous batching and a first-in first-out queue.
 
-    All requests of a batch advance alike, so one number, the tokens that a
-    request present from the start would have, says when each of them ends.
+    All requests of a batch advance at the same speed. So the engine keeps one
+    number, its progress: the tokens of a request that had run from the start.
+    A job ends when the progress reaches the job's milestone for its end.
     """
 
     def __init__(
         self, clock: VirtualClock, slots: int, rate: float, slowdown: float
     ) -> None:
-        """Makes an idle engine."""
+        """Creates an idle engine.
+
+        Args:
+            clock: Clock that schedules the engine's events.
+            slots: Requests that the engine batches at most.
+            rate: Tokens per second of a request that runs alone.
+            slowdown: Increase of the time per token for each further request in
+                the batch, as a fraction of the time with one request.
+        """
         self._clock = clock
         self._slots = slots
         self._rate = rate
@@ -60,23 +69,23 @@
 
     @property
     def free_slots(self) -> int:
-        """Requests that would start at once."""
+        """Number of further requests that would start at once."""
         return max(0, self._slots - self._running - len(self._queue))
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait here."""
+        """Number of requests that run or wait here."""
         return self._running + len(self._queue)
 
     def submit(self, job: Job) -> None:
-        """Takes a try in."""
+        """Queues a job, and starts it if a slot is free."""
         self._advance()
         self._queue.append(job)
         self._start_some()
         self._schedule()
 
     def cancel(self, job: Job) -> float:
-        """Stops a try, and returns the tokens that it had cost."""
+        """Cancels a job, and returns the tokens computed for it so far."""
         self._advance()
         job.is_over = True
         if job.started_s < 0:
