--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -51,7 +51,7 @@
 class TestEngine:
     """Steps, chunks, caches and places."""
 
-    def test_a_prompt_is_read_in_chunks_and_answered_by_tokens(self) -> None:
+    def test_prompt_is_prefilled_in_chunks(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         caller = _Caller((("own", 1500),), 3)
         engine.submit(caller.run, 0.0)
@@ -59,7 +59,7 @@
         # 1000 tokens take 20 ms beside the step's 4, 500 take 10.
         assert caller.events_ms == [38, 42, 46]
 
-    def test_a_long_prompt_holds_up_the_streams_beside_it(self) -> None:
+    def test_long_prompt_delays_tokens_of_other_streams(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         short = _Caller((("a", 50),), 4)
         long = _Caller((("b", 2000),), 1)
@@ -70,7 +70,7 @@
         gaps = [b - a for a, b in itertools.pairwise(short.events_ms)]
         assert max(gaps) >= 24
 
-    def test_shared_parts_are_read_once(self) -> None:
+    def test_shared_parts_are_prefilled_once(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         first = _Caller((("s", 900), ("a", 100)), 1)
         second = _Caller((("s", 900), ("b", 100)), 1)
@@ -81,7 +81,7 @@
         assert (first.run.read, second.run.read) == (1000, 100)
         assert engine.tokens_read_again == 0
 
-    def test_the_more_urgent_takes_a_place(self) -> None:
+    def test_more_urgent_request_preempts_a_less_urgent_one(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         others = [_Caller(((f"o{n}", 10),), 50, urgency=3) for n in range(2)]
         for other in others:
@@ -107,15 +107,15 @@
 class TestPlay:
     """Whole days."""
 
-    def test_the_same_seed_is_the_same_day(self) -> None:
-        load = _short()
+    def test_same_seed_gives_the_same_run(self) -> None:
+        load = _short_load()
         one, other = play(load, 3), play(load, 3)
         assert one.worth == other.worth
         assert one.tokens_read == other.tokens_read
 
-    def test_without_load_all_is_in_time(self) -> None:
-        load = _short()
-        quiet = attrs.evolve(
+    def test_answers_are_in_time_at_low_load(self) -> None:
+        load = _short_load()
+        low_load = attrs.evolve(
             load,
             bursts=(),
             crashes=(),
@@ -124,13 +124,13 @@
                 for kind in load.classes
             ),
         )
-        assert play(quiet, 1).worth > 0.98
+        assert play(low_load, 1).worth > 0.98
 
     @pytest.mark.parametrize(
         ("data", "told"),
         [(b"{", "file of JSON"), (b"{}", "length_s"), (b"[]", "an array")],
     )
-    def test_a_load_that_cannot_be_read_is_told(
+    def test_unreadable_load_is_reported(
         self, tmp_path: pathlib.Path, data: bytes, told: str
     ) -> None:
         file = tmp_path / "load.json"
@@ -140,10 +140,10 @@
         assert told in str(found)
 
 
-class TestHeavyDay:
+class TestHeavyLoad:
     """What callers get while engines read prompts nearly all the time."""
 
-    def test_most_get_their_answers_in_time(self) -> None:
+    def test_most_answers_are_in_time_in_a_burst(self) -> None:
         """Two in three long streams are late or lost in a burst.
 
         Sequence: all caches are empty, 2.3 times the usual long prompts come
@@ -151,7 +151,7 @@
         long its queue was; what others had cached was read in again; loads
         were 0.7 s old. Mean of these seeds: 0.735 before, 0.866 after.
         """
-        outcomes = [play(_day(), seed) for seed in (1, 2, 3)]
+        outcomes = [play(_heavy_load(), seed) for seed in (1, 2, 3)]
         assert sum(o.worth for o in outcomes) / len(outcomes) > 0.8
         # Refused at once, these are told when to come back; before, 80 to 110
         # a seed were read in and timed out or were lost to a crash.
@@ -162,14 +162,14 @@
         assert max(lost) < 70
 
 
-def _day() -> Load:
+def _heavy_load() -> Load:
     load = read_load(_LOADS / "short-answers.json")
     assert isinstance(load, Load)
     return load
 
 
-def _short() -> Load:
-    return attrs.evolve(_day(), length_s=6.0)
+def _short_load() -> Load:
+    return attrs.evolve(_heavy_load(), length_s=6.0)
 
 
 def _many_hosts(length_s: float) -> Load:
@@ -190,7 +190,7 @@
 class TestManyHosts:
     """What hosts know of each other grows old with their number."""
 
-    def test_asking_lies_between_reports_and_all_knowledge(self) -> None:
+    def test_queries_improve_on_reports_alone(self) -> None:
         """Most streams of a burst are late, while engines have time.
 
         Sequence: many hosts take a burst of long prompts. Cause: each chose by
@@ -203,20 +203,21 @@
         shared = play(load, 1, is_shared=True).worth
         assert reports < asked < shared
 
-    def test_a_host_keeps_to_its_bytes(self) -> None:
+    def test_hosts_stay_within_their_byte_budget(self) -> None:
         load = _many_hosts(2.0)
-        day = Play(load, 1, asks=False)
+        simulation = Play(load, 1, asks=False)
         sent = [0] * load.hosts
         spends = [
-            reporter.rate.spend for reporter in day._host_network.reporters
+            reporter.rate.spend
+            for reporter in simulation._host_network.reporters
         ]
-        for number, reporter in enumerate(day._host_network.reporters):
+        for number, reporter in enumerate(simulation._host_network.reporters):
 
             def spend(size: int, number: int = number) -> None:
                 sent[number] += size
                 spends[number](size)
 
             reporter.rate.spend = spend  # type: ignore[method-assign]
-        day.run()
+        simulation.run()
         seconds = load.length_s + DRAIN_S
         assert max(sent) < (BYTES_A_SECOND + 100) * seconds
--- a/packages/bench/src/hollyknot_bench/scenario/tests/test_scenario.py
+++ b/packages/bench/src/hollyknot_bench/scenario/tests/test_scenario.py
@@ -30,14 +30,14 @@
     """What the policies must show on any seed."""
 
     def test_rules_hold_on_the_policy_and_not_on_the_baseline(self) -> None:
-        kept = measure(_SMALL, "", play(_SMALL, Policy.HOLLYKNOT, 5))
+        own = measure(_SMALL, "", play(_SMALL, Policy.HOLLYKNOT, 5))
         naive = measure(_SMALL, "", play(_SMALL, Policy.NAIVE, 5))
-        assert kept.violations == {}
+        assert own.violations == {}
         assert "tier-order" in naive.violations
-        assert kept.classes[0].attainment > naive.classes[0].attainment
-        assert kept.classes[-1].goodput > naive.classes[-1].goodput
+        assert own.classes[0].attainment > naive.classes[0].attainment
+        assert own.classes[-1].goodput > naive.classes[-1].goodput
 
-    def test_signals_hold_tier_3_back_on_another_host(self) -> None:
+    def test_pressure_of_peers_holds_tier_3_back(self) -> None:
         """One host runs overnight work while others refuse citizens.
 
         Symptom: tier 3 starts on host 0 while hosts 1 and 2 refuse tier 1.
@@ -46,8 +46,8 @@
         Cause: host 0 knows only its own queue.
         """
         # Findings of a few seconds, so that many start within the burst.
-        night = attrs.evolve(_SMALL.classes[-1], tokens_median=60, rate=2.0)
-        classes = (*_SMALL.classes[:-1], night)
+        overnight = attrs.evolve(_SMALL.classes[-1], tokens_median=60, rate=2.0)
+        classes = (*_SMALL.classes[:-1], overnight)
         scenario = attrs.evolve(_SMALL, classes=classes)
         rates = []
         for policy in (Policy.HOLLYKNOT, Policy.NO_SIGNALS):
--- a/packages/bench/src/hollyknot_bench/tests/test_cost.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_cost.py
@@ -51,7 +51,7 @@
 class TestProcesses:
     """What /proc tells."""
 
-    def test_own_figures_are_read(self) -> None:
+    def test_own_process_is_measured(self) -> None:
         assert resident_bytes(os.getpid()) > 1_000_000
         times = os.times()
         assert cpu_s(os.getpid()) >= times.user + times.system - 0.02
--- a/packages/bench/src/hollyknot_bench/tests/test_matrix.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_matrix.py
@@ -34,7 +34,7 @@
         assert proof.state is state
         assert f"1 {state.value}," in render([proof])
 
-    def test_one_weak_test_makes_a_cell_weak(self) -> None:
+    def test_one_unproved_test_makes_a_cell_unproved(self) -> None:
         page = render([_proof(seen_failing="x"), _proof(test="a::c")])
         assert f"0 {State.PROVED.value}," in page
 
