--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Tests of the experiment tool: its engines, its load, its verdicts."""
+"""Tests of the experiment: its engine model, its load and its results."""
 
 import itertools
 import pathlib
@@ -27,7 +27,7 @@
 
 
 class _Caller:
-    """Takes the events of one run."""
+    """Records the events of one run."""
 
     def __init__(
         self, prompt: tuple[tuple[str, int], ...], out: int, urgency: int = 0
@@ -49,14 +49,14 @@
 
 
 class TestEngine:
-    """Steps, chunks, caches and places."""
+    """Tests of the engine's steps, prefill chunks, cache and slots."""
 
     def test_prompt_is_prefilled_in_chunks(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         caller = _Caller((("own", 1500),), 3)
         engine.submit(caller.run, 0.0)
         _run(engine)
-        # 1000 tokens take 20 ms beside the step's 4, 500 take 10.
+        # Prefill of 1000 tokens adds 20 ms to a step of 4 ms, 500 add 10 ms.
         assert caller.events_ms == [38, 42, 46]
 
     def test_long_prompt_delays_tokens_of_other_streams(self) -> None:
@@ -105,7 +105,7 @@
 
 
 class TestPlay:
-    """Whole days."""
+    """Tests of whole simulated runs."""
 
     def test_same_seed_gives_the_same_run(self) -> None:
         load = _short_load()
@@ -127,34 +127,36 @@
         assert play(low_load, 1).worth > 0.98
 
     @pytest.mark.parametrize(
-        ("data", "told"),
+        ("data", "message"),
         [(b"{", "file of JSON"), (b"{}", "length_s"), (b"[]", "an array")],
     )
     def test_unreadable_load_is_reported(
-        self, tmp_path: pathlib.Path, data: bytes, told: str
+        self, tmp_path: pathlib.Path, data: bytes, message: str
     ) -> None:
         file = tmp_path / "load.json"
         file.write_bytes(data)
         found = read_load(file)
         assert isinstance(found, Problem)
-        assert told in str(found)
+        assert message in str(found)
 
 
 class TestHeavyLoad:
-    """What callers get while engines read prompts nearly all the time."""
+    """Tests of a load at which engines prefill nearly all the time."""
 
     def test_most_answers_are_in_time_in_a_burst(self) -> None:
-        """Two in three long streams are late or lost in a burst.
+        """Guards against late or lost long streams in a burst.
 
-        Sequence: all caches are empty, 2.3 times the usual long prompts come
-        for nine seconds. Cause: sessions kept to one upstream each, however
-        long its queue was; what others had cached was read in again; loads
-        were 0.7 s old. Mean of these seeds: 0.735 before, 0.866 after.
+        With empty caches, 2.3 times the usual long prompts come for nine
+        seconds. Two in three long streams were late or lost when sessions
+        stayed at one upstream however long its queue was, prompt parts that
+        other upstreams had cached were prefilled again, and loads were 0.7 s
+        old. The mean worth is 0.735 with these faults and 0.866 without.
         """
         outcomes = [play(_heavy_load(), seed) for seed in (1, 2, 3)]
         assert sum(o.worth for o in outcomes) / len(outcomes) > 0.8
-        # Refused at once, these are told when to come back; before, 80 to 110
-        # a seed were read in and timed out or were lost to a crash.
+        # Requests that are refused at once learn when to retry. Without these
+        # refusals 80 to 110 requests of each seed are prefilled and then time
+        # out or are lost in a crash.
         lost = [
             sum(not e.is_whole and not e.refusals for e in outcome.ended)
             for outcome in outcomes
@@ -173,7 +175,7 @@
 
 
 def _many_hosts(length_s: float) -> Load:
-    """Returns half of the load of many hosts, as long as is needed."""
+    """Returns the load of many hosts at half size, for the given time."""
     load = read_load(_LOADS / "many-hosts.json")
     assert isinstance(load, Load)
     return attrs.evolve(
@@ -188,14 +190,14 @@
 
 
 class TestManyHosts:
-    """What hosts know of each other grows old with their number."""
+    """Tests of many hosts, whose reports are older the more hosts there are."""
 
     def test_queries_improve_on_reports_alone(self) -> None:
-        """Most streams of a burst are late, while engines have time.
+        """Guards against late streams in a burst while engines are idle.
 
-        Sequence: many hosts take a burst of long prompts. Cause: each chose by
-        reports that were seconds old. Emulated with 83 hosts, mean of two whole
-        days: 0.573 by reports, 0.714 by asking trackers, 0.779 with all known.
+        Many hosts receive a burst of long prompts. If each chooses by reports
+        that are seconds old, most streams are late; queries to trackers must
+        recover part of what instant knowledge would gain.
         """
         load = _many_hosts(10.0)
         reports = play(load, 1, asks=False).worth
--- a/packages/bench/src/hollyknot_bench/scenario/tests/test_scenario.py
+++ b/packages/bench/src/hollyknot_bench/scenario/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""The scenario is the same for a seed, and tells policies apart."""
+"""Tests that the scenario is deterministic and separates the policies."""
 
 import attrs
 import pytest
@@ -16,7 +16,7 @@
 
 
 class TestDeterminism:
-    """A seed fixes a run."""
+    """Tests that a seed determines a run."""
 
     @pytest.mark.parametrize("policy", list(Policy))
     def test_same_seed_same_figures(self, policy: Policy) -> None:
@@ -27,7 +27,7 @@
 
 
 class TestPolicies:
-    """What the policies must show on any seed."""
+    """Tests of differences between policies that must hold on any seed."""
 
     def test_rules_hold_on_the_policy_and_not_on_the_baseline(self) -> None:
         own = measure(_SMALL, "", play(_SMALL, Policy.HOLLYKNOT, 5))
@@ -38,14 +38,13 @@
         assert own.classes[-1].goodput > naive.classes[-1].goodput
 
     def test_pressure_of_peers_holds_tier_3_back(self) -> None:
-        """One host runs overnight work while others refuse citizens.
+        """Guards against tier 3 starting on a host while others refuse tier 1.
 
-        Symptom: tier 3 starts on host 0 while hosts 1 and 2 refuse tier 1.
-        Sequence: the balancer sends overnight work to host 0, the burst to the
-        others; host 0 takes each slot that its own work frees.
-        Cause: host 0 knows only its own queue.
+        The load balancer sends overnight work to host 0 and the burst to hosts
+        1 and 2. A host 0 that knows only its own queue reuses each slot that
+        its own work frees.
         """
-        # Findings of a few seconds, so that many start within the burst.
+        # Short overnight requests, so that many start within the burst.
         overnight = attrs.evolve(_SMALL.classes[-1], tokens_median=60, rate=2.0)
         classes = (*_SMALL.classes[:-1], overnight)
         scenario = attrs.evolve(_SMALL, classes=classes)
@@ -57,7 +56,7 @@
 
 
 class TestUpstream:
-    """The model of an engine."""
+    """Tests of the engine model."""
 
     @pytest.mark.parametrize(
         ("tokens", "ends"),
@@ -69,7 +68,7 @@
         ],
     )
     def test_ends(self, tokens: tuple[float, ...], ends: list[float]) -> None:
-        """Two slots; a batch of two runs at half the rate each."""
+        """Uses two slots; in a batch of two each job has half the rate."""
         clock = VirtualClock()
         upstream = Upstream(clock, 2, 10.0, 1.0)
         ended: list[float] = []
--- a/packages/bench/src/hollyknot_bench/tests/test_cost.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""Tests of how rounds of `make cost` become measures."""
+"""Tests of how `make cost` turns its rounds into measures."""
 
 import os
 
@@ -16,7 +16,7 @@
 
 
 class TestMeasures:
-    """Lines, medians and slopes."""
+    """Tests of printed lines, medians and slopes."""
 
     @pytest.mark.parametrize(
         ("rounds", "expected"),
@@ -40,7 +40,7 @@
 
 
 class TestLoadGenerator:
-    """What a load generator is told."""
+    """Tests of the options that a load generator receives."""
 
     def test_options_survive_the_command_line(self) -> None:
         target = Target("host", "http://127.0.0.1/", {"A": "b"}, '{"c": 1}')
@@ -49,7 +49,7 @@
 
 
 class TestProcesses:
-    """What /proc tells."""
+    """Tests of the CPU time and memory read from /proc."""
 
     def test_own_process_is_measured(self) -> None:
         assert resident_bytes(os.getpid()) > 1_000_000
--- a/packages/bench/src/hollyknot_bench/tests/test_matrix.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_matrix.py
@@ -15,7 +15,7 @@
 
 
 class TestPage:
-    """The committed page and how it is made."""
+    """Tests of the committed page and of its rendering."""
 
     def test_committed_page_is_the_generated_one(self) -> None:
         command = [sys.executable, "-m", "hollyknot_bench.matrix", "--check"]
--- a/packages/bench/src/hollyknot_bench/tests/test_models.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_models.py
@@ -1,4 +1,4 @@
-"""Tests of the claims that the models of routing and suspects support."""
+"""Tests of routing and suspects on the models of both."""
 
 import attrs
 import pytest
@@ -11,7 +11,7 @@
 
 
 class TestHerding:
-    """Hosts that see the same late reports do not draw together."""
+    """Tests that hosts with the same old reports do not herd to one engine."""
 
     @pytest.mark.fault(
         fault="load reports late",
@@ -21,10 +21,10 @@
     )
     @pytest.mark.parametrize("hosts", [8, 64])
     def test_load_is_spread(self, hosts: int) -> None:
-        """Symptom: engines take turns at being overloaded.
+        """Guards against engines that are overloaded in turn.
 
-        Sequence: all hosts get the same report and send to the same engine
-        until the next. Cause: the least of all by report alone.
+        Hosts that choose the least loaded engine by reports alone all send to
+        the same engine until the next report.
         """
         scenario = attrs.evolve(SHORT, hosts=hosts)
         ours = RoutingModel(scenario).run()
@@ -35,7 +35,7 @@
 
 
 class TestLocality:
-    """Prefixes are met warm without a hot spot."""
+    """Tests that prefixes find warm caches without overloading an engine."""
 
     def test_more_warm_prefixes_and_attainment_no_worse(self) -> None:
         scenario = attrs.evolve(SHORT, prefixes=400, cold_s=0.8)
@@ -51,7 +51,10 @@
 
 
 class TestStraggler:
-    """An engine that is slow and reports no load is found and comes back."""
+    """Tests that limits follow a slow engine that reports no load.
+
+    They fall while it is slow and rise after it recovers.
+    """
 
     @pytest.mark.fault(
         fault="upstream straggle",
@@ -70,7 +73,7 @@
 
 
 class TestSuspects:
-    """A request that crashes upstreams is stopped."""
+    """Tests that a request that crashes upstreams is stopped."""
 
     @pytest.mark.fault(
         fault="poison request",
@@ -82,10 +85,10 @@
     def test_is_stopped_and_no_innocent_is_refused(
         self, hosts: int, batch: int
     ) -> None:
-        """Symptom: upstreams crash one after the other, without end.
+        """Guards against upstreams that crash one after another without end.
 
-        Sequence: a caller sends the request that crashed one again. Cause:
-        hosts that do not tell each other who was in each crash.
+        A caller resends the request that crashed an upstream. It is stopped
+        only if hosts report to each other which requests were in each crash.
         """
         scenario = SuspectsScenario(hosts, 8, batch, True, 8, seed=4)
         result = run_suspects(scenario)
