--- a/packages/bench/src/hollyknot_bench/matrix.py
+++ b/packages/bench/src/hollyknot_bench/matrix.py
@@ -94,8 +94,8 @@
     )
     if code is not pytest.ExitCode.OK:
         raise click.ClickException(
-            f"pytest could not collect the tests below {_ROOT / 'packages'}"
-            f" ({code!r}); run 'pytest --collect-only' to see why"
+            f"pytest could not collect the tests: {code};"
+            " run 'pytest --collect-only packages' to see why"
         )
     return sorted(
         collector.proofs.values(),
