--- a/packages/bench/src/hollyknot_bench/scenario/_policies.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_policies.py
@@ -17,7 +17,7 @@
     """The same, but hosts receive no pressure from peers."""
 
     NAIVE = "naive"
-    """No admission control: round robin, engine queues, every retry admitted."""
+    """No admission control: round robin, queues at engines, no retry limit."""
 
 
 class NaiveAdmission:
