--- a/packages/bench/src/hollyknot_bench/experiment/_reports.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_reports.py
@@ -1,8 +1,8 @@
-"""What emulated hosts tell each other: real messages within the real budget.
+"""Sends the reports of emulated hosts, with real messages and byte budgets.
 
-Each host sends reports as the product does: of the sizes that they have on the
-wire, as many as its bytes allow, to the peers that it would choose. So what a
-host knows grows old with the number of hosts as it does in a fleet.
+Each host sends reports as a real host does: with their encoded sizes, as many
+as its byte budget allows, and to the peers that the same code selects. So the
+age of what a host knows grows with the number of hosts as it does in a fleet.
 """
 
 import random
@@ -35,19 +35,20 @@
 
 _DATA_CENTRE = "one"
 
-SEEN_S = 0.1
-"""How old the sums of what peers told may be when they are used."""
+MAX_SUMMARY_AGE_S = 0.1
+"""Longest time for which the summed-up reports of peers are reused."""
 
 
 @attrs.define
-class Teller:
-    """One host's reports.
+class Reporter:
+    """Sends and receives the reports of one host.
 
     Attributes:
-        number: Of the host.
-        host: Whose beliefs are told and fed.
-        peers: What it has heard.
-        rate: What it may send.
+        number: Number of the host.
+        host: Host whose state is reported and updated.
+        peers: Peers that it knows, with their latest reports.
+        rate: Byte budget for what it sends.
+        inquiries: Queries to trackers, and the answers to those of peers.
     """
 
     number: int
@@ -71,11 +72,11 @@
         )
 
     def spend(self, message: Message) -> None:
-        """Notes what a message costs."""
+        """Charges the size of a message to the byte budget."""
         self.rate.spend_on_queries(len(encode_message(message)))
 
     def report(self, now_s: float) -> tuple[UseReport, list[Address]] | None:
-        """Returns a report and to whom it goes; None if none may be sent."""
+        """Returns a report and its targets; None if the budget allows none."""
         if not self.rate.affordable(self._size, now_s):
             return None
         self._sequence += 1
@@ -91,19 +92,19 @@
             is_whole=is_whole,
         )
         self._size = len(encode_report(report))
-        most = self.rate.affordable(self._size, now_s)
-        targets = self.peers.targets(now_s, most)
+        max_targets = self.rate.affordable(self._size, now_s)
+        targets = self.peers.targets(now_s, max_targets)
         self.rate.spend(self._size * len(targets))
         return report, targets
 
     def take(self, report: UseReport, now_s: float) -> None:
-        """Takes a peer's report."""
+        """Applies a report of a peer."""
         self.host.cached.apply_reported(report.held, now_s)
         self.peers.apply_use_report(report, now_s)
 
-    def sum_up(self, now_s: float) -> None:
-        """Has the host's beliefs follow from what its peers have told."""
-        if now_s - self._summed_s < SEEN_S:
+    def apply_fresh_reports(self, now_s: float) -> None:
+        """Updates the host's loads and demand from fresh reports of peers."""
+        if now_s - self._summed_s < MAX_SUMMARY_AGE_S:
             return
         self._summed_s = now_s
         self.peers.expire(now_s)
@@ -115,25 +116,27 @@
         )
 
 
-def make_tellers(hosts: list[Host], rng: random.Random) -> list[Teller]:
-    """Returns a teller for each host; all have met each other."""
+def make_reporters(hosts: list[Host], rng: random.Random) -> list[Reporter]:
+    """Returns a reporter for each host; all hosts know each other."""
     addresses = [address_of(number) for number in range(len(hosts))]
-    tellers = [
-        Teller(number, host, Peers(addresses[number], _DATA_CENTRE, (), rng))
+    reporters = [
+        Reporter(number, host, Peers(addresses[number], _DATA_CENTRE, (), rng))
         for number, host in enumerate(hosts)
     ]
     for number, address in enumerate(addresses):
-        met = HostReport(str(number), number, 1, address, _DATA_CENTRE, 1)
-        for teller in tellers:
-            teller.peers.apply_report(met, 0.0)
-    return tellers
+        first_report = HostReport(
+            str(number), number, 1, address, _DATA_CENTRE, 1
+        )
+        for reporter in reporters:
+            reporter.peers.apply_report(first_report, 0.0)
+    return reporters
 
 
 def address_of(number: int) -> Address:
-    """Returns where a host takes reports."""
+    """Returns the address at which a host receives reports."""
     return Address("10.0.1.1", number + 1)
 
 
 def number_of(address: Address) -> int:
-    """Returns which host takes reports at an address."""
+    """Returns the number of the host that receives reports at an address."""
     return address.port - 1
--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Tests of the experiment tool: its engines, its load, its verdicts."""
+"""Tests of the experiment: its engine model, its load and its results."""
 
 import itertools
 import pathlib
@@ -8,7 +8,7 @@
 
 from hollyknot_bench.experiment import Load, play, read_load
 from hollyknot_bench.experiment._engine import Engine, EngineFigures, Run
-from hollyknot_bench.experiment._play import SETTLE_S, Play
+from hollyknot_bench.experiment._play import DRAIN_S, Play
 from hollyknot_coordination.forwarding._report_rate import BYTES_PER_S
 from hollyknot_state import Problem
 
@@ -27,7 +27,7 @@
 
 
 class _Caller:
-    """Takes the events of one run."""
+    """Records the events of one run."""
 
     def __init__(
         self, prompt: tuple[tuple[str, int], ...], out: int, urgency: int = 0
@@ -49,17 +49,17 @@
 
 
 class TestEngine:
-    """Steps, chunks, caches and places."""
+    """Tests of the engine's steps, prefill chunks, cache and slots."""
 
-    def test_a_prompt_is_read_in_chunks_and_answered_by_tokens(self) -> None:
+    def test_prompt_is_prefilled_in_chunks(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         caller = _Caller((("own", 1500),), 3)
         engine.submit(caller.run, 0.0)
         _run(engine)
-        # 1000 tokens take 20 ms beside the step's 4, 500 take 10.
+        # Prefill of 1000 tokens adds 20 ms to a step of 4 ms, 500 add 10 ms.
         assert caller.events_ms == [38, 42, 46]
 
-    def test_a_long_prompt_holds_up_the_streams_beside_it(self) -> None:
+    def test_long_prompt_delays_tokens_of_other_streams(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         short = _Caller((("a", 50),), 4)
         long = _Caller((("b", 2000),), 1)
@@ -70,7 +70,7 @@
         gaps = [b - a for a, b in itertools.pairwise(short.events_ms)]
         assert max(gaps) >= 24
 
-    def test_shared_parts_are_read_once(self) -> None:
+    def test_shared_parts_are_prefilled_once(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         first = _Caller((("s", 900), ("a", 100)), 1)
         second = _Caller((("s", 900), ("b", 100)), 1)
@@ -81,7 +81,7 @@
         assert (first.run.read, second.run.read) == (1000, 100)
         assert engine.tokens_read_again == 0
 
-    def test_the_more_urgent_takes_a_place(self) -> None:
+    def test_more_urgent_request_preempts_a_less_urgent_one(self) -> None:
         engine = Engine(_FIGURES, 1.0)
         others = [_Caller(((f"o{n}", 10),), 50, urgency=3) for n in range(2)]
         for other in others:
@@ -105,17 +105,17 @@
 
 
 class TestPlay:
-    """Whole days."""
+    """Tests of whole simulated runs."""
 
-    def test_the_same_seed_is_the_same_day(self) -> None:
-        load = _short()
+    def test_same_seed_gives_the_same_run(self) -> None:
+        load = _short_load()
         one, other = play(load, 3), play(load, 3)
         assert one.worth == other.worth
         assert one.tokens_read == other.tokens_read
 
-    def test_without_load_all_is_in_time(self) -> None:
-        load = _short()
-        quiet = attrs.evolve(
+    def test_answers_are_in_time_at_low_load(self) -> None:
+        load = _short_load()
+        low_load = attrs.evolve(
             load,
             bursts=(),
             crashes=(),
@@ -124,37 +124,39 @@
                 for kind in load.classes
             ),
         )
-        assert play(quiet, 1).worth > 0.98
+        assert play(low_load, 1).worth > 0.98
 
     @pytest.mark.parametrize(
-        ("data", "told"),
+        ("data", "message"),
         [(b"{", "file of JSON"), (b"{}", "length_s"), (b"[]", "an array")],
     )
-    def test_a_load_that_cannot_be_read_is_told(
-        self, tmp_path: pathlib.Path, data: bytes, told: str
+    def test_unreadable_load_is_reported(
+        self, tmp_path: pathlib.Path, data: bytes, message: str
     ) -> None:
         file = tmp_path / "load.json"
         file.write_bytes(data)
         found = read_load(file)
         assert isinstance(found, Problem)
-        assert told in str(found)
+        assert message in str(found)
 
 
-class TestHeavyDay:
-    """What callers get while engines read prompts nearly all the time."""
+class TestHeavyLoad:
+    """Tests of a load at which engines prefill nearly all the time."""
 
-    def test_most_get_their_answers_in_time(self) -> None:
-        """Two in three long streams are late or lost in a burst.
+    def test_most_answers_are_in_time_in_a_burst(self) -> None:
+        """Guards against late or lost long streams in a burst.
 
-        Sequence: all caches are empty, 2.3 times the usual long prompts come
-        for nine seconds. Cause: sessions kept to one upstream each, however
-        long its queue was; what others had cached was read in again; loads
-        were 0.7 s old. Mean of these seeds: 0.735 before, 0.866 after.
+        With empty caches, 2.3 times the usual long prompts come for nine
+        seconds. Two in three long streams were late or lost when sessions
+        stayed at one upstream however long its queue was, prompt parts that
+        other upstreams had cached were prefilled again, and loads were 0.7 s
+        old. The mean worth is 0.735 with these faults and 0.866 without.
         """
-        outcomes = [play(_day(), seed) for seed in (1, 2, 3)]
+        outcomes = [play(_heavy_load(), seed) for seed in (1, 2, 3)]
         assert sum(o.worth for o in outcomes) / len(outcomes) > 0.8
-        # Refused at once, these are told when to come back; before, 80 to 110
-        # a seed were read in and timed out or were lost to a crash.
+        # Requests that are refused at once learn when to retry. Without these
+        # refusals 80 to 110 requests of each seed are prefilled and then time
+        # out or are lost in a crash.
         lost = [
             sum(not e.is_whole and not e.refusals for e in outcome.ended)
             for outcome in outcomes
@@ -162,18 +164,18 @@
         assert max(lost) < 70
 
 
-def _day() -> Load:
+def _heavy_load() -> Load:
     load = read_load(_LOADS / "short-answers.json")
     assert isinstance(load, Load)
     return load
 
 
-def _short() -> Load:
-    return attrs.evolve(_day(), length_s=6.0)
+def _short_load() -> Load:
+    return attrs.evolve(_heavy_load(), length_s=6.0)
 
 
 def _many_hosts(length_s: float) -> Load:
-    """Returns half of the load of many hosts, as long as is needed."""
+    """Returns the load of many hosts at half size, for the given time."""
     load = read_load(_LOADS / "many-hosts.json")
     assert isinstance(load, Load)
     return attrs.evolve(
@@ -188,14 +190,14 @@
 
 
 class TestManyHosts:
-    """What hosts know of each other grows old with their number."""
+    """Tests of many hosts, whose reports are older the more hosts there are."""
 
-    def test_asking_lies_between_reports_and_all_knowledge(self) -> None:
-        """Most streams of a burst are late, while engines have time.
+    def test_queries_improve_on_reports_alone(self) -> None:
+        """Guards against late streams in a burst while engines are idle.
 
-        Sequence: many hosts take a burst of long prompts. Cause: each chose by
-        reports that were seconds old. Emulated with 83 hosts, mean of two whole
-        days: 0.573 by reports, 0.714 by asking trackers, 0.779 with all known.
+        Many hosts receive a burst of long prompts. If each chooses by reports
+        that are seconds old, most streams are late; queries to trackers must
+        recover part of what instant knowledge would gain.
         """
         load = _many_hosts(10.0)
         reports = play(load, 1, asks=False).worth
@@ -203,18 +205,21 @@
         shared = play(load, 1, is_shared=True).worth
         assert reports < asked < shared
 
-    def test_a_host_keeps_to_its_bytes(self) -> None:
+    def test_hosts_stay_within_their_byte_budget(self) -> None:
         load = _many_hosts(2.0)
-        day = Play(load, 1, asks=False)
+        simulation = Play(load, 1, asks=False)
         sent = [0] * load.hosts
-        spends = [teller.rate.spend for teller in day._wire.tellers]
-        for number, teller in enumerate(day._wire.tellers):
+        spends = [
+            reporter.rate.spend
+            for reporter in simulation._host_network.reporters
+        ]
+        for number, reporter in enumerate(simulation._host_network.reporters):
 
             def spend(size: int, number: int = number) -> None:
                 sent[number] += size
                 spends[number](size)
 
-            teller.rate.spend = spend  # type: ignore[method-assign]
-        day.run()
-        seconds = load.length_s + SETTLE_S
+            reporter.rate.spend = spend  # type: ignore[method-assign]
+        simulation.run()
+        seconds = load.length_s + DRAIN_S
         assert max(sent) < (BYTES_PER_S + 100) * seconds
--- a/packages/bench/src/hollyknot_bench/scenario/_upstream.py
+++ b/packages/bench/src/hollyknot_bench/scenario/_upstream.py
@@ -1,4 +1,4 @@
-"""A simple model of an engine: slots, and a rate that falls with the batch."""
+"""Models an engine by its slots and a speed that falls with the batch size."""
 
 import collections
 import heapq
@@ -12,17 +12,17 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One try of a request at an engine.
+    """Try of a request at an engine.
 
     Attributes:
-        prompt_cost: What reading the prompt costs, in tokens of output.
-        tokens: The length of the answer.
-        on_start: Called when it gets a slot.
-        on_first_token: Called with the first token.
-        on_end: Called when the answer ends.
-        started_s: When it got a slot; negative before that.
-        began: The engine's progress at that time.
-        is_over: Whether it ended or was cancelled.
+        prompt_cost: Cost of the prompt's prefill, in tokens of output.
+        tokens: Length of the answer.
+        on_start: Called when the job gets a slot.
+        on_first_token: Called at the first token of the answer.
+        on_end: Called at the end of the answer.
+        started_s: Time at which the job got a slot; negative before that.
+        start_progress: Progress of the engine at that time, in tokens.
+        is_over: Whether the job ended or was cancelled.
     """
 
     prompt_cost: float
@@ -31,21 +31,30 @@
     on_first_token: Callable[[], None]
     on_end: Callable[[], None]
     started_s: float = -1.0
-    began: float = 0.0
+    start_progress: float = 0.0
     is_over: bool = False
 
 
 class Upstream:
-    """An engine with continuous batching; it queues first come first served.
+    """Models an engine with continuous batching and a first-in first-out queue.
 
-    All requests of a batch advance alike, so one number, the tokens that a
-    request present from the start would have, says when each of them ends.
+    All requests of a batch advance at the same speed. So the engine keeps one
+    number, its progress: the tokens of a request that had run from the start.
+    A job ends when the progress reaches the job's milestone for its end.
     """
 
     def __init__(
         self, clock: VirtualClock, slots: int, rate: float, slowdown: float
     ) -> None:
-        """Makes an idle engine."""
+        """Creates an idle engine.
+
+        Args:
+            clock: Clock that schedules the engine's events.
+            slots: Requests that the engine batches at most.
+            rate: Tokens per second of a request that runs alone.
+            slowdown: Increase of the time per token for each further request in
+                the batch, as a fraction of the time with one request.
+        """
         self._clock = clock
         self._slots = slots
         self._rate = rate
@@ -55,28 +64,28 @@
         self._running = 0
         self._queue: collections.deque[Job] = collections.deque()
         self._sequence = itertools.count()
-        self._marks: list[tuple[float, int, Job, bool]] = []
-        self._wake = 0
+        self._milestones: list[tuple[float, int, Job, bool]] = []
+        self._schedule_version = 0
 
     @property
     def free_slots(self) -> int:
-        """Requests that would start at once."""
+        """Number of further requests that would start at once."""
         return max(0, self._slots - self._running - len(self._queue))
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait here."""
+        """Number of requests that run or wait here."""
         return self._running + len(self._queue)
 
     def submit(self, job: Job) -> None:
-        """Takes a try in."""
+        """Queues a job, and starts it if a slot is free."""
         self._advance()
         self._queue.append(job)
         self._start_some()
         self._schedule()
 
     def cancel(self, job: Job) -> float:
-        """Stops a try, and returns the tokens that it had cost."""
+        """Cancels a job, and returns the tokens computed for it so far."""
         self._advance()
         job.is_over = True
         if job.started_s < 0:
@@ -85,22 +94,22 @@
         self._running -= 1
         self._start_some()
         self._schedule()
-        return self._progress - job.began
+        return self._progress - job.start_progress
 
     def _start_some(self) -> None:
         while self._queue and self._running < self._slots:
             job = self._queue.popleft()
             self._running += 1
             job.started_s = self._clock.now_s
-            job.began = self._progress
+            job.start_progress = self._progress
             first = self._progress + job.prompt_cost
-            self._mark(first, job, False)
-            self._mark(first + job.tokens, job, True)
+            self._add_milestone(first, job, False)
+            self._add_milestone(first + job.tokens, job, True)
             job.on_start()
 
-    def _mark(self, progress: float, job: Job, is_end: bool) -> None:
-        mark = (progress, next(self._sequence), job, is_end)
-        heapq.heappush(self._marks, mark)
+    def _add_milestone(self, progress: float, job: Job, is_end: bool) -> None:
+        milestone = (progress, next(self._sequence), job, is_end)
+        heapq.heappush(self._milestones, milestone)
 
     def _speed(self) -> float:
         return self._rate / (1 + self._slowdown * max(0, self._running - 1))
@@ -112,21 +121,21 @@
         self._updated_s = now_s
 
     def _schedule(self) -> None:
-        while self._marks and self._marks[0][2].is_over:
-            heapq.heappop(self._marks)
-        self._wake += 1
-        if not self._marks:
+        while self._milestones and self._milestones[0][2].is_over:
+            heapq.heappop(self._milestones)
+        self._schedule_version += 1
+        if not self._milestones:
             return
-        wake = self._wake
-        left = max(0.0, self._marks[0][0] - self._progress)
+        version = self._schedule_version
+        left = max(0.0, self._milestones[0][0] - self._progress)
         at_s = self._clock.now_s + left / self._speed()
-        self._clock.call_at(at_s, lambda: self._on_wake(wake))
+        self._clock.call_at(at_s, lambda: self._on_milestone(version))
 
-    def _on_wake(self, wake: int) -> None:
-        if wake != self._wake:
+    def _on_milestone(self, version: int) -> None:
+        if version != self._schedule_version:
             return
         self._advance()
-        progress, _, job, is_end = heapq.heappop(self._marks)
+        progress, _, job, is_end = heapq.heappop(self._milestones)
         self._progress = max(self._progress, progress)
         if is_end:
             job.is_over = True
