--- a/packages/coordination/src/hollyknot_coordination/admission/_queue.py
+++ b/packages/coordination/src/hollyknot_coordination/admission/_queue.py
@@ -239,8 +239,8 @@
         self, request: RequestInfo, wait_s: float, now_s: float
     ) -> Refuse:
         detail = (
-            f"the predicted wait of {wait_s:.1f} s is longer than the latency"
-            f" target of class {request.request_class} allows"
+            f"the wait would be {wait_s:.1f} s, longer than the target of"
+            f" class {request.request_class} allows"
         )
         reason = Reason.TARGET_UNREACHABLE
         return self._refuse(request, reason, detail, wait_s, now_s)
@@ -249,9 +249,7 @@
         request = entry.request
         pool = self._pool(request.pool)
         wait_s = pool.predicted_wait_s(request, entry.cost_s, math.inf)
-        detail = (
-            f"too many requests of tier {request.tier} or above are waiting"
-        )
+        detail = f"too many requests of tier {request.tier} or above wait"
         return self._refuse(request, Reason.SHED, detail, wait_s, now_s)
 
     def _refuse(
--- a/packages/coordination/src/hollyknot_coordination/classification/_classify.py
+++ b/packages/coordination/src/hollyknot_coordination/classification/_classify.py
@@ -146,14 +146,13 @@
     """
     declared = declarations.customers.get(customer)
     if declared is None:
-        return _refusal(Reason.BAD_KEY, "the customer is no longer declared")
+        return _refusal(Reason.BAD_KEY, "the customer is not declared any more")
     by_default = class_name is Absent.CLASS
     name = declared.default_class if by_default else str(class_name)
     if name not in declared.classes or name not in declarations.classes:
         return _refusal(
             Reason.UNKNOWN_CLASS,
-            "the class is unknown or not allowed to the customer, which may"
-            " use " + ", ".join(declared.classes),
+            "the customer may use " + ", ".join(declared.classes),
         )
     kind = _classify_call(declarations, call)
     if isinstance(kind, Verdict):
--- a/packages/coordination/src/hollyknot_coordination/suspects/_register.py
+++ b/packages/coordination/src/hollyknot_coordination/suspects/_register.py
@@ -53,9 +53,7 @@
             return self._refuse(fingerprint, crashes, now_s)
         running = self._upstreams_running(fingerprint)
         if running:
-            return _refusal(
-                "the same request is in flight already", RETRY_AFTER_S
-            )
+            return _refusal("the same request is being tried", RETRY_AFTER_S)
         return Isolate(self._excluded(len(crashes)))
 
     def on_dispatch(self, fingerprint: int, upstream: str) -> None:
@@ -193,10 +191,7 @@
             # Its caller may retry shortly, and the request is refused for
             # long only if the evidence still points to it alone by then.
             wait_s = self._options.settle_s - age_s
-            return _refusal(
-                "evidence on the crash of its upstream is being gathered",
-                wait_s,
-            )
+            return _refusal("evidence against it is being gathered", wait_s)
         self._refused.setdefault(fingerprint, now_s)
         remaining_s = max(RETRY_AFTER_S, self._options.quarantine_s - age_s)
         return _refusal("upstreams that ran it have crashed", remaining_s)
