--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
@@ -250,3 +250,23 @@
             _inject(network, fault, number)
             network.run(seconds, wanted=3 * rate + 2)
         assert network.busiest_window() <= _most(rate)
+
+
+class TestIssuersInSequence:
+    """The limit holds while issuers replace each other in quick succession."""
+
+    def test_three_issuers_within_one_window(self) -> None:
+        """Guards against a window above the limit after a cut and a restart."""
+        rate = 30.0
+        network = Network(8, 1)
+        network.begin_reports()
+        network.name(rate)
+        network.run(4.0, wanted=3 * rate + 2)
+        for fault, seconds, number in [
+            ("cut", 0.5, 2),
+            ("restart", 6.0, 0),
+            ("lose", 6.0, 1),
+        ]:
+            _inject(network, fault, number)
+            network.run(seconds, wanted=3 * rate + 2)
+        assert network.busiest_window() <= _most(rate)
