--- a/packages/bench/src/hollyknot_bench/_cost_condense.py
+++ b/packages/bench/src/hollyknot_bench/_cost_condense.py
@@ -11,7 +11,7 @@
 """Names under which load generators report the two ways to an upstream."""
 
 
-def joined(results: list[StreamResult]) -> StreamResult:
+def combine_results(results: list[StreamResult]) -> StreamResult:
     """Returns the sum of load generators that ran side by side."""
     cpu_s = {
         name: max(r.cpu_s[name] for r in results) for name in results[0].cpu_s
--- a/packages/bench/src/hollyknot_bench/_cost_control.py
+++ b/packages/bench/src/hollyknot_bench/_cost_control.py
@@ -7,14 +7,14 @@
 import click
 import orjson
 
-from hollyknot_bench._cost_messages import QUOTE, Target, WholeLoad
-from hollyknot_bench._cost_process import cpu_of
+from hollyknot_bench._cost_messages import QUOTE_BODY, Target, WholeLoad
+from hollyknot_bench._cost_process import cpu_s_by_name
 from hollyknot_bench._cost_runner import Measure, run_whole
 from hollyknot_bench._cost_sizes import Sizes
 from hollyknot_bench._fleet import SERVICE, Fleet, FleetOptions, running_fleet
 from hollyknot_bench.demo import headers, until_ready
 
-_SETTLE_S = 5.0
+_START_UP_S = 5.0
 """Seconds after the start in which hosts still fetch documents."""
 
 
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class _Spent:
+class _HostUsage:
     """What one host spent in one window, by second."""
 
     sent: float
@@ -45,11 +45,11 @@
         aiohttp.ClientSession() as session,
     ):
         await until_ready(session, fleet)
-        await asyncio.sleep(_SETTLE_S)
-        idle = await _windows(session, fleet, sizes, "idle")
+        await asyncio.sleep(_START_UP_S)
+        idle = await _measure_windows(session, fleet, sizes, "idle")
         load = _load(fleet, sizes, seed)
         running = asyncio.ensure_future(run_whole(load))
-        loaded = await _windows(session, fleet, sizes, "loaded")
+        loaded = await _measure_windows(session, fleet, sizes, "loaded")
         await running
     cores = [s.cores * 100 for s in idle]
     return [
@@ -59,7 +59,7 @@
     ]
 
 
-def _traffic_measures(state: str, spent: list[_Spent]) -> list[Measure]:
+def _traffic_measures(state: str, spent: list[_HostUsage]) -> list[Measure]:
     unit = "bytes/s a host"
     sent = tuple(s.sent for s in spent)
     received = tuple(s.received for s in spent)
@@ -76,7 +76,7 @@
             host,
             f"{fleet.callers_url(host)}/v1/services/{SERVICE}/quote",
             headers("caseworkers", "lookup"),
-            QUOTE,
+            QUOTE_BODY,
         )
         for host in fleet.hosts
     ]
@@ -85,30 +85,30 @@
     return WholeLoad(tuple(targets), sizes.rate, duration_s, seed)
 
 
-async def _windows(
+async def _measure_windows(
     session: aiohttp.ClientSession, fleet: Fleet, sizes: Sizes, state: str
-) -> list[_Spent]:
-    spent: list[_Spent] = []
+) -> list[_HostUsage]:
+    spent: list[_HostUsage] = []
     for number in range(sizes.control_rounds):
         click.echo(f"control, {state}, round {number + 1} ...", err=True)
-        spent += await _window(session, fleet, sizes.control_seconds)
+        spent += await _measure_window(session, fleet, sizes.control_seconds)
     return spent
 
 
-async def _window(
+async def _measure_window(
     session: aiohttp.ClientSession, fleet: Fleet, seconds: float
-) -> list[_Spent]:
+) -> list[_HostUsage]:
     pids = {name: host.pid for name, host in fleet.hosts.items()}
     clock = asyncio.get_running_loop().time
     # The CPU's window lies within that of the traffic, so that the cost of
     # asking for the status isn't counted.
-    before = await _traffic(session, fleet)
-    cpu_before, began_s = cpu_of(pids), clock()
+    before = await _read_traffic(session, fleet)
+    cpu_before, began_s = cpu_s_by_name(pids), clock()
     await asyncio.sleep(seconds)
-    cpu_after, took_s = cpu_of(pids), clock() - began_s
-    after = await _traffic(session, fleet)
+    cpu_after, took_s = cpu_s_by_name(pids), clock() - began_s
+    after = await _read_traffic(session, fleet)
     return [
-        _Spent(
+        _HostUsage(
             (after[name].sent - before[name].sent) / took_s,
             (after[name].received - before[name].received) / took_s,
             (cpu_after[name] - cpu_before[name]) / took_s,
@@ -117,7 +117,7 @@
     ]
 
 
-async def _traffic(
+async def _read_traffic(
     session: aiohttp.ClientSession, fleet: Fleet
 ) -> dict[str, _Traffic]:
     found = {}
--- a/packages/bench/src/hollyknot_bench/_cost_data_path.py
+++ b/packages/bench/src/hollyknot_bench/_cost_data_path.py
@@ -10,12 +10,12 @@
 from hollyknot_bench._cost_condense import (
     DIRECT,
     HOST,
-    joined,
+    combine_results,
     stream_measures,
     whole_measures,
 )
 from hollyknot_bench._cost_messages import (
-    QUOTE,
+    QUOTE_BODY,
     HeldLoad,
     StreamLoad,
     Target,
@@ -45,10 +45,10 @@
 _SLOW_FACTOR = 200.0
 """Makes a token each 2 s, so that held streams cost memory and little else."""
 
-_LEARN_LIMITS_S = 4.0
+_SLOT_DISCOVERY_S = 4.0
 """Seconds in which a host has asked each engine for its slots."""
 
-_LONG = 100_000
+_LONG_ANSWER_TOKENS = 100_000
 
 
 async def measure_data_path(sizes: Sizes, seed: int) -> AsyncIterator[Measure]:
@@ -65,12 +65,12 @@
         data_centres=("hall-a",),
         token_interval_s=_TOKEN_INTERVAL_S,
         slots=_SLOTS,
-        engine_tokens=_LONG,
+        engine_tokens=_LONG_ANSWER_TOKENS,
     )
     async with running_fleet(options) as fleet:
         async with aiohttp.ClientSession() as session:
             await until_ready(session, fleet)
-        await asyncio.sleep(_LEARN_LIMITS_S)
+        await asyncio.sleep(_SLOT_DISCOVERY_S)
         async for found in _DataPath(fleet, sizes, seed).measures():
             yield found
 
@@ -101,21 +101,25 @@
         yield Measure("idle_host_rss", "MB", (idle / 1e6,))
         # Before any other load: memory that it freed would be used again, and
         # the streams would seem to cost nothing.
-        await self._pace(_SLOW_FACTOR)
-        yield await self._held()
-        await self._pace(0.0)
-        for found in await self._whole("model_request", self._model_targets()):
+        await self._set_token_pace(_SLOW_FACTOR)
+        yield await self._measure_held()
+        await self._set_token_pace(0.0)
+        for found in await self._measure_whole(
+            "model_request", self._model_targets()
+        ):
             yield found
-        for found in await self._whole("service_call", self._service_targets()):
+        for found in await self._measure_whole(
+            "service_call", self._service_targets()
+        ):
             yield found
-        await self._pace(1.0)
-        for found in await self._streams("", sizes.streams, 1):
+        await self._set_token_pace(1.0)
+        for found in await self._measure_streams("", sizes.streams, 1):
             yield found
         many = sizes.saturating_streams
-        for found in await self._streams("saturated_", many, 2):
+        for found in await self._measure_streams("saturated_", many, 2):
             yield found
 
-    async def _pace(self, factor: float) -> None:
+    async def _set_token_pace(self, factor: float) -> None:
         """Sets the engines' time between tokens, as a factor."""
         async with aiohttp.ClientSession() as session:
             for name in self._fleet.upstreams:
@@ -125,7 +129,7 @@
                 async with session.post(url, json={"straggle": factor}) as got:
                     got.raise_for_status()
 
-    async def _whole(
+    async def _measure_whole(
         self, kind: str, targets: tuple[Target, ...]
     ) -> list[Measure]:
         sizes = self._sizes
@@ -142,7 +146,7 @@
             results.append(await run_whole(load))
         return list(whole_measures(kind, results))
 
-    async def _streams(
+    async def _measure_streams(
         self, prefix: str, streams: int, generators: int
     ) -> list[Measure]:
         sizes = self._sizes
@@ -157,14 +161,19 @@
                 pids=self._pids,
             )
             running = [run_streams(load) for _ in range(generators)]
-            results.append(joined(await asyncio.gather(*running)))
+            results.append(combine_results(await asyncio.gather(*running)))
         return list(stream_measures(prefix, results))
 
-    async def _held(self) -> Measure:
+    async def _measure_held(self) -> Measure:
         steps = self._sizes.held
         click.echo(f"{steps} open streams ...", err=True)
         result = await run_held(
-            HeldLoad(self._stream_target(_LONG), steps, 2.0, self._host.pid)
+            HeldLoad(
+                self._stream_target(_LONG_ANSWER_TOKENS),
+                steps,
+                2.0,
+                self._host.pid,
+            )
         )
         seen = ", ".join(f"{b / 1e6:.1f}" for b in result.resident_bytes)
         value = slope(result.streams, result.resident_bytes) / 1000
@@ -193,13 +202,13 @@
                 HOST,
                 self._fleet.callers_url(self._name) + prefix + "/quote",
                 headers("caseworkers", "lookup"),
-                QUOTE,
+                QUOTE_BODY,
             ),
             Target(
                 DIRECT,
                 self._fleet.upstream_url(service) + "/quote",
                 {},
-                QUOTE,
+                QUOTE_BODY,
             ),
         )
 
--- a/packages/bench/src/hollyknot_bench/_cost_load.py
+++ b/packages/bench/src/hollyknot_bench/_cost_load.py
@@ -30,11 +30,11 @@
     from_json,
     to_json,
 )
-from hollyknot_bench._cost_process import cpu_of, resident_bytes
+from hollyknot_bench._cost_process import cpu_s_by_name, resident_bytes
 
 LOAD_GENERATOR = "load-generator"
 _MAX_LATENCY_US = 60_000_000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 _EVENT = b"data: "
 _DONE = b"data: [DONE]\n\n"
 _TAIL_BYTES = 128
@@ -56,14 +56,14 @@
     return session.post(target.url, data=target.body.encode(), headers=sent)
 
 
-class _Whole:
+class _WholeLoadRunner:
     """Sends whole requests and records their latencies."""
 
     def __init__(self, load: WholeLoad) -> None:
         self._load = load
         self._failed = 0
         self._histograms = {
-            target.name: HdrHistogram(1, _MAX_LATENCY_US, _DIGITS)
+            target.name: HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
             for target in load.targets
         }
 
@@ -74,18 +74,18 @@
         pids = {**load.pids, LOAD_GENERATOR: os.getpid()}
         async with _session() as session, asyncio.TaskGroup() as group:
             for target in load.targets:
-                await self._ask(session, target)
+                await self._send_timed(session, target)
             for histogram in self._histograms.values():
                 histogram.reset()
-            before, began_s = cpu_of(pids), loop.time()
+            before, began_s = cpu_s_by_name(pids), loop.time()
             due_s, turn = began_s, 0
             while due_s < began_s + load.duration_s:
                 await asyncio.sleep(max(0.0, due_s - loop.time()))
                 target = load.targets[turn % len(load.targets)]
-                group.create_task(self._ask(session, target))
+                group.create_task(self._send_timed(session, target))
                 due_s += rng.expovariate(load.rate)
                 turn += 1
-        after = cpu_of(pids)
+        after = cpu_s_by_name(pids)
         return WholeResult(
             latencies={n: _latency(h) for n, h in self._histograms.items()},
             failed=self._failed,
@@ -93,7 +93,7 @@
             elapsed_s=loop.time() - began_s,
         )
 
-    async def _ask(
+    async def _send_timed(
         self, session: aiohttp.ClientSession, target: Target
     ) -> None:
         # Not the loop's clock: uvloop's moves in steps of a millisecond.
@@ -116,7 +116,7 @@
     return Latency(histogram.get_total_count(), at(50), at(95), at(99))
 
 
-class _Streams:
+class _StreamLoadRunner:
     """Keeps streams going and counts what comes."""
 
     def __init__(self, load: StreamLoad) -> None:
@@ -136,9 +136,9 @@
             ]
             await asyncio.sleep(load.warm_up_s)
             tokens, parts = self._tokens, self._parts
-            before, began_s = cpu_of(pids), loop.time()
+            before, began_s = cpu_s_by_name(pids), loop.time()
             await asyncio.sleep(load.duration_s)
-            after, ended_s = cpu_of(pids), loop.time()
+            after, ended_s = cpu_s_by_name(pids), loop.time()
             result = StreamResult(
                 tokens=self._tokens - tokens,
                 parts=self._parts - parts,
@@ -218,14 +218,14 @@
 @click.argument("load")
 def whole(load: str) -> None:
     """Sends the requests of a `WholeLoad`, given as JSON."""
-    _run(_Whole(from_json(load, WholeLoad)).run())
+    _run(_WholeLoadRunner(from_json(load, WholeLoad)).run())
 
 
 @main.command()
 @click.argument("load")
 def streams(load: str) -> None:
     """Keeps the streams of a `StreamLoad`, given as JSON."""
-    _run(_Streams(from_json(load, StreamLoad)).run())
+    _run(_StreamLoadRunner(from_json(load, StreamLoad)).run())
 
 
 @main.command()
--- a/packages/bench/src/hollyknot_bench/_cost_messages.py
+++ b/packages/bench/src/hollyknot_bench/_cost_messages.py
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 
-QUOTE = '{"household": 7}'
+QUOTE_BODY = '{"household": 7}'
 """The body of an idempotent call of the fleet's plain service."""
 
 
--- a/packages/bench/src/hollyknot_bench/_cost_process.py
+++ b/packages/bench/src/hollyknot_bench/_cost_process.py
@@ -4,7 +4,7 @@
 import pathlib
 from collections.abc import Mapping
 
-_TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _USER_TICKS = 11
 _SYSTEM_TICKS = 12
@@ -21,10 +21,10 @@
     # The name stands in brackets and may have spaces and brackets itself.
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
-    return ticks / _TICKS_A_SECOND
+    return ticks / _TICKS_PER_S
 
 
-def cpu_of(pids: Mapping[str, int]) -> dict[str, float]:
+def cpu_s_by_name(pids: Mapping[str, int]) -> dict[str, float]:
     """Returns the CPU seconds of processes, by name."""
     return {name: cpu_s(pid) for name, pid in pids.items()}
 
--- a/packages/bench/src/hollyknot_bench/_processes.py
+++ b/packages/bench/src/hollyknot_bench/_processes.py
@@ -56,7 +56,7 @@
 
 
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
-_KEPT_LINES = 200
+_MAX_LINES = 200
 
 
 @contextlib.asynccontextmanager
@@ -92,7 +92,7 @@
         await _until_ready(found, ready, reader)
         yield found
     finally:
-        await _end(found)
+        await _stop(found)
         await reader
 
 
@@ -125,14 +125,14 @@
                 sink.write(raw)
             line = raw.decode(errors="replace").rstrip()
             found.lines.append(line)
-            del found.lines[:-_KEPT_LINES]
+            del found.lines[:-_MAX_LINES]
             if not ready.is_set() and ready_mark in line:
                 pairs = _FIELD.findall(line)
                 found.fields = {key: value.strip('"') for key, value in pairs}
                 ready.set()
 
 
-async def _end(found: Child) -> None:
+async def _stop(found: Child) -> None:
     found.send(signal.SIGTERM)
     try:
         async with asyncio.timeout(STOP_TIMEOUT_S):
--- a/packages/bench/src/hollyknot_bench/_routing_measures.py
+++ b/packages/bench/src/hollyknot_bench/_routing_measures.py
@@ -37,8 +37,8 @@
 )
 
 SEEDS = (1, 2, 3)
-WHOLE = RoutingOptions(subset_size=1000)
-FOREVER_S = 1e9
+ALL_UPSTREAMS = RoutingOptions(subset_size=1000)
+INFINITE_S = 1e9
 
 Chooser = Callable[[str, list[str], list[str]], tuple[str, ...]]
 
@@ -60,19 +60,23 @@
     """Compares policies when all hosts see the same late reports."""
     policies = {
         "least reported": RoutingScenario(reports_only=True),
-        "one at random": RoutingScenario(attrs.evolve(WHOLE, choices=1)),
+        "one at random": RoutingScenario(
+            attrs.evolve(ALL_UPSTREAMS, choices=1)
+        ),
         "least of all, reports never discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=1000, report_half_life_s=FOREVER_S)
+            attrs.evolve(
+                ALL_UPSTREAMS, choices=1000, report_half_life_s=INFINITE_S
+            )
         ),
         "least of all, discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=1000)
+            attrs.evolve(ALL_UPSTREAMS, choices=1000)
         ),
         "two choices, reports never discounted": RoutingScenario(
-            attrs.evolve(WHOLE, report_half_life_s=FOREVER_S)
+            attrs.evolve(ALL_UPSTREAMS, report_half_life_s=INFINITE_S)
         ),
-        "two choices, discounted": RoutingScenario(WHOLE),
+        "two choices, discounted": RoutingScenario(ALL_UPSTREAMS),
         "three choices, discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=3)
+            attrs.evolve(ALL_UPSTREAMS, choices=3)
         ),
         "two choices, discounted, subset of 8": RoutingScenario(),
     }
@@ -87,14 +91,14 @@
 def locality() -> None:
     """Compares prefix locality with least load alone."""
     for hosts in (8, 64):
-        for use in (0.6, 0.8, 0.9):
+        for utilisation in (0.6, 0.8, 0.9):
             for is_on in (True, False):
                 _print_result(
-                    f"{hosts} hosts, use {use}, locality {is_on}",
+                    f"{hosts} hosts, use {utilisation}, locality {is_on}",
                     RoutingScenario(
                         RoutingOptions(locality=is_on),
                         hosts=hosts,
-                        use=use,
+                        utilisation=utilisation,
                         prefixes=400,
                         cold_s=0.8,
                         decode_s=1.2,
@@ -104,7 +108,7 @@
 
 def hot_prefix() -> None:
     """Shows that one prefix in most requests makes no hot spot."""
-    for bound, label in ((1.25, "bounded"), (FOREVER_S, "without a bound")):
+    for bound, label in ((1.25, "bounded"), (INFINITE_S, "without a bound")):
         options = RoutingOptions(locality_bound_factor=bound)
         _print_result(
             f"one prefix for all, {label}",
@@ -120,7 +124,7 @@
             slow_factor=5.0,
             slow_from_s=40.0,
             slow_to_s=80.0,
-            use=0.6,
+            utilisation=0.6,
         )
         result = _print_result(f"{hosts} hosts, straggler", scenario)
         for sample in result.samples[30::5]:
--- a/packages/bench/src/hollyknot_bench/_routing_model.py
+++ b/packages/bench/src/hollyknot_bench/_routing_model.py
@@ -35,8 +35,8 @@
 POOL = "m"
 DATA_CENTRE = "hall-a"
 COMPLETE = Verdict(Outcome.COMPLETE)
-REPORT_EVERY_S = 1.0
-SAMPLE_EVERY_S = 0.1
+REPORT_INTERVAL_S = 1.0
+SAMPLE_INTERVAL_S = 0.1
 
 
 @attrs.frozen
@@ -71,12 +71,12 @@
     hosts: int = 8
     upstreams: int = 16
     slots: int = 8
-    use: float = 0.8
+    utilisation: float = 0.8
     cold_s: float = 0.4
     warm_s: float = 0.1
     decode_s: float = 1.6
     prefixes: int = 0
-    kept: int = 20
+    cached: int = 20
     slow_factor: float = 1.0
     slow_from_s: float = 0.0
     slow_to_s: float = 0.0
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class _Work:
+class _ModelRequest:
     request: RequestInfo
     first_factor: float
     decode_factor: float
@@ -137,7 +137,7 @@
     name: str
     running: int = 0
     queue: deque[Callable[[], None]] = attrs.Factory(deque)
-    kept: OrderedDict[int, None] = attrs.Factory(OrderedDict)
+    cached: OrderedDict[int, None] = attrs.Factory(OrderedDict)
 
     @property
     def load(self) -> int:
@@ -151,7 +151,7 @@
         """Builds hosts and engines."""
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
-        self._ties = random.Random(scenario.seed)
+        self._tie_rng = random.Random(scenario.seed)
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order: Iterator[int] = itertools.count()
@@ -159,7 +159,7 @@
             f"e{i}": _Engine(f"e{i}") for i in range(scenario.upstreams)
         }
         self._reported = dict.fromkeys(self._engines, 0)
-        self._waiting: list[deque[_Work]] = [
+        self._waiting: list[deque[_ModelRequest]] = [
             deque() for _ in range(scenario.hosts)
         ]
         self._weights = list(
@@ -168,7 +168,7 @@
         self._first_bytes: list[float] = []
         self._excess: list[float] = []
         self._samples: list[RoutingSample] = []
-        self._met: dict[str, bool] = {}
+        self._met_target: dict[str, bool] = {}
         self._warm = 0
         self._tables = [self._table(i) for i in range(scenario.hosts)]
 
@@ -211,7 +211,7 @@
         table.on_host_list(HostList(1, tuple(hosts + engines)), 0.0)
         return table
 
-    def _at(self, delay_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, event: Callable[[], None]) -> None:
         entry = (self._now_s + delay_s, next(self._order), event)
         heapq.heappush(self._events, entry)
 
@@ -219,7 +219,9 @@
         scenario = self._scenario
         service_s = scenario.cold_s + scenario.decode_s
         capacity = scenario.upstreams * scenario.slots / service_s
-        self._at(self._rng.expovariate(capacity * scenario.use), self._arrive)
+        self._schedule(
+            self._rng.expovariate(capacity * scenario.utilisation), self._arrive
+        )
         host = self._rng.randrange(scenario.hosts)
         request = RequestInfo(
             request_id=f"r{next(self._order)}",
@@ -232,7 +234,7 @@
             budget_s=scenario.target_s,
             prefix=self._prefix(),
         )
-        work = _Work(
+        work = _ModelRequest(
             request, self._rng.uniform(0.8, 1.2), self._rng.expovariate(1.0)
         )
         self._waiting[host].append(work)
@@ -263,7 +265,7 @@
         if self._scenario.reports_only:
             least = min(self._reported.values())
             best = [n for n, load in self._reported.items() if load == least]
-            return self._ties.choice(best)
+            return self._tie_rng.choice(best)
         choice = self._tables[host].choose(request, self._now_s)
         return choice.upstream if isinstance(choice, Choice) else None
 
@@ -272,22 +274,22 @@
             engine.running += 1
             engine.queue.popleft()()
 
-    def _start(self, host: int, engine: _Engine, work: _Work) -> None:
+    def _start(self, host: int, engine: _Engine, work: _ModelRequest) -> None:
         scenario = self._scenario
         request = work.request
-        is_warm = request.prefix in engine.kept
+        is_warm = request.prefix in engine.cached
         if request.prefix:
-            engine.kept[request.prefix] = None
-            engine.kept.move_to_end(request.prefix)
-            if len(engine.kept) > scenario.kept:
-                engine.kept.popitem(last=False)
+            engine.cached[request.prefix] = None
+            engine.cached.move_to_end(request.prefix)
+            if len(engine.cached) > scenario.cached:
+                engine.cached.popitem(last=False)
         self._warm += is_warm
         factor = self._slow_factor(engine)
         first_s = scenario.warm_s if is_warm else scenario.cold_s
         first_s *= factor * work.first_factor
         decode_s = scenario.decode_s * factor * work.decode_factor
-        self._at(first_s, lambda: self._first_byte(host, engine, request))
-        self._at(
+        self._schedule(first_s, lambda: self._first_byte(host, engine, request))
+        self._schedule(
             first_s + decode_s, lambda: self._finish(host, engine, request)
         )
 
@@ -305,11 +307,11 @@
                 engine.name, request.request_id, self._now_s
             )
         met = self._now_s - request.arrived_s <= self._scenario.target_s
-        self._met[request.request_id] = met
+        self._met_target[request.request_id] = met
 
     def _finish(self, host: int, engine: _Engine, request: RequestInfo) -> None:
         engine.running -= 1
-        met = self._met.pop(request.request_id)
+        met = self._met_target.pop(request.request_id)
         if not self._scenario.reports_only:
             self._tables[host].on_finished(
                 engine.name, request.request_id, COMPLETE, self._now_s, met
@@ -323,8 +325,10 @@
         }
         if self._slow_factor(self._engines["e0"]) > 1.0:
             loads["e0"] = (0, 0)
-        self._at(self._scenario.report_lag_s, lambda: self._deliver(loads))
-        self._at(REPORT_EVERY_S, self._report)
+        self._schedule(
+            self._scenario.report_lag_s, lambda: self._deliver(loads)
+        )
+        self._schedule(REPORT_INTERVAL_S, self._report)
 
     def _deliver(self, loads: dict[str, tuple[int, int]]) -> None:
         age_ms = int(self._scenario.report_lag_s * 1000)
@@ -340,9 +344,9 @@
         loads = [e.load for e in self._engines.values()]
         mean = sum(loads) / len(loads)
         self._excess.append((max(loads) - mean) / self._scenario.slots)
-        if len(self._excess) % int(1 / SAMPLE_EVERY_S) == 1:
+        if len(self._excess) % int(1 / SAMPLE_INTERVAL_S) == 1:
             self._sample_first_engine()
-        self._at(SAMPLE_EVERY_S, self._sample)
+        self._schedule(SAMPLE_INTERVAL_S, self._sample)
 
     def _sample_first_engine(self) -> None:
         views = [
--- a/packages/bench/src/hollyknot_bench/_suspects_model.py
+++ b/packages/bench/src/hollyknot_bench/_suspects_model.py
@@ -22,7 +22,7 @@
 )
 from hollyknot_state import Outcome, Reason, Verdict
 
-POISON = 1
+CULPRIT = 1
 UPSTREAMS = 8
 COMPLETE = Verdict(Outcome.COMPLETE)
 LOST = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
@@ -50,14 +50,14 @@
     hosts: int
     upstreams: int
     batch: int
-    is_defended: bool
+    uses_register: bool
     max_per_upstream: int
     seed: int
     length_s: float = 2.0
-    poison_after_s: float = 0.3
+    crash_after_s: float = 0.3
     restart_s: float = 20.0
-    gossip_s: float = 1.0
-    again_s: float = 1.0
+    gossip_interval_s: float = 1.0
+    resend_after_s: float = 1.0
     duration_s: float = 60.0
 
 
@@ -96,7 +96,7 @@
     down_until_s: list[float] = attrs.Factory(list)
     lost_s: dict[int, float] = attrs.Factory(dict)
     delayed: set[int] = attrs.Factory(set)
-    next_fingerprint: int = POISON
+    next_fingerprint: int = CULPRIT
     crashes: int = 0
     last_crash_s: float = 0.0
     lost: int = 0
@@ -120,7 +120,7 @@
     def send(self, fingerprint: int) -> None:
         host = self.rng.randrange(self.scenario.hosts)
         exclude: frozenset[str] = frozenset()
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             gate = self.registers[host].gate(fingerprint, self.now_s)
             if isinstance(gate, Refuse):
                 self.on_refused(fingerprint, gate.verdict.retry_after_s)
@@ -137,7 +137,7 @@
             and len(self.running[u]) < 2 * self.scenario.batch
         ]
         if not up:
-            self.again(fingerprint, 0.1)
+            self.schedule_retry(fingerprint, 0.1)
             return
         upstream = min(
             self.rng.sample(up, min(2, len(up))),
@@ -146,12 +146,12 @@
         self.start(fingerprint, host, upstream)
 
     def start(self, fingerprint: int, host: int, upstream: int) -> None:
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             self.registers[host].on_dispatch(fingerprint, str(upstream))
         batch = self.running[upstream]
         batch[fingerprint] = host
-        if fingerprint == POISON:
-            self.at(self.scenario.poison_after_s, lambda: self.crash(upstream))
+        if fingerprint == CULPRIT:
+            self.at(self.scenario.crash_after_s, lambda: self.crash(upstream))
         else:
             length_s = self.scenario.length_s * self.rng.uniform(0.5, 1.5)
             self.at(length_s, lambda: self.finish(fingerprint, upstream, batch))
@@ -171,7 +171,7 @@
 
     def crash(self, upstream: int) -> None:
         batch = self.running[upstream]
-        if POISON not in batch:
+        if CULPRIT not in batch:
             return
         self.crashes += 1
         self.last_crash_s = self.now_s
@@ -181,37 +181,37 @@
         for fingerprint, host in batch.items():
             self.end(fingerprint, host, upstream, LOST)
             self.lost_s.setdefault(fingerprint, self.now_s)
-            self.again(fingerprint, self.scenario.again_s)
+            self.schedule_retry(fingerprint, self.scenario.resend_after_s)
 
     def end(
         self, fingerprint: int, host: int, upstream: int, verdict: Verdict
     ) -> None:
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             self.registers[host].on_end(
                 fingerprint, str(upstream), verdict, self.now_s
             )
 
     def on_refused(self, fingerprint: int, retry_after_s: float) -> None:
-        if fingerprint != POISON:
+        if fingerprint != CULPRIT:
             if retry_after_s > 1.0:
                 self.refused += 1
             else:
                 self.delayed.add(fingerprint)
-        self.again(fingerprint, retry_after_s)
+        self.schedule_retry(fingerprint, retry_after_s)
 
-    def again(self, fingerprint: int, delay_s: float) -> None:
-        if fingerprint in self.lost_s and fingerprint != POISON:
+    def schedule_retry(self, fingerprint: int, delay_s: float) -> None:
+        if fingerprint in self.lost_s and fingerprint != CULPRIT:
             self.delayed.add(fingerprint)
         spread_s = delay_s * (1.0 + self.rng.random())
         self.at(spread_s, lambda: self.send(fingerprint))
 
     def gossip(self) -> None:
         told = [r.records(self.now_s) for r in self.registers]
-        for teller, records in enumerate(told):
-            for hearer, register in enumerate(self.registers):
-                if hearer != teller:
+        for reporter, records in enumerate(told):
+            for receiver, register in enumerate(self.registers):
+                if receiver != reporter:
                     register.on_records(records, self.now_s)
-        self.at(self.scenario.gossip_s, self.gossip)
+        self.at(self.scenario.gossip_interval_s, self.gossip)
 
 
 def run_suspects(scenario: SuspectsScenario) -> SuspectsResult:
@@ -226,9 +226,9 @@
     run.running = [{} for _ in range(scenario.upstreams)]
     run.down_until_s = [0.0] * scenario.upstreams
     run.arrive()
-    if scenario.is_defended:
+    if scenario.uses_register:
         run.gossip()
-    run.at(scenario.length_s * 2, lambda: run.send(POISON))
+    run.at(scenario.length_s * 2, lambda: run.send(CULPRIT))
     while run.events and run.now_s < scenario.duration_s:
         run.now_s, _, event = heapq.heappop(run.events)
         event()
@@ -255,15 +255,15 @@
 def _print_run(
     batch: int, hosts: int, max_per_upstream: int, seed: int
 ) -> None:
-    is_defended = max_per_upstream > 0
+    uses_register = max_per_upstream > 0
     scenario = SuspectsScenario(
-        hosts, UPSTREAMS, batch, is_defended, max_per_upstream, seed
+        hosts, UPSTREAMS, batch, uses_register, max_per_upstream, seed
     )
     result = run_suspects(scenario)
     print(
         batch,
         hosts,
-        f"together={max_per_upstream}" if is_defended else "none",
+        f"together={max_per_upstream}" if uses_register else "none",
         result.crashes,
         f"{result.last_crash_s:.1f}",
         result.lost,
--- a/packages/bench/src/hollyknot_bench/experiment/__main__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__main__.py
@@ -80,7 +80,7 @@
     ends = " ".join(f"{name}={n}" for name, n in sorted(counts.items()))
     return (
         f"worth={outcome.worth:.3f} {ends} read={outcome.tokens_read}"
-        f" again={outcome.tokens_read_again} put-back={outcome.put_back}"
+        f" again={outcome.tokens_read_again} put-back={outcome.preemptions}"
         f" reading={outcome.reading:.2f}"
     )
 
--- a/packages/bench/src/hollyknot_bench/experiment/_engine.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_engine.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class EngineFigures:
+class EngineParameters:
     """What an engine is like.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 
 @attrs.define(eq=False)
-class Run:
+class EngineRequest:
     """A request at an engine.
 
     Attributes:
@@ -74,24 +74,24 @@
 class Engine:
     """One engine; its owner calls `step` when `next_s` has come."""
 
-    def __init__(self, figures: EngineFigures, slowness: float) -> None:
+    def __init__(self, figures: EngineParameters, slowness: float) -> None:
         """Starts empty."""
         self._figures = figures
         self._slowness = slowness
-        self._waiting: list[Run] = []
-        self._active: list[Run] = []
+        self._waiting: list[EngineRequest] = []
+        self._active: list[EngineRequest] = []
         self._cached: OrderedDict[str, int] = OrderedDict()
-        self._reads: list[tuple[Run, int]] = []
+        self._prefills: list[tuple[EngineRequest, int]] = []
         self.next_s: float | None = None
-        self.is_away = False
+        self.is_down = False
         self.is_scheduled = False
         self.tokens_read = 0
         self.tokens_read_again = 0
-        self.busy_reading_s = 0.0
-        self.put_back = 0
-        self._ever: set[str] = set()
+        self.prefill_busy_s = 0.0
+        self.preemptions = 0
+        self._ever_cached: set[str] = set()
 
-    def submit(self, run: Run, now_s: float) -> None:
+    def submit(self, run: EngineRequest, now_s: float) -> None:
         """Takes a request."""
         self._waiting.append(run)
         # Stable: of equal urgency the first to come is the first served.
@@ -99,7 +99,7 @@
         if self.next_s is None:
             self._begin(now_s)
 
-    def cancel(self, run: Run) -> None:
+    def cancel(self, run: EngineRequest) -> None:
         """Ends a request whose caller has gone."""
         for runs in (self._waiting, self._active):
             if run in runs:
@@ -108,33 +108,33 @@
     def crash(self, now_s: float) -> None:
         """Loses all requests and all memory."""
         lost = self._waiting + self._active
-        self._waiting, self._active, self._reads = [], [], []
+        self._waiting, self._active, self._prefills = [], [], []
         self._cached.clear()
         self.next_s = None
-        self.is_away = True
+        self.is_down = True
         for run in lost:
             run.on_lost(now_s)
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         """Takes requests again."""
-        self.is_away = False
+        self.is_down = False
 
     def step(self) -> None:
         """Ends the step that was due, and begins the next one."""
         assert self.next_s is not None
         now_s = self.next_s
-        for run, tokens in self._reads:
+        for run, tokens in self._prefills:
             run.unread -= tokens
         for run in list(self._active):
             if run.unread == 0:
                 self._make_token(run, now_s)
         self._begin(now_s)
 
-    def _make_token(self, run: Run, now_s: float) -> None:
+    def _make_token(self, run: EngineRequest, now_s: float) -> None:
         run.made += 1
         is_last = run.made >= run.out_tokens
         if run.made == 1:
-            self._keep(run)
+            self._cache_prefixes(run)
         if is_last:
             self._active.remove(run)
         if is_last or run.made == 1 or run.made % self._figures.stride == 0:
@@ -147,7 +147,7 @@
             self.next_s = None
             return
         budget = figures.chunk
-        self._reads = []
+        self._prefills = []
         decoding = 0
         context = 0
         for run in self._active:
@@ -158,7 +158,7 @@
             tokens = min(run.unread, budget)
             if tokens:
                 budget -= tokens
-                self._reads.append((run, tokens))
+                self._prefills.append((run, tokens))
         read = figures.chunk - budget
         reading_ms = read / figures.tokens_per_ms
         step_ms = (
@@ -168,18 +168,18 @@
             + reading_ms
         ) * self._slowness
         self.tokens_read += read
-        self.busy_reading_s += reading_ms * self._slowness / 1000
+        self.prefill_busy_s += reading_ms * self._slowness / 1000
         self.next_s = now_s + step_ms / 1000
 
     def _admit(self) -> None:
-        while self._waiting and self._has_place():
+        while self._waiting and self._make_room():
             run = self._waiting.pop(0)
             # What a run had made before it was put back is read again.
-            run.unread = max(1, self._missing(run)) + run.made
+            run.unread = max(1, self._count_tokens_to_prefill(run)) + run.made
             run.read += run.unread
             self._active.append(run)
 
-    def _has_place(self) -> bool:
+    def _make_room(self) -> bool:
         """Makes a place, if need be, by putting back what is less urgent."""
         if len(self._active) < self._figures.slots:
             return True
@@ -187,24 +187,28 @@
         if last.urgency <= self._waiting[0].urgency:
             return False
         self._active.remove(last)
-        self._reads = [(run, n) for run, n in self._reads if run is not last]
-        self.put_back += 1
+        self._prefills = [
+            (run, n) for run, n in self._prefills if run is not last
+        ]
+        self.preemptions += 1
         self._waiting.append(last)
         self._waiting.sort(key=lambda waiting: waiting.urgency)
         return True
 
-    def _missing(self, run: Run) -> int:
+    def _count_tokens_to_prefill(self, run: EngineRequest) -> int:
         """Returns what has to be read: all from the first part that lacks."""
-        for index, name in enumerate(_runs(run)):
+        for index, name in enumerate(_prefix_names(run)):
             if name not in self._cached:
                 if run.source is not None and run.source.holds(name):
                     continue
                 again = [
                     tokens
                     for part, (_, tokens) in zip(
-                        _runs(run)[index:], run.prompt[index:-1], strict=True
+                        _prefix_names(run)[index:],
+                        run.prompt[index:-1],
+                        strict=True,
                     )
-                    if part in self._ever
+                    if part in self._ever_cached
                 ]
                 self.tokens_read_again += sum(again)
                 return sum(tokens for _, tokens in run.prompt[index:])
@@ -215,11 +219,13 @@
         """Whether a run of parts is cached."""
         return name in self._cached
 
-    def _keep(self, run: Run) -> None:
-        for name, (_, tokens) in zip(_runs(run), run.prompt, strict=False):
+    def _cache_prefixes(self, run: EngineRequest) -> None:
+        for name, (_, tokens) in zip(
+            _prefix_names(run), run.prompt, strict=False
+        ):
             self._cached[name] = tokens
             self._cached.move_to_end(name)
-            self._ever.add(name)
+            self._ever_cached.add(name)
         held = sum(r.context for r in self._active)
         while self._cached and (
             sum(self._cached.values()) + held > self._figures.cached_tokens
@@ -227,7 +233,7 @@
             self._cached.popitem(last=False)
 
 
-def _runs(run: Run) -> list[str]:
+def _prefix_names(run: EngineRequest) -> list[str]:
     """Returns a name for each run of shared parts from the prompt's start."""
     names: list[str] = []
     for part, _ in run.prompt[:-1]:
--- a/packages/bench/src/hollyknot_bench/experiment/_load.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_load.py
@@ -11,7 +11,7 @@
 import attrs
 import orjson
 
-from hollyknot_bench.experiment._engine import EngineFigures
+from hollyknot_bench.experiment._engine import EngineParameters
 from hollyknot_state import TIERS, Problem, structure_or_first_problem
 
 HINT_SPREAD = 0.5
@@ -139,7 +139,7 @@
     hosts: int
     report_s: float
     engines: int
-    engine: EngineFigures
+    engine: EngineParameters
     slowness: tuple[float, ...]
     classes: tuple[ClassFigures, ...]
     bursts: tuple[Burst, ...] = ()
--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -58,7 +58,7 @@
     ended: tuple[Ended, ...]
     tokens_read: int
     tokens_read_again: int
-    put_back: int
+    preemptions: int
     reading: float
 
     @property
--- a/packages/bench/src/hollyknot_bench/experiment/_play.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_play.py
@@ -13,7 +13,7 @@
 import attrs
 
 from hollyknot_bench.experiment._clock import Clock
-from hollyknot_bench.experiment._engine import Engine, Run
+from hollyknot_bench.experiment._engine import Engine, EngineRequest
 from hollyknot_bench.experiment._host import Host, make_host
 from hollyknot_bench.experiment._load import Load, Request, requests_of
 from hollyknot_bench.experiment._outcome import Ended, Outcome
@@ -133,8 +133,8 @@
             tuple(self._ended.values()),
             sum(e.tokens_read for e in self._engines),
             sum(e.tokens_read_again for e in self._engines),
-            sum(e.put_back for e in self._engines),
-            sum(e.busy_reading_s for e in self._engines) / time_s,
+            sum(e.preemptions for e in self._engines),
+            sum(e.prefill_busy_s for e in self._engines) / time_s,
         )
 
     def _make_permits(self) -> Permits:
@@ -205,14 +205,14 @@
         self._engines[number].crash(self._clock.now_s)
 
     def _come_back(self, number: int) -> None:
-        self._engines[number].come_back()
+        self._engines[number].recover()
         entry = self._entry(number, int(self._clock.now_s * 1000))
         self._entries[number] = entry
         self._by_incarnation[entry.incarnation] = entry
 
     def _usable(self) -> list[UpstreamEntry]:
         pairs = zip(self._entries, self._engines, strict=True)
-        return [entry for entry, engine in pairs if not engine.is_away]
+        return [entry for entry, engine in pairs if not engine.is_down]
 
     def _arrive(self, request: Request, number: int) -> None:
         """Takes a request, and asks for loads before it is placed."""
@@ -364,7 +364,7 @@
                 host.placement.end(work)
                 engine.cancel(run)
 
-        run = Run(
+        run = EngineRequest(
             request.prompt,
             request.out_tokens,
             work.urgency,
@@ -374,7 +374,7 @@
         )
 
         def submit() -> None:
-            if engine.is_away:
+            if engine.is_down:
                 over()
             else:
                 engine.submit(run, clock.now_s)
--- a/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
+++ b/packages/bench/src/hollyknot_bench/experiment/tests/test_experiment.py
@@ -7,12 +7,16 @@
 import pytest
 
 from hollyknot_bench.experiment import Load, play, read_load
-from hollyknot_bench.experiment._engine import Engine, EngineFigures, Run
+from hollyknot_bench.experiment._engine import (
+    Engine,
+    EngineParameters,
+    EngineRequest,
+)
 from hollyknot_bench.experiment._play import SETTLE_S, Play
 from hollyknot_coordination.forwarding._report_rate import BYTES_A_SECOND
 from hollyknot_state import Problem
 
-_FIGURES = EngineFigures(
+_FIGURES = EngineParameters(
     slots=2,
     step_ms=4.0,
     step_ms_per_slot=0.0,
@@ -34,7 +38,7 @@
     ) -> None:
         self.events_ms: list[int] = []
         self.is_lost = False
-        self.run = Run(prompt, out, urgency, self._event, self._lost)
+        self.run = EngineRequest(prompt, out, urgency, self._event, self._lost)
 
     def _event(self, when_s: float, _: bool) -> None:
         self.events_ms.append(round(when_s * 1000))
@@ -90,7 +94,7 @@
         urgent = _Caller((("u", 10),), 1)
         engine.submit(urgent.run, 0.001)
         _run(engine)
-        assert engine.put_back == 1
+        assert engine.preemptions == 1
         assert urgent.events_ms[0] < 30
         assert [len(other.events_ms) for other in others] == [50, 50]
 
--- a/packages/bench/src/hollyknot_bench/tests/test_models.py
+++ b/packages/bench/src/hollyknot_bench/tests/test_models.py
@@ -60,7 +60,7 @@
     )
     def test_limits_follow(self) -> None:
         scenario = RoutingScenario(
-            slow_factor=5.0, slow_from_s=20.0, slow_to_s=50.0, use=0.6
+            slow_factor=5.0, slow_from_s=20.0, slow_to_s=50.0, utilisation=0.6
         )
         result = RoutingModel(scenario).run()
         limits = {int(s.at_s): s.limit_sum for s in result.samples}
@@ -91,5 +91,5 @@
         result = run_suspects(scenario)
         assert 2 <= result.crashes <= 4
         assert result.refused == 0
-        bare = run_suspects(attrs.evolve(scenario, is_defended=False))
+        bare = run_suspects(attrs.evolve(scenario, uses_register=False))
         assert bare.crashes > 8
