--- a/packages/bench/src/hollyknot_bench/__init__.py
+++ b/packages/bench/src/hollyknot_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Demo, cost, slopes and scenario commands."""
+"""Commands that run, measure and model fleets of hosts."""
--- a/packages/bench/src/hollyknot_bench/_cost_condense.py
+++ b/packages/bench/src/hollyknot_bench/_cost_condense.py
@@ -1,4 +1,4 @@
-"""Condenses the rounds of loads on one host into measures."""
+"""Computes measures from the results of load rounds on one host."""
 
 import operator
 from collections.abc import Callable, Iterator
@@ -8,11 +8,15 @@
 
 HOST = "host"
 DIRECT = "direct"
-"""Names under which load generators report the two ways to an upstream."""
+"""Target names in results: requests through the host, and to the upstream."""
 
 
 def combine_results(results: list[StreamResult]) -> StreamResult:
-    """Returns the sum of load generators that ran side by side."""
+    """Returns the combined result of load generators that ran concurrently.
+
+    Each generator reports the CPU time of the same processes, so the largest
+    value of each is used, not the sum.
+    """
     cpu_s = {
         name: max(r.cpu_s[name] for r in results) for name in results[0].cpu_s
     }
@@ -26,11 +30,11 @@
 
 
 def whole_measures(kind: str, results: list[WholeResult]) -> Iterator[Measure]:
-    """Yields the cost and the added latency of whole answers.
+    """Yields the CPU cost and the added latency of unstreamed answers.
 
     Args:
-        kind: Of the requests, the measures' prefix.
-        results: Of each round.
+        kind: Kind of the requests, the prefix of the measures' names.
+        results: The result of each round.
     """
     cpu = [r.cpu_s[HOST] / r.latencies[HOST].count * 1e6 for r in results]
     failed = sum(r.failed for r in results)
@@ -48,11 +52,11 @@
 def stream_measures(
     prefix: str, results: list[StreamResult]
 ) -> Iterator[Measure]:
-    """Yields the cost of streamed tokens, and what limited their number.
+    """Yields the cost of streamed tokens, and what limited their rate.
 
     Args:
-        prefix: Of the measures.
-        results: Of each round.
+        prefix: Prefix of the measures' names.
+        results: The result of each round.
     """
 
     def by_round(value: Callable[[StreamResult], float]) -> tuple[float, ...]:
--- a/packages/bench/src/hollyknot_bench/_cost_control.py
+++ b/packages/bench/src/hollyknot_bench/_cost_control.py
@@ -1,4 +1,4 @@
-"""Measures what hosts spend on control: their links, probes and timers."""
+"""Measures the CPU time and traffic of a host's links, probes and timers."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from hollyknot_bench.demo import headers, until_ready
 
 _START_UP_S = 5.0
-"""Seconds after the start in which hosts still fetch documents."""
+"""Time after the start in which hosts still fetch documents, in seconds."""
 
 
 @attrs.frozen
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class _HostUsage:
-    """What one host spent in one window, by second."""
+    """What one host used during one window, per second of it."""
 
     sent: float
     received: float
@@ -34,11 +34,11 @@
 
 
 async def measure_control(sizes: Sizes, seed: int) -> list[Measure]:
-    """Runs two data centres of two hosts, idle and under load.
+    """Measures two data centres of two hosts, idle and under load.
 
     Args:
-        sizes: How much is measured.
-        seed: Of the arrivals.
+        sizes: Number and length of the rounds, and the request rate.
+        seed: Seed of the arrivals.
     """
     async with (
         running_fleet(FleetOptions()) as fleet,
@@ -80,7 +80,8 @@
         )
         for host in fleet.hosts
     ]
-    # It outlasts the windows, each of which asks for a status twice.
+    # The load must outlast all windows; the half second per window covers its
+    # two status requests.
     duration_s = sizes.control_rounds * (sizes.control_seconds + 0.5)
     return WholeLoad(tuple(targets), sizes.rate, duration_s, seed)
 
@@ -100,8 +101,8 @@
 ) -> list[_HostUsage]:
     pids = {name: host.pid for name, host in fleet.hosts.items()}
     clock = asyncio.get_running_loop().time
-    # The CPU's window lies within that of the traffic, so that the cost of
-    # asking for the status isn't counted.
+    # CPU times are read between the two status requests, so that the cost of
+    # answering these is not counted.
     before = await _read_traffic(session, fleet)
     cpu_before, began_s = cpu_s_by_name(pids), clock()
     await asyncio.sleep(seconds)
--- a/packages/bench/src/hollyknot_bench/_cost_data_path.py
+++ b/packages/bench/src/hollyknot_bench/_cost_data_path.py
@@ -1,4 +1,4 @@
-"""Measures what requests and streams cost one host."""
+"""Measures what requests and streams cost one host in CPU time and memory."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -43,20 +43,20 @@
 _SLOTS = 300
 _TOKEN_INTERVAL_S = 0.01
 _SLOW_FACTOR = 200.0
-"""Makes a token each 2 s, so that held streams cost memory and little else."""
+"""Slows engines to one token per 2 s, so that open streams use little CPU."""
 
 _SLOT_DISCOVERY_S = 4.0
-"""Seconds in which a host has asked each engine for its slots."""
+"""Time in which a host has learnt the slots of each engine, in seconds."""
 
 _LONG_ANSWER_TOKENS = 100_000
 
 
 async def measure_data_path(sizes: Sizes, seed: int) -> AsyncIterator[Measure]:
-    """Runs one host with its upstreams and yields what each load showed.
+    """Runs one host with its upstreams and yields the measures of each load.
 
     Args:
-        sizes: How much is measured.
-        seed: Of the arrivals.
+        sizes: Number and length of the rounds, and the loads.
+        seed: Seed of the arrivals.
     """
     options = FleetOptions(
         hosts=1,
@@ -76,15 +76,15 @@
 
 
 class _DataPath:
-    """One host under loads."""
+    """Puts one load after another on the only host of a fleet."""
 
     def __init__(self, fleet: Fleet, sizes: Sizes, seed: int) -> None:
-        """Takes a running fleet of one host.
+        """Builds the measurement of a running fleet of one host.
 
         Args:
-            fleet: The processes.
-            sizes: How much is measured.
-            seed: Of the arrivals.
+            fleet: The running processes.
+            sizes: Number and length of the rounds, and the loads.
+            seed: Seed of the arrivals.
         """
         self._fleet = fleet
         self._sizes = sizes
@@ -95,12 +95,13 @@
         self._pids = {name: c.pid for name, c in children.items()}
 
     async def measures(self) -> AsyncIterator[Measure]:
-        """Runs all loads and yields what each showed."""
+        """Runs all loads and yields the measures of each."""
         sizes = self._sizes
         idle = resident_bytes(self._host.pid)
         yield Measure("idle_host_rss", "MB", (idle / 1e6,))
-        # Before any other load: memory that it freed would be used again, and
-        # the streams would seem to cost nothing.
+        # The open streams come before any other load: memory that an earlier
+        # load had freed would be reused, and the streams would seem to cost
+        # nothing.
         await self._set_token_pace(_SLOW_FACTOR)
         yield await self._measure_held()
         await self._set_token_pace(0.0)
@@ -120,7 +121,7 @@
             yield found
 
     async def _set_token_pace(self, factor: float) -> None:
-        """Sets the engines' time between tokens, as a factor."""
+        """Multiplies the engines' time between tokens by a factor."""
         async with aiohttp.ClientSession() as session:
             for name in self._fleet.upstreams:
                 if "engine" not in name:
--- a/packages/bench/src/hollyknot_bench/_cost_load.py
+++ b/packages/bench/src/hollyknot_bench/_cost_load.py
@@ -1,7 +1,7 @@
-"""The load generator of `make cost`, run as a process of its own.
+"""Generates the load of `make cost`, in a process of its own.
 
-It takes the CPU time of the processes under load itself, so that a window of
-measure begins and ends with the load's window.
+The load generator itself reads the CPU times of the processes under load, so
+that they cover exactly the window in which the load runs.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 _EVENT = b"data: "
 _DONE = b"data: [DONE]\n\n"
 _TAIL_BYTES = 128
-"""Holds the last event and the host's comment that may follow it."""
+"""Room for the last event and the host's comment that may follow it."""
 
 _OK = 200
 _OPEN_TIMEOUT_S = 30.0
@@ -57,7 +57,7 @@
 
 
 class _WholeLoadRunner:
-    """Sends whole requests and records their latencies."""
+    """Sends requests for unstreamed answers and records their latencies."""
 
     def __init__(self, load: WholeLoad) -> None:
         self._load = load
@@ -96,7 +96,7 @@
     async def _send_timed(
         self, session: aiohttp.ClientSession, target: Target
     ) -> None:
-        # Not the loop's clock: uvloop's moves in steps of a millisecond.
+        # The clock of uvloop's event loop has a resolution of only 1 ms.
         began_s = time.perf_counter()
         try:
             async with _post(session, target) as response:
@@ -117,7 +117,7 @@
 
 
 class _StreamLoadRunner:
-    """Keeps streams going and counts what comes."""
+    """Keeps a number of streams open and counts the tokens read from them."""
 
     def __init__(self, load: StreamLoad) -> None:
         self._load = load
@@ -194,7 +194,7 @@
     session: aiohttp.ClientSession,
     target: Target,
 ) -> bool:
-    """Opens a stream, and returns once its first part has come."""
+    """Opens a stream and waits for its first bytes; returns whether it did."""
     try:
         async with asyncio.timeout(_OPEN_TIMEOUT_S):
             response = await _post(session, target)
@@ -211,7 +211,7 @@
 
 @click.group()
 def main() -> None:
-    """Puts one load on a host and prints what came of it."""
+    """Puts one load on a host and prints the result as JSON."""
 
 
 @main.command()
@@ -231,7 +231,7 @@
 @main.command()
 @click.argument("load")
 def held(load: str) -> None:
-    """Holds the streams of a `HeldLoad`, given as JSON."""
+    """Holds open the streams of a `HeldLoad`, given as JSON."""
     _run(_run_held(from_json(load, HeldLoad)))
 
 
--- a/packages/bench/src/hollyknot_bench/_cost_messages.py
+++ b/packages/bench/src/hollyknot_bench/_cost_messages.py
@@ -1,6 +1,6 @@
-"""What `make cost` and its load generators, processes of their own, exchange.
+"""Messages between `make cost` and its load generator processes.
 
-Options travel as one JSON argument, results as one JSON line.
+A load is passed as one JSON argument; the result is printed as one JSON line.
 """
 
 from typing import TypeVar
@@ -12,18 +12,18 @@
 T = TypeVar("T")
 
 QUOTE_BODY = '{"household": 7}'
-"""The body of an idempotent call of the fleet's plain service."""
+"""Body of an idempotent call to the fleet's service."""
 
 
 @attrs.frozen
 class Target:
-    """Where a load generator sends requests.
+    """A URL to which a load generator sends one fixed request.
 
     Attributes:
-        name: Under which results are reported.
-        url: Of the requests.
-        headers: Of the requests.
-        body: A JSON document.
+        name: Name under which results are reported.
+        url: URL of the requests.
+        headers: Headers of the requests.
+        body: JSON document that is sent as the body.
     """
 
     name: str
@@ -34,14 +34,15 @@
 
 @attrs.frozen
 class WholeLoad:
-    """Requests for whole answers, open loop with Poisson arrivals.
+    """Requests for unstreamed answers, open loop with Poisson arrivals.
 
     Attributes:
-        targets: Dealt in turn, so that all see the same moments.
-        rate: Requests a second, all targets together.
-        duration_s: Seconds.
-        seed: Of the arrivals.
-        pids: Whose CPU time is taken.
+        targets: Targets that get requests in turn, so that all are compared
+            under the same conditions.
+        rate: Requests per second, over all targets.
+        duration_s: Time during which requests are sent, in seconds.
+        seed: Seed of the arrivals.
+        pids: Processes whose CPU time is reported, by name.
     """
 
     targets: tuple[Target, ...]
@@ -53,14 +54,14 @@
 
 @attrs.frozen
 class StreamLoad:
-    """Streams, each begun again when it ends.
+    """A constant number of streams; each is reopened when it ends.
 
     Attributes:
-        target: Where.
-        streams: How many at once.
-        warm_up_s: Seconds before the measured window.
-        duration_s: Seconds of the measured window.
-        pids: Whose CPU time is taken over the window.
+        target: Target of the streams.
+        streams: Number of concurrent streams.
+        warm_up_s: Time before the measured window, in seconds.
+        duration_s: Length of the measured window, in seconds.
+        pids: Processes whose CPU time in the window is reported, by name.
     """
 
     target: Target
@@ -75,10 +76,11 @@
     """Slow streams that are opened in steps and held open.
 
     Attributes:
-        target: Where.
-        steps: How many are open at each step; rising.
-        settle_s: Seconds from a step's last first byte to its measure.
-        pid: Whose memory is taken.
+        target: Target of the streams.
+        steps: Number of open streams at each step, in rising order.
+        settle_s: Time to wait before memory is read, in seconds, once each
+            stream of a step has sent its first byte.
+        pid: Process whose resident memory is read.
     """
 
     target: Target
@@ -89,7 +91,7 @@
 
 @attrs.frozen
 class Latency:
-    """Percentiles over the answers of one target, in microseconds."""
+    """Latency percentiles of one target's answers, in microseconds."""
 
     count: int
     p50: float
@@ -99,13 +101,13 @@
 
 @attrs.frozen
 class WholeResult:
-    """The end of a `WholeLoad`.
+    """The result of a `WholeLoad`.
 
     Attributes:
-        latencies: By target.
-        failed: Requests without a complete answer.
-        cpu_s: CPU seconds of each process, the load generator's among them.
-        elapsed_s: Seconds.
+        latencies: Latencies by name of the target.
+        failed: Number of requests without a complete answer.
+        cpu_s: CPU seconds by process, including the load generator.
+        elapsed_s: Time from the first request to the last answer, in seconds.
     """
 
     latencies: dict[str, Latency]
@@ -116,14 +118,14 @@
 
 @attrs.frozen
 class StreamResult:
-    """The end of a `StreamLoad`.
+    """The result of a `StreamLoad`.
 
     Attributes:
-        tokens: Read within the window.
-        parts: Reads in which they came.
-        failed: Streams without a complete end.
-        cpu_s: CPU seconds of each process over the window.
-        elapsed_s: Seconds of the window.
+        tokens: Tokens received within the window.
+        parts: Reads from sockets that delivered the tokens.
+        failed: Number of streams that ended without the final event.
+        cpu_s: CPU seconds by process, within the window.
+        elapsed_s: Length of the window, in seconds.
     """
 
     tokens: int
@@ -135,12 +137,12 @@
 
 @attrs.frozen
 class HeldResult:
-    """The end of a `HeldLoad`.
+    """The result of a `HeldLoad`.
 
     Attributes:
-        streams: Streams open at each step.
-        resident_bytes: Memory at each step.
-        failed: Streams that could not be opened.
+        streams: Number of open streams at each step.
+        resident_bytes: Resident memory of the process at each step, in bytes.
+        failed: Number of streams that could not be opened.
     """
 
     streams: tuple[int, ...]
@@ -153,10 +155,10 @@
 
 
 def to_json(value: Load | LoadResult) -> str:
-    """Returns a message's JSON."""
+    """Returns a message as JSON text."""
     return orjson.dumps(cattrs.unstructure(value)).decode()
 
 
 def from_json(text: str, kind: type[T]) -> T:
-    """Returns the message that a JSON text holds."""
+    """Returns the message of a type that a JSON text represents."""
     return cattrs.structure(orjson.loads(text), kind)
--- a/packages/bench/src/hollyknot_bench/_cost_process.py
+++ b/packages/bench/src/hollyknot_bench/_cost_process.py
@@ -1,4 +1,4 @@
-"""CPU time and memory of processes, from /proc."""
+"""Reads the CPU time and memory of processes from /proc."""
 
 import os
 import pathlib
@@ -18,19 +18,20 @@
         OSError: There is no such process.
     """
     text = pathlib.Path(f"/proc/{pid}/stat").read_text("utf-8")
-    # The name stands in brackets and may have spaces and brackets itself.
+    # The command name is in brackets and may itself contain spaces and
+    # brackets, so fields are counted from the last closing bracket.
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
     return ticks / _TICKS_PER_S
 
 
 def cpu_s_by_name(pids: Mapping[str, int]) -> dict[str, float]:
-    """Returns the CPU seconds of processes, by name."""
+    """Returns the CPU seconds that each process has used, by its name."""
     return {name: cpu_s(pid) for name, pid in pids.items()}
 
 
 def resident_bytes(pid: int) -> int:
-    """Returns the resident memory of a process.
+    """Returns the resident memory of a process, in bytes.
 
     Raises:
         OSError: There is no such process.
--- a/packages/bench/src/hollyknot_bench/_cost_runner.py
+++ b/packages/bench/src/hollyknot_bench/_cost_runner.py
@@ -1,4 +1,4 @@
-"""Runs load generators and condenses rounds into measures."""
+"""Runs load generators and prints measures over several rounds."""
 
 import asyncio
 import contextlib
@@ -26,11 +26,11 @@
     """One printed line: the median of the rounds and their spread.
 
     Attributes:
-        name: What was measured.
-        unit: Its unit.
-        rounds: The value of each round.
-        digits: Digits after the point that are printed.
-        note: Said besides, such as what the bottleneck was.
+        name: Name of the measure.
+        unit: Unit of its values.
+        rounds: Value of each round.
+        digits: Number of decimal places that are printed.
+        note: Additional text, such as which process was the bottleneck.
     """
 
     name: str
@@ -40,7 +40,7 @@
     note: str = ""
 
     def line(self) -> str:
-        """Returns the JSON object of the measure."""
+        """Returns the measure as one line of JSON."""
         document: dict[str, object] = {
             "measure": self.name,
             "value": round(statistics.median(self.rounds), self.digits),
@@ -56,18 +56,20 @@
 
 
 class LoadError(Exception):
-    """A load generator ended without a result, or most of its load failed."""
+    """A load generator ended without a result, or without enough answers."""
 
 
 async def run_whole(load: WholeLoad) -> WholeResult:
-    """Runs a load of whole requests.
+    """Runs a load of requests for unstreamed answers.
 
     Raises:
-        LoadError: There is no result, or nothing was answered.
+        LoadError: There is no result, or a target answered no request.
     """
     result = from_json(await _run("whole", to_json(load)), WholeResult)
     if not all(latency.count for latency in result.latencies.values()):
-        raise LoadError(f"no answers: {result}; see the hosts' logs")
+        raise LoadError(
+            f"a target answered no request: {result}; see the hosts' logs"
+        )
     return result
 
 
@@ -75,11 +77,13 @@
     """Runs a load of streams.
 
     Raises:
-        LoadError: There is no result, or no token came.
+        LoadError: There is no result, or no token was received.
     """
     result = from_json(await _run("streams", to_json(load)), StreamResult)
     if not result.tokens:
-        raise LoadError(f"no tokens: {result}; see the hosts' logs")
+        raise LoadError(
+            f"streams delivered no token: {result}; see the hosts' logs"
+        )
     return result
 
 
@@ -87,12 +91,15 @@
     """Runs a load of streams that are held open.
 
     Raises:
-        LoadError: There is no result, or a stream could not be held: the
-            memory would be divided by too many.
+        LoadError: There is no result, or a stream could not be opened; the
+            memory per stream would then be computed from too many streams.
     """
     result = from_json(await _run("held", to_json(load)), HeldResult)
     if result.failed:
-        raise LoadError(f"{result.failed} streams were refused or failed")
+        raise LoadError(
+            f"{result.failed} of {result.streams[-1]} streams could not be"
+            " opened; see the hosts' logs"
+        )
     return result
 
 
@@ -112,7 +119,10 @@
             process.kill()
         await process.wait()
     if process.returncode:
-        raise LoadError(f"the load generator ended with {process.returncode}")
+        raise LoadError(
+            f"load generator `{command}` exited with {process.returncode};"
+            " see its standard error"
+        )
     return output.decode().splitlines()[-1]
 
 
@@ -122,6 +132,10 @@
 
 
 def busiest(shares: dict[str, float]) -> str:
-    """Returns the process with the highest core share, for a note."""
+    """Returns a note that names the process with the highest CPU use.
+
+    Args:
+        shares: Mean cores in use, by process.
+    """
     name = max(shares, key=lambda n: shares[n])
     return f"busiest: {name}, {shares[name]:.2f} of a core"
--- a/packages/bench/src/hollyknot_bench/_cost_sizes.py
+++ b/packages/bench/src/hollyknot_bench/_cost_sizes.py
@@ -1,22 +1,24 @@
-"""How much `make cost` measures."""
+"""Defines the number, length and load of the rounds of `make cost`."""
 
 import attrs
 
 
 @attrs.frozen
 class Sizes:
-    """Rounds, loads and times.
+    """Number, length and load of the rounds.
 
     Attributes:
-        rounds: Of each measure.
-        seconds: Of each round.
-        rate: Whole requests a second, half of them straight to the upstream.
-        streams: Streams at once; each yields 100 tokens a second.
-        saturating_streams: As many as should fill the host's core.
-        tokens: Tokens of each of those streams.
-        held: Open streams at which the host's memory is read.
-        control_rounds: Of the control's measures.
-        control_seconds: Of each of those rounds.
+        rounds: Rounds of each load on requests and streams.
+        seconds: Length of each of these rounds, in seconds.
+        rate: Requests for unstreamed answers per second; half of them go
+            directly to the upstream.
+        streams: Concurrent streams, of 100 tokens per second each.
+        saturating_streams: Concurrent streams that should use all of the
+            host's core.
+        tokens: Tokens of each of the concurrent streams.
+        held: Numbers of open streams at which the host's memory is read.
+        control_rounds: Rounds of the measures of links, probes and timers.
+        control_seconds: Length of each of these rounds, in seconds.
     """
 
     rounds: int
--- a/packages/bench/src/hollyknot_bench/_processes.py
+++ b/packages/bench/src/hollyknot_bench/_processes.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and hosts as processes on loopback, and ends them."""
+"""Starts and stops stand-ins and hosts as processes on loopback."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,13 @@
 
 @attrs.define
 class Child:
-    """A process that was started here.
+    """A process that this module started.
 
     Attributes:
-        name: For messages.
+        name: Name of the process in error messages.
         process: The process.
-        fields: What it printed about itself when it was ready.
+        fields: `key=value` pairs of the line with which it reported that it
+            was ready.
         lines: The last lines that it printed.
     """
 
@@ -34,25 +35,25 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.process.pid
 
     def port(self, field: str = "port") -> int:
-        """Returns a port that it printed."""
+        """Returns a port from a field that the process printed when ready."""
         return int(self.fields[field])
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal, if it still runs."""
+        """Sends a signal to the process, if it is still running."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def wait(self) -> int:
-        """Waits for its end and returns its exit code."""
+        """Waits for the process to end and returns its exit code."""
         return await self.process.wait()
 
 
 class StartError(Exception):
-    """A process ended, or was silent, before it was ready."""
+    """A process ended or timed out before it reported that it was ready."""
 
 
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
@@ -69,14 +70,14 @@
     """Runs a Python module as a process until the context ends.
 
     Args:
-        name: For messages.
-        arguments: After the interpreter.
-        ready_mark: A line that has it says that the process is ready; its
-            `key=value` pairs become the child's fields.
-        log: Where its output goes besides; nowhere if absent.
+        name: Name of the process in error messages.
+        arguments: Arguments of the Python interpreter.
+        ready_mark: Text in the line with which the process reports that it is
+            ready; the `key=value` pairs of this line become the child's fields.
+        log: File to which the output is appended, if any.
 
     Raises:
-        StartError: It wasn't ready in time.
+        StartError: The process ended or was not ready in time.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -107,7 +108,11 @@
     )
     waiting.cancel()
     if not ready.is_set():
-        raise StartError(f"{found.name}: {' | '.join(found.lines[-20:])}")
+        raise StartError(
+            f"process {found.name} ended or was not ready within"
+            f" {START_TIMEOUT_S:g} s; its last lines:"
+            f" {' | '.join(found.lines[-20:])}"
+        )
 
 
 async def _read(
@@ -117,7 +122,9 @@
     log: pathlib.Path | None,
 ) -> None:
     if found.process.stdout is None:
-        raise StartError(f"{found.name}: it has no output to read")
+        raise StartError(
+            f"process {found.name} has no standard output; start it with a pipe"
+        )
     with contextlib.ExitStack() as stack:
         sink = stack.enter_context(log.open("ab")) if log else None
         async for raw in found.process.stdout:
--- a/packages/bench/src/hollyknot_bench/cost.py
+++ b/packages/bench/src/hollyknot_bench/cost.py
@@ -1,6 +1,6 @@
-"""`make cost`: what a host costs, from real processes over loopback.
+"""Implements `make cost`: measures a host's cost in processes on loopback.
 
-Prints one JSON object a line; progress goes to standard error.
+Prints one JSON object per line; progress goes to standard error.
 """
 
 import asyncio
@@ -32,10 +32,10 @@
     help="Which part to measure.",
 )
 def main(seed: int, quick: bool, only: str) -> None:
-    """Measures what a host costs and prints a JSON object a line.
+    """Measures what a host costs and prints one JSON object per line.
 
-    Each value is the median of some rounds, with their spread. All processes
-    share this machine, so that figures of a busy one are too high.
+    Each value is the median of several rounds, with their spread. All
+    processes share this machine, so other work on it makes values too high.
 
     Example: python -m hollyknot_bench.cost --quick --only data
     """
