--- a/packages/bench/src/hollyknot_bench/_fleet.py
+++ b/packages/bench/src/hollyknot_bench/_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet: the platform, upstreams and hosts, each its own process."""
+"""Runs a small fleet: platform, upstreams and hosts as processes."""
 
 import contextlib
 import hashlib
@@ -28,7 +28,7 @@
 
 
 def declarations() -> dict[str, object]:
-    """Returns what the fleet's operators declare."""
+    """Returns the declarations that the configuration service publishes."""
     customers = {
         name: {
             "key_sha256": hashlib.sha256(key_of(name).encode()).hexdigest(),
@@ -57,21 +57,23 @@
 
 @attrs.frozen
 class FleetOptions:
-    """The fleet's size.
+    """Size and timing of a fleet.
 
     Attributes:
-        hosts: Hosts in each data centre.
-        engines: Engines in each data centre.
-        services: Plain services in each data centre.
+        hosts: Number of hosts in each data centre.
+        engines: Number of engines in each data centre.
+        services: Number of services in each data centre.
         data_centres: Names of the data centres.
-        token_interval_s: The engines' time between tokens.
-        slots: The engines' batch size.
-        engine_tokens: The length of the engines' answers, unless a request's
-            `max_tokens` is less.
-        trace_dir: Where hosts write their spans; nowhere if absent.
-        log_dir: Where the output of all processes goes besides.
-        handover_s: How long stopping hosts wait for their claims to be taken
-            over; not at all, unless the host list is told that they leave.
+        token_interval_s: Time between two tokens of an engine, in seconds.
+        slots: Number of requests that an engine runs at once.
+        engine_tokens: Length of the engines' answers in tokens, unless a
+            request's `max_tokens` is less.
+        trace_dir: Directory to which hosts write their spans, if any.
+        log_dir: Directory to which the output of all processes is also
+            written, if any.
+        handover_s: How long a stopping host waits until others have taken over
+            its claims, in seconds. They do so only if the host list marks the
+            host as leaving, so the default is not to wait.
     """
 
     hosts: int = 2
@@ -88,14 +90,14 @@
 
 @attrs.define
 class Fleet:
-    """The running processes.
+    """The running processes of a fleet.
 
     Attributes:
-        configuration: The configuration service.
-        host_list: The host list.
-        hosts: The hosts by name.
+        configuration: Process of the configuration service.
+        host_list: Process of the host list service.
+        hosts: Hosts by name.
         upstreams: Engines and services by name.
-        entries: What the host list holds.
+        entries: Entries of the host list.
     """
 
     configuration: Child
@@ -105,22 +107,22 @@
     entries: list[dict[str, object]] = attrs.Factory(list)
 
     def callers_url(self, host: str) -> str:
-        """Returns where a host serves callers."""
+        """Returns the base URL at which a host serves callers."""
         return f"http://{LOOPBACK}:{self.hosts[host].port('callers_port')}"
 
     def operators_url(self, host: str) -> str:
-        """Returns where a host serves operators."""
+        """Returns the base URL at which a host serves operators."""
         return f"http://{LOOPBACK}:{self.hosts[host].port('operators_port')}"
 
     def upstream_url(self, name: str) -> str:
-        """Returns where an upstream serves."""
+        """Returns the base URL of an upstream."""
         return f"http://{LOOPBACK}:{self.upstreams[name].port()}"
 
 
 def entry(
     name: str, role: str, data_centre: str, port: int, pools: tuple[str, ...]
 ) -> dict[str, object]:
-    """Returns an entry of the host list."""
+    """Returns the host list entry of a live host or upstream."""
     return {
         "name": name,
         "role": role,
@@ -141,13 +143,14 @@
 
 @contextlib.asynccontextmanager
 async def running_fleet(options: FleetOptions) -> AsyncIterator[Fleet]:
-    """Runs a fleet until the context ends; no process is left behind.
+    """Runs a fleet until the context ends, then stops all its processes.
 
     Args:
-        options: The fleet's size.
+        options: Size and timing of the fleet.
 
     Yields:
-        The fleet, whose host list is published; hosts may still be learning.
+        The fleet. Its host list is published, but hosts may not have fetched
+        it yet.
     """
     async with contextlib.AsyncExitStack() as stack:
         directory = pathlib.Path(
@@ -230,7 +233,7 @@
     directory: pathlib.Path,
     options: FleetOptions,
 ) -> Child:
-    """Starts one host and adds it to the fleet's entries, unpublished."""
+    """Starts one host and adds its entry to the fleet, not yet published."""
     settings = directory / f"{name}.json"
     settings.write_bytes(
         orjson.dumps(_settings(fleet, name, data_centre, options))
--- a/packages/bench/src/hollyknot_bench/_matrix_cells.py
+++ b/packages/bench/src/hollyknot_bench/_matrix_cells.py
@@ -1,4 +1,4 @@
-"""The rows and columns of the fault matrix, and the cells that don't apply."""
+"""Defines the rows, columns and inapplicable cells of the fault matrix."""
 
 FAULTS = (
     "upstream crash",
@@ -21,7 +21,7 @@
     "poison request",
     "burst",
 )
-"""What fails, as the users name it."""
+"""Rows: the faults, under the names that the users gave them."""
 
 STEPS = (
     "accepted",
@@ -34,7 +34,7 @@
     "last byte",
     "recorded",
 )
-"""The steps of a request's life."""
+"""Columns: the steps of a request, from its arrival to its last record."""
 
 _KEEPS_VIEW = (
     "a request keeps the documents that were in force when it was accepted, so"
@@ -97,7 +97,7 @@
     **_cells(("poison request",), ("connecting", "recorded"), _CONTENT),
     **_cells(("burst",), ("claimed", "connecting", *_AFTER_CHOICE), _ADMITTED),
 }
-"""Cells in which the fault has nothing to act on, with the reason.
+"""Cells in which the fault cannot affect the request, with the reason.
 
-A test that is written for such a cell takes the reason's place.
+If a test names such a cell, the matrix shows the test instead.
 """
--- a/packages/bench/src/hollyknot_bench/_routing_measures.py
+++ b/packages/bench/src/hollyknot_bench/_routing_measures.py
@@ -1,7 +1,7 @@
-"""Prints the figures of the decision record on routing and limits.
+"""Compares routing policies in the model and times the upstream table.
 
-Run `python -m hollyknot_bench._routing_measures NAME` with a name of `PARTS`,
-or without for all. All but the times of `choose` depend on seeds alone.
+Run `python -m hollyknot_bench._routing_measures NAME` with a name in `PARTS`,
+or without a name for all. All output except times depends on seeds alone.
 """
 
 import random
@@ -57,7 +57,7 @@
 
 
 def herding() -> None:
-    """Compares policies when all hosts see the same late reports."""
+    """Compares policies when all hosts get the same delayed load reports."""
     policies = {
         "least reported": RoutingScenario(reports_only=True),
         "one at random": RoutingScenario(
@@ -89,7 +89,7 @@
 
 
 def locality() -> None:
-    """Compares prefix locality with least load alone."""
+    """Compares routing with and without prefix locality."""
     for hosts in (8, 64):
         for utilisation in (0.6, 0.8, 0.9):
             for is_on in (True, False):
@@ -107,7 +107,7 @@
 
 
 def hot_prefix() -> None:
-    """Shows that one prefix in most requests makes no hot spot."""
+    """Compares the load of engines when all requests share one prefix."""
     for bound, label in ((1.25, "bounded"), (INFINITE_S, "without a bound")):
         options = RoutingOptions(locality_bound_factor=bound)
         _print_result(
@@ -117,7 +117,10 @@
 
 
 def straggler() -> None:
-    """Follows the limits for an engine that straggles, lies and heals."""
+    """Prints the limits of an engine that is slow for a time.
+
+    While it is slow, the engine reports that it has no load.
+    """
     for hosts in (8, 64):
         scenario = RoutingScenario(
             hosts=hosts,
@@ -157,7 +160,7 @@
 
 
 def subsets() -> None:
-    """Measures balance and churn of subsets at a data centre's size."""
+    """Compares the balance and churn of subsets in a large data centre."""
     for count in (53, 200, 1111):
         for size in (8, 16, 32):
             for label, choose in (
@@ -199,7 +202,7 @@
 
 
 def choose_time() -> None:
-    """Times `choose` with `on_finished`, and a host list."""
+    """Times `choose` with `on_finished`, and the update by a host list."""
     for count in (4, 16, 64, 256, 1111):
         for prefix in (0, 1):
             _print_choose_time(count, prefix)
@@ -253,7 +256,7 @@
 
 
 def host_list_time() -> None:
-    """Times a whole host list at the largest size: all pools, 9 centres."""
+    """Times the update by a host list of all pools of nine data centres."""
     hosts = [
         HostListEntry(f"h{i}", Role.HOST, f"dc{i % 9}", "127.0.0.1", 1)
         for i in range(2_500)
@@ -293,7 +296,7 @@
 
 
 def main() -> None:
-    """Prints the parts that the arguments name, or all."""
+    """Runs the parts that the arguments name, or all."""
     for name in sys.argv[1:] or PARTS:
         print(f"# {name}")
         PARTS[name]()
--- a/packages/bench/src/hollyknot_bench/_routing_model.py
+++ b/packages/bench/src/hollyknot_bench/_routing_model.py
@@ -1,10 +1,10 @@
-"""A seeded model of many hosts that choose among the same upstreams.
+"""Models many hosts that route requests to the same upstreams.
 
-Engines run up to their slots and queue the rest; they keep a few prefixes,
-which shorten the time to the first byte. Load reports come once a second, late,
-to all hosts at once: the worst case for herding. Times are seconds of a
-virtual clock. Arrivals and the work of each request depend on the seed alone,
-so that policies meet the same load.
+An engine runs as many requests as it has slots and queues the rest; it caches a
+few prefixes, which shortens the time to the first byte. Load reports reach all
+hosts at once, each second and with a delay, which is the worst case for
+herding. Times are seconds of a virtual clock. Arrivals and the length of each
+request depend on the seed alone, so that all policies get the same load.
 """
 
 import functools
@@ -41,29 +41,32 @@
 
 @attrs.frozen
 class RoutingScenario:
-    """One run.
+    """Parameters of one run of the model.
 
     Attributes:
-        options: The hosts' routing options.
-        reports_only: Whether hosts ignore the table and take the upstream
+        options: Routing options of the hosts.
+        reports_only: Whether hosts ignore the table and choose the upstream
             with the least reported load, as a naive router does.
-        hosts: Hosts, with equal parts of the load.
-        upstreams: Engines.
-        slots: Of each engine.
-        use: Offered load over the engines' capacity, without warm prefixes.
-        cold_s: Time to the first token of an unknown prefix.
-        warm_s: The same of a kept prefix.
-        decode_s: Time from first to last token.
-        prefixes: Distinct prefixes, drawn by Zipf's law; 0 for none.
-        kept: Prefixes that an engine keeps, least recently used first out.
-        slow_factor: By how much engine 0 is slower while it straggles; it
-            reports no load then.
-        slow_from_s: When it starts to straggle.
-        slow_to_s: When it heals.
-        target_s: The target for the first byte, from arrival.
-        report_lag_s: Age of load reports when hosts get them.
-        seed: Of the run's randomness.
-        duration_s: Of the run.
+        hosts: Number of hosts; each gets an equal share of the requests.
+        upstreams: Number of engines.
+        slots: Number of requests that an engine runs at once.
+        utilisation: Offered load over the engines' capacity, if no prefix were
+            cached.
+        cold_s: Time to first token if the prefix is not cached, in seconds.
+        warm_s: Time to first token if the prefix is cached, in seconds.
+        decode_s: Mean time from the first to the last token, in seconds.
+        prefixes: Number of distinct prefixes, which are drawn by Zipf's law; 0
+            for requests without prefixes.
+        cached: Number of prefixes that an engine caches; the least recently
+            used one is evicted first.
+        slow_factor: Factor by which engine 0 is slower while it straggles; it
+            also reports that it is idle then.
+        slow_from_s: Time at which engine 0 starts to straggle, in seconds.
+        slow_to_s: Time at which engine 0 recovers, in seconds.
+        target_s: Target for the time from arrival to first byte, in seconds.
+        report_lag_s: Age of a load report when hosts receive it, in seconds.
+        seed: Seed of all randomness in the run.
+        duration_s: Length of the run, in seconds.
     """
 
     options: RoutingOptions = attrs.Factory(RoutingOptions)
@@ -88,12 +91,12 @@
 
 @attrs.frozen
 class RoutingSample:
-    """One second of engine 0, the straggler.
+    """State of engine 0, the straggler, at one moment.
 
     Attributes:
-        at_s: When.
-        limit_sum: The limits for it, over all hosts.
-        in_flight: Requests there.
+        at_s: Time of the sample, in seconds.
+        limit_sum: Sum of all hosts' concurrency limits for the engine.
+        in_flight: Number of requests that run or queue at the engine.
     """
 
     at_s: float
@@ -103,17 +106,18 @@
 
 @attrs.frozen
 class RoutingResult:
-    """What a run measured.
+    """Results of one run of the model.
 
     Attributes:
-        attainment: Share of requests with a first byte in target.
-        median_s: Median time from arrival to the first byte.
-        p99_s: Its 99th percentile.
-        excess: Mean over time of the fullest engine's load above the mean
-            load, in slots of one engine.
-        warm: Share of requests that met a kept prefix.
-        completed: Requests that ended.
-        samples: Engine 0, once a second.
+        attainment: Share of requests whose first byte met the target, 0 to 1.
+        median_s: Median time from arrival to first byte, in seconds.
+        p99_s: 99th percentile of the time from arrival to first byte, in
+            seconds.
+        excess: Mean over time of the difference between the highest load of an
+            engine and the mean load, as a multiple of an engine's slots.
+        warm: Share of requests whose prefix was cached, 0 to 1.
+        completed: Number of requests that got a first byte.
+        samples: States of engine 0, one per second.
     """
 
     attainment: float
@@ -145,10 +149,10 @@
 
 
 class RoutingModel:
-    """Plays one scenario."""
+    """Simulates one scenario."""
 
     def __init__(self, scenario: RoutingScenario) -> None:
-        """Builds hosts and engines."""
+        """Builds the hosts and engines of a scenario, without load."""
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
         self._tie_rng = random.Random(scenario.seed)
@@ -173,7 +177,7 @@
         self._tables = [self._table(i) for i in range(scenario.hosts)]
 
     def run(self) -> RoutingResult:
-        """Plays the scenario to its end."""
+        """Runs the scenario to its end and returns the results."""
         self._arrive()
         self._report()
         self._sample()
--- a/packages/bench/src/hollyknot_bench/_suspects_model.py
+++ b/packages/bench/src/hollyknot_bench/_suspects_model.py
@@ -1,9 +1,9 @@
-"""How many crashes one request causes, with and without the register.
+"""Models the crashes that one request causes with and without the register.
 
-A seeded model under virtual time: hosts send requests of fixed length to
-upstreams; one request crashes each upstream that runs it, and its caller sends
-it again through any host, for ever. Hosts tell each other evidence once a
-second. Times are seconds.
+Hosts send requests to upstreams under a virtual clock. One request, the
+culprit, crashes each upstream that runs it, and its caller resends it through
+any host, without end. Hosts exchange evidence at a fixed interval. All
+randomness comes from a seed; times are seconds.
 """
 
 import heapq
@@ -30,21 +30,25 @@
 
 @attrs.frozen
 class SuspectsScenario:
-    """One run.
+    """Parameters of one run of the model.
 
     Attributes:
-        hosts: Hosts that share evidence.
-        upstreams: Upstreams that all of them use.
-        batch: Requests that an upstream runs at once under the load.
-        is_defended: Whether hosts use the register.
-        max_per_upstream: Suspects of one crash that may share an upstream.
-        seed: Of the run's randomness.
-        length_s: Time that a request runs.
-        poison_after_s: Time after which the culprit crashes its upstream.
-        restart_s: Time that a crashed upstream is away.
-        gossip_s: Interval at which hosts tell evidence.
-        again_s: Time after which a caller sends a lost request again.
-        duration_s: Of the run.
+        hosts: Number of hosts, which share evidence.
+        upstreams: Number of upstreams, which all hosts use.
+        batch: Mean number of requests that an upstream runs at once.
+        uses_register: Whether hosts use the register.
+        max_per_upstream: Maximum number of suspects of one crash that run at
+            one upstream.
+        seed: Seed of all randomness in the run.
+        length_s: Mean time that a request runs, in seconds.
+        crash_after_s: Time from the start of the culprit to the crash of its
+            upstream, in seconds.
+        restart_s: Time until a crashed upstream runs again, in seconds.
+        gossip_interval_s: Interval at which hosts exchange evidence, in
+            seconds.
+        resend_after_s: Least time after which a caller resends a lost request,
+            in seconds.
+        duration_s: Length of the run, in seconds.
     """
 
     hosts: int
@@ -63,16 +67,19 @@
 
 @attrs.frozen
 class SuspectsResult:
-    """What a run counted.
+    """Results of one run of the model.
 
     Attributes:
-        crashes: Crashes caused by the culprit.
-        last_crash_s: When the last one was.
-        lost: Requests of others that a crash ended.
-        refused: Innocent requests that were refused for long.
-        delayed: Innocent requests that had to wait as suspects.
-        delay_max_s: The longest time from a loss to completion.
-        completed: Innocent requests that completed.
+        crashes: Number of crashes that the culprit caused.
+        last_crash_s: Time of the last crash, in seconds.
+        lost: Number of times that a crash ended an innocent request.
+        refused: Number of refusals of innocent requests that asked for a retry
+            after more than one second.
+        delayed: Number of innocent requests that were resent after a loss or
+            had to wait as suspects.
+        delay_max_s: Longest time from the loss of a request to its completion,
+            in seconds.
+        completed: Number of innocent requests that completed.
     """
 
     crashes: int
@@ -113,7 +120,8 @@
         scenario = self.scenario
         self.next_fingerprint += 1
         self.send(self.next_fingerprint)
-        # Little's law: as many arrive as keep each batch full.
+        # By Little's law, this rate keeps `batch` requests running at each
+        # upstream.
         rate = scenario.upstreams * scenario.batch / scenario.length_s
         self.at(self.rng.expovariate(rate), self.arrive)
 
@@ -159,7 +167,7 @@
     def finish(
         self, fingerprint: int, upstream: int, batch: dict[int, int]
     ) -> None:
-        # A crash replaces the batch, so an answer of before it never comes.
+        # A crash replaces the batch; requests of the old one do not complete.
         if self.running[upstream] is not batch:
             return
         host = batch.pop(fingerprint)
@@ -215,7 +223,7 @@
 
 
 def run_suspects(scenario: SuspectsScenario) -> SuspectsResult:
-    """Plays one scenario."""
+    """Simulates one scenario and returns the results."""
     run = _Run(scenario, random.Random(scenario.seed))
     run.registers = [
         SuspectRegister(
@@ -244,7 +252,7 @@
 
 
 def main() -> None:
-    """Prints the table of the decision record on suspects."""
+    """Prints a table of results by batch size, host count, limit and seed."""
     print("batch hosts defence crashes last_s lost refused delayed max_delay_s")
     for batch, hosts in itertools.product((8, 64), (1, 4, 8)):
         for max_per_upstream in (0, 1, 8):
--- a/packages/bench/src/hollyknot_bench/demo.py
+++ b/packages/bench/src/hollyknot_bench/demo.py
@@ -1,6 +1,6 @@
-"""`make demo`: the whole path, as separate processes on loopback.
+"""Implements `make demo`: checks a fleet of processes on loopback.
 
-Exits 0 only if every check held and no process was left behind.
+Exits with 0 only if every check passed and every process ended normally.
 """
 
 import asyncio
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Check:
-    """One thing that must hold.
+    """Result of one check.
 
     Attributes:
-        name: What.
-        held: Whether it did.
-        seen: What was seen.
+        name: What was checked.
+        held: Whether the check passed.
+        seen: What was observed.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 def new_idempotency_key() -> str:
-    """Returns a UUID of version 7 (RFC 9562) of this moment."""
+    """Returns a UUID of version 7 (RFC 9562) with the current time."""
     milliseconds = time.time_ns() // 1_000_000
     value = milliseconds << 80 | secrets.randbits(80)
     value = value & ~(0xF << 76) | 0x7 << 76
@@ -57,7 +57,7 @@
 
 
 def headers(customer: str, request_class: str = "") -> dict[str, str]:
-    """Returns the headers of a customer's request."""
+    """Returns headers with a customer's key and, if given, a request class."""
     found = {"Authorization": f"Bearer {key_of(customer)}"}
     if request_class:
         found["X-Request-Class"] = request_class
@@ -68,7 +68,7 @@
     """Waits until every host is ready.
 
     Raises:
-        TimeoutError: One isn't, after a bounded number of tries.
+        TimeoutError: A host is not ready after `_READY_TRIES` requests.
     """
     for name in fleet.hosts:
         url = fleet.operators_url(name) + "/readyz"
@@ -79,7 +79,10 @@
             await asyncio.sleep(_READY_PAUSE_S)
         else:
             lines = "\n".join(fleet.hosts[name].lines[-20:])
-            raise TimeoutError(f"{name} is not ready:\n{lines}")
+            raise TimeoutError(
+                f"host {name} is not ready after {_READY_TRIES} requests to"
+                f" {url}; its last lines:\n{lines}"
+            )
 
 
 def _prompt(text: str, streamed: bool) -> dict[str, object]:
@@ -91,7 +94,7 @@
 
 
 def whole(host: str, customer: str, request_class: str) -> Step:
-    """Returns a step that asks for a whole answer."""
+    """Returns a step that requests an unstreamed answer."""
 
     async def step(session: aiohttp.ClientSession, fleet: Fleet) -> Check:
         url = fleet.callers_url(host) + "/v1/chat/completions"
@@ -110,7 +113,7 @@
 
 
 def streamed(host: str, customer: str, request_class: str) -> Step:
-    """Returns a step that asks for a streamed answer."""
+    """Returns a step that requests a streamed answer."""
 
     async def step(session: aiohttp.ClientSession, fleet: Fleet) -> Check:
         url = fleet.callers_url(host) + "/v1/chat/completions"
@@ -129,7 +132,7 @@
 
 
 def once_by_two_hosts(first: str, second: str) -> Step:
-    """Returns a step that sends one non-idempotent call by two hosts."""
+    """Returns a step that sends one non-idempotent call through two hosts."""
 
     async def step(session: aiohttp.ClientSession, fleet: Fleet) -> Check:
         key = new_idempotency_key()
@@ -155,7 +158,7 @@
 async def times_run(
     session: aiohttp.ClientSession, fleet: Fleet, key: str
 ) -> int:
-    """Returns how often the services ran the calls with a key."""
+    """Returns how often all services together ran the call with a key."""
     count = 0
     for name in fleet.upstreams:
         if "service" not in name:
@@ -178,7 +181,7 @@
 
 
 async def run_demo() -> list[Check]:
-    """Runs the demo and returns what it saw."""
+    """Runs the demo and returns the results of its checks."""
     click.echo("starting the platform, the upstreams and four hosts ...")
     checks: list[Check] = []
     async with running_fleet(FleetOptions()) as fleet:
@@ -204,7 +207,7 @@
 
 @click.command()
 def main() -> None:
-    """Runs the demo; exits 0 only if all of it held."""
+    """Runs the demo; exits with 0 only if all checks passed."""
     checks = asyncio.run(run_demo())
     held = sum(check.held for check in checks)
     for check in checks[-2:]:
--- a/packages/bench/src/hollyknot_bench/experiment/__init__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__init__.py
@@ -1,12 +1,12 @@
-"""Plays loads through the decisions that serve, against emulated engines.
+"""Simulates loads on the product's routing decisions and emulated engines.
 
     python -m hollyknot_bench.experiment examples/loads/short-answers.json
 
-A policy is a function that makes a host; two of them are compared on the same
+A policy is a function that builds a host. Compare two policies on the same
 seeds:
 
-    play(load, seed)               # the decisions of the product
-    play(load, seed, make_other)   # another host
+    play(load, seed)               # the routing decisions of the product
+    play(load, seed, make_other)   # another policy
 """
 
 from hollyknot_bench.experiment._host import Host, make_host
--- a/packages/bench/src/hollyknot_bench/experiment/__main__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `python -m hollyknot_bench.experiment LOAD`."""
+"""Implements the command `python -m hollyknot_bench.experiment LOAD`."""
 
 import concurrent.futures
 import os
@@ -16,7 +16,7 @@
 from hollyknot_state import Problem
 
 _BIN_S = 2.0
-"""The width of a column in the table of worth by time."""
+"""Width of a column in the printed row of worth by time, in seconds."""
 
 
 @click.command()
@@ -47,7 +47,7 @@
     asks: bool,
     hosts: int,
 ) -> None:
-    """Play a load on several seeds and print what callers got."""
+    """Simulate a load on several seeds and print what callers got."""
     load = read_load(file)
     if isinstance(load, Problem):
         click.echo(f"{file}: {load}", err=True)
--- a/packages/bench/src/hollyknot_bench/experiment/_engine.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_engine.py
@@ -1,8 +1,8 @@
-"""A model engine under a virtual clock.
+"""Emulates an engine under a virtual clock.
 
-It works in steps: each makes one token for every stream that runs, and reads
-a piece of the prompts that wait, which makes the step longer for all of them.
-Parts of prompts are cached until newer ones need their memory.
+The engine works in steps. Each step decodes one token of every running stream
+and prefills a chunk of the prompts that need it, which makes the step longer
+for all streams. Parts of prompts stay cached until newer ones need the memory.
 """
 
 from collections import OrderedDict
@@ -13,18 +13,20 @@
 
 @attrs.frozen
 class EngineParameters:
-    """What an engine is like.
+    """Speed and memory of an engine.
 
     Attributes:
-        slots: Requests at once.
-        step_ms: The shortest step.
-        step_ms_per_slot: What each stream adds to it.
-        context_ms_per_k: What each thousand tokens of running streams add.
-        tokens_per_ms: How fast prompts are read.
-        first_ms: From a stream's first token to its first event.
-        stride: Tokens in an event.
-        chunk: Prompt tokens that a step reads at most.
-        cached_tokens: Memory for running streams and cached parts.
+        slots: Number of requests that run at once.
+        step_ms: Length of a step without streams, in milliseconds.
+        step_ms_per_slot: Milliseconds that each decoding stream adds to a step.
+        context_ms_per_k: Milliseconds that each thousand context tokens of
+            decoding streams add to a step.
+        tokens_per_ms: Prompt tokens prefilled per millisecond.
+        first_ms: Delay from a token to the event that carries it, in
+            milliseconds.
+        stride: Number of tokens in an event, after a stream's first event.
+        chunk: Maximum number of prompt tokens that one step prefills.
+        cached_tokens: Memory for running streams and cached parts, in tokens.
     """
 
     slots: int
@@ -43,16 +45,19 @@
     """A request at an engine.
 
     Attributes:
-        prompt: Names and lengths of its parts; the last is its own.
-        out_tokens: To be made.
-        urgency: 0 is the first.
-        on_event: Told of each event with its time and whether it is the last.
-        on_lost: Told that the engine has crashed.
-        source: An engine from which cached parts are fetched; a fetch takes
-            some milliseconds, which are left out.
-        unread: Prompt tokens still to be read.
-        made: Tokens made so far.
-        read: Prompt tokens that were read for it.
+        prompt: Names of the prompt's parts and their lengths in tokens; the
+            last part is never shared with other requests.
+        out_tokens: Number of tokens to decode.
+        urgency: Priority; lower values run first, from 0.
+        on_event: Called for each event with its time in seconds and whether it
+            is the last.
+        on_lost: Called with the time in seconds if the engine crashes.
+        source: Engine from which cached parts are fetched, if any. A real
+            fetch takes a few milliseconds, which the emulation neglects.
+        unread: Prompt tokens that are still to be prefilled.
+        made: Tokens decoded so far.
+        read: Tokens that this engine prefilled for the request, including
+            those prefilled again after a preemption.
     """
 
     prompt: tuple[tuple[str, int], ...]
@@ -67,15 +72,20 @@
 
     @property
     def context(self) -> int:
-        """Tokens that it holds in memory."""
+        """Tokens that the request holds in the engine's memory."""
         return sum(tokens for _, tokens in self.prompt) + self.made
 
 
 class Engine:
-    """One engine; its owner calls `step` when `next_s` has come."""
+    """An emulated engine, whose owner must call `step` at the time `next_s`."""
 
     def __init__(self, figures: EngineParameters, slowness: float) -> None:
-        """Starts empty."""
+        """Builds an idle engine with an empty cache.
+
+        Args:
+            figures: Speed and memory of the engine.
+            slowness: Factor on the length of each step; 1 for normal speed.
+        """
         self._figures = figures
         self._slowness = slowness
         self._waiting: list[EngineRequest] = []
@@ -92,21 +102,21 @@
         self._ever_cached: set[str] = set()
 
     def submit(self, run: EngineRequest, now_s: float) -> None:
-        """Takes a request."""
+        """Queues a request, and starts a step if the engine is idle."""
         self._waiting.append(run)
-        # Stable: of equal urgency the first to come is the first served.
+        # The sort is stable, so requests of equal urgency keep their order.
         self._waiting.sort(key=lambda waiting: waiting.urgency)
         if self.next_s is None:
             self._begin(now_s)
 
     def cancel(self, run: EngineRequest) -> None:
-        """Ends a request whose caller has gone."""
+        """Removes a request whose caller has disconnected."""
         for runs in (self._waiting, self._active):
             if run in runs:
                 runs.remove(run)
 
     def crash(self, now_s: float) -> None:
-        """Loses all requests and all memory."""
+        """Drops all requests and the cache, and marks the engine as down."""
         lost = self._waiting + self._active
         self._waiting, self._active, self._prefills = [], [], []
         self._cached.clear()
@@ -116,11 +126,11 @@
             run.on_lost(now_s)
 
     def recover(self) -> None:
-        """Takes requests again."""
+        """Marks the engine as running again after a crash."""
         self.is_down = False
 
     def step(self) -> None:
-        """Ends the step that was due, and begins the next one."""
+        """Completes the step that ends at `next_s` and starts the next one."""
         assert self.next_s is not None
         now_s = self.next_s
         for run, tokens in self._prefills:
@@ -174,13 +184,18 @@
     def _admit(self) -> None:
         while self._waiting and self._make_room():
             run = self._waiting.pop(0)
-            # What a run had made before it was put back is read again.
+            # Tokens that a request decoded before it was preempted must be
+            # prefilled too.
             run.unread = max(1, self._count_tokens_to_prefill(run)) + run.made
             run.read += run.unread
             self._active.append(run)
 
     def _make_room(self) -> bool:
-        """Makes a place, if need be, by putting back what is less urgent."""
+        """Returns whether a slot is free, after a preemption if one is needed.
+
+        If all slots are taken, the least urgent running request is preempted
+        for a more urgent one.
+        """
         if len(self._active) < self._figures.slots:
             return True
         last = max(reversed(self._active), key=lambda run: run.urgency)
@@ -196,7 +211,7 @@
         return True
 
     def _count_tokens_to_prefill(self, run: EngineRequest) -> int:
-        """Returns what has to be read: all from the first part that lacks."""
+        """Returns the prompt tokens from the first part that is not cached."""
         for index, name in enumerate(_prefix_names(run)):
             if name not in self._cached:
                 if run.source is not None and run.source.holds(name):
@@ -216,7 +231,7 @@
         return run.prompt[-1][1]
 
     def holds(self, name: str) -> bool:
-        """Whether a run of parts is cached."""
+        """Returns whether a prefix of parts is cached."""
         return name in self._cached
 
     def _cache_prefixes(self, run: EngineRequest) -> None:
@@ -234,7 +249,7 @@
 
 
 def _prefix_names(run: EngineRequest) -> list[str]:
-    """Returns a name for each run of shared parts from the prompt's start."""
+    """Returns a name for each prefix of shared parts of the prompt."""
     names: list[str] = []
     for part, _ in run.prompt[:-1]:
         names.append(f"{names[-1]}/{part}" if names else part)
--- a/packages/bench/src/hollyknot_bench/experiment/_host.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_host.py
@@ -1,4 +1,4 @@
-"""The decisions of one emulated host: those that serve, each with its state."""
+"""Builds the product's routing decisions, with their state, for one host."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Host:
-    """One host's beliefs and decisions."""
+    """What one emulated host knows, and the decisions based on it."""
 
     loads: Loads
     demand: Demand
@@ -27,7 +27,7 @@
 
 
 def make_host(rng: random.Random) -> Host:
-    """Returns a host that has learnt nothing."""
+    """Returns a host that has no knowledge of loads, demand or caches yet."""
     loads, demand, cached = Loads(), Demand(), CachedParts()
     return Host(
         loads,
--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -51,7 +51,7 @@
         ended: All requests.
         tokens_read: By all engines.
         tokens_read_again: Of shared parts that the engine had read before.
-        put_back: Runs that lost their place to more urgent ones.
+        preemptions: Runs that lost their place to more urgent ones.
         reading: The share of the engines' time in which they read prompts.
     """
 
