--- a/packages/bench/src/hollyknot_bench/_cost_load.py
+++ b/packages/bench/src/hollyknot_bench/_cost_load.py
@@ -173,7 +173,7 @@
 
 
 async def _run_held(load: HeldLoad) -> HeldResult:
-    taken = []
+    resident = []
     async with _session() as session, contextlib.AsyncExitStack() as stack:
         opened = 0
         failed = 0
@@ -185,8 +185,8 @@
             failed += held.count(False)
             opened = step
             await asyncio.sleep(load.settle_s)
-            taken.append(resident_bytes(load.pid))
-    return HeldResult(load.steps, tuple(taken), failed)
+            resident.append(resident_bytes(load.pid))
+    return HeldResult(load.steps, tuple(resident), failed)
 
 
 async def _open(
--- a/packages/bench/src/hollyknot_bench/_suspects_model.py
+++ b/packages/bench/src/hollyknot_bench/_suspects_model.py
@@ -214,8 +214,8 @@
         self.at(spread_s, lambda: self.send(fingerprint))
 
     def gossip(self) -> None:
-        told = [r.records(self.now_s) for r in self.registers]
-        for reporter, records in enumerate(told):
+        sent_records = [r.records(self.now_s) for r in self.registers]
+        for reporter, records in enumerate(sent_records):
             for receiver, register in enumerate(self.registers):
                 if receiver != reporter:
                     register.on_records(records, self.now_s)
--- a/packages/bench/src/hollyknot_bench/demo.py
+++ b/packages/bench/src/hollyknot_bench/demo.py
@@ -198,9 +198,11 @@
                 checks.append(check)
                 mark = "ok  " if check.held else "FAIL"
                 click.echo(f"{mark} {check.name}: {check.seen}")
-    left = [c.name for c in children if c.process.returncode is None]
+    still_running = [c.name for c in children if c.process.returncode is None]
     failed = [c.name for c in children if c.process.returncode]
-    checks.append(Check("no process is left", not left, str(left)))
+    checks.append(
+        Check("no process is left", not still_running, str(still_running))
+    )
     checks.append(Check("every process ended well", not failed, str(failed)))
     return checks
 
