--- a/packages/bench/src/hollyknot_bench/cost.py
+++ b/packages/bench/src/hollyknot_bench/cost.py
@@ -22,8 +22,10 @@
 
 
 @click.command()
-@click.option("--seed", default=1, show_default=True, help="Of the arrivals.")
-@click.option("--quick", is_flag=True, help="One short round of each.")
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed of the arrivals."
+)
+@click.option("--quick", is_flag=True, help="Run one short round of each load.")
 @click.option(
     "--only",
     type=click.Choice(("all", "data", "control")),
--- a/packages/bench/src/hollyknot_bench/experiment/__main__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__main__.py
@@ -21,23 +21,27 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=pathlib.Path))
-@click.option("--seeds", default=5, show_default=True, help="How many.")
+@click.option("--seeds", default=5, show_default=True, help="Number of seeds.")
 @click.option("--first-seed", default=1, show_default=True)
 @click.option(
     "--jobs",
     default=max(1, (os.cpu_count() or 2) // 2),
     show_default=True,
-    help="Processes.",
+    help="Number of processes.",
 )
 @click.option(
     "--shared",
     is_flag=True,
-    help="All hosts share their beliefs: the bound of what knowledge gives.",
+    help="All hosts share their knowledge: the bound of what more could gain.",
 )
 @click.option(
-    "--asks/--no-asks", default=True, help="Whether trackers are asked."
+    "--asks/--no-asks", default=True, help="Whether hosts query trackers."
+)
+@click.option(
+    "--hosts",
+    default=0,
+    help="Number of hosts, instead of the load's; 0 for the load's.",
 )
-@click.option("--hosts", default=0, help="Instead of the load's number.")
 def main(
     file: pathlib.Path,
     seeds: int,
