--- a/packages/bench/src/hollyknot_bench/_cost_data_path.py
+++ b/packages/bench/src/hollyknot_bench/_cost_data_path.py
@@ -1,4 +1,4 @@
-"""Measures what requests and streams cost one host."""
+"""Measures what requests and streams cost one host in CPU time and memory."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,12 +10,12 @@
 from hollyknot_bench._cost_condense import (
     DIRECT,
     HOST,
-    joined,
+    combine_results,
     stream_measures,
     whole_measures,
 )
 from hollyknot_bench._cost_messages import (
-    QUOTE,
+    QUOTE_BODY,
     HeldLoad,
     StreamLoad,
     Target,
@@ -43,20 +43,20 @@
 _SLOTS = 300
 _TOKEN_INTERVAL_S = 0.01
 _SLOW_FACTOR = 200.0
-"""Makes a token each 2 s, so that held streams cost memory and little else."""
+"""Slows engines to one token per 2 s, so that open streams use little CPU."""
 
-_LEARN_LIMITS_S = 4.0
-"""Seconds in which a host has asked each engine for its slots."""
+_SLOT_DISCOVERY_S = 4.0
+"""Time in which a host has learnt the slots of each engine, in seconds."""
 
-_LONG = 100_000
+_LONG_ANSWER_TOKENS = 100_000
 
 
 async def measure_data_path(sizes: Sizes, seed: int) -> AsyncIterator[Measure]:
-    """Runs one host with its upstreams and yields what each load showed.
+    """Runs one host with its upstreams and yields the measures of each load.
 
     Args:
-        sizes: How much is measured.
-        seed: Of the arrivals.
+        sizes: Number and length of the rounds, and the loads.
+        seed: Seed of the arrivals.
     """
     options = FleetOptions(
         hosts=1,
@@ -65,26 +65,26 @@
         data_centres=("hall-a",),
         token_interval_s=_TOKEN_INTERVAL_S,
         slots=_SLOTS,
-        engine_tokens=_LONG,
+        engine_tokens=_LONG_ANSWER_TOKENS,
     )
     async with running_fleet(options) as fleet:
         async with aiohttp.ClientSession() as session:
             await until_ready(session, fleet)
-        await asyncio.sleep(_LEARN_LIMITS_S)
+        await asyncio.sleep(_SLOT_DISCOVERY_S)
         async for found in _DataPath(fleet, sizes, seed).measures():
             yield found
 
 
 class _DataPath:
-    """One host under loads."""
+    """Puts one load after another on the only host of a fleet."""
 
     def __init__(self, fleet: Fleet, sizes: Sizes, seed: int) -> None:
-        """Takes a running fleet of one host.
+        """Builds the measurement of a running fleet of one host.
 
         Args:
-            fleet: The processes.
-            sizes: How much is measured.
-            seed: Of the arrivals.
+            fleet: The running processes.
+            sizes: Number and length of the rounds, and the loads.
+            seed: Seed of the arrivals.
         """
         self._fleet = fleet
         self._sizes = sizes
@@ -95,28 +95,33 @@
         self._pids = {name: c.pid for name, c in children.items()}
 
     async def measures(self) -> AsyncIterator[Measure]:
-        """Runs all loads and yields what each showed."""
+        """Runs all loads and yields the measures of each."""
         sizes = self._sizes
         idle = resident_bytes(self._host.pid)
         yield Measure("idle_host_rss", "MB", (idle / 1e6,))
-        # Before any other load: memory that it freed would be used again, and
-        # the streams would seem to cost nothing.
-        await self._pace(_SLOW_FACTOR)
-        yield await self._held()
-        await self._pace(0.0)
-        for found in await self._whole("model_request", self._model_targets()):
+        # The open streams come before any other load: memory that an earlier
+        # load had freed would be reused, and the streams would seem to cost
+        # nothing.
+        await self._set_token_pace(_SLOW_FACTOR)
+        yield await self._measure_held()
+        await self._set_token_pace(0.0)
+        for found in await self._measure_whole(
+            "model_request", self._model_targets()
+        ):
             yield found
-        for found in await self._whole("service_call", self._service_targets()):
+        for found in await self._measure_whole(
+            "service_call", self._service_targets()
+        ):
             yield found
-        await self._pace(1.0)
-        for found in await self._streams("", sizes.streams, 1):
+        await self._set_token_pace(1.0)
+        for found in await self._measure_streams("", sizes.streams, 1):
             yield found
         many = sizes.saturating_streams
-        for found in await self._streams("saturated_", many, 2):
+        for found in await self._measure_streams("saturated_", many, 2):
             yield found
 
-    async def _pace(self, factor: float) -> None:
-        """Sets the engines' time between tokens, as a factor."""
+    async def _set_token_pace(self, factor: float) -> None:
+        """Multiplies the engines' time between tokens by a factor."""
         async with aiohttp.ClientSession() as session:
             for name in self._fleet.upstreams:
                 if "engine" not in name:
@@ -125,7 +130,7 @@
                 async with session.post(url, json={"straggle": factor}) as got:
                     got.raise_for_status()
 
-    async def _whole(
+    async def _measure_whole(
         self, kind: str, targets: tuple[Target, ...]
     ) -> list[Measure]:
         sizes = self._sizes
@@ -142,7 +147,7 @@
             results.append(await run_whole(load))
         return list(whole_measures(kind, results))
 
-    async def _streams(
+    async def _measure_streams(
         self, prefix: str, streams: int, generators: int
     ) -> list[Measure]:
         sizes = self._sizes
@@ -157,14 +162,19 @@
                 pids=self._pids,
             )
             running = [run_streams(load) for _ in range(generators)]
-            results.append(joined(await asyncio.gather(*running)))
+            results.append(combine_results(await asyncio.gather(*running)))
         return list(stream_measures(prefix, results))
 
-    async def _held(self) -> Measure:
+    async def _measure_held(self) -> Measure:
         steps = self._sizes.held
         click.echo(f"{steps} open streams ...", err=True)
         result = await run_held(
-            HeldLoad(self._stream_target(_LONG), steps, 2.0, self._host.pid)
+            HeldLoad(
+                self._stream_target(_LONG_ANSWER_TOKENS),
+                steps,
+                2.0,
+                self._host.pid,
+            )
         )
         seen = ", ".join(f"{b / 1e6:.1f}" for b in result.resident_bytes)
         value = slope(result.streams, result.resident_bytes) / 1000
@@ -193,13 +203,13 @@
                 HOST,
                 self._fleet.callers_url(self._name) + prefix + "/quote",
                 headers("caseworkers", "lookup"),
-                QUOTE,
+                QUOTE_BODY,
             ),
             Target(
                 DIRECT,
                 self._fleet.upstream_url(service) + "/quote",
                 {},
-                QUOTE,
+                QUOTE_BODY,
             ),
         )
 
--- a/packages/bench/src/hollyknot_bench/_routing_measures.py
+++ b/packages/bench/src/hollyknot_bench/_routing_measures.py
@@ -1,7 +1,7 @@
-"""Prints the figures of the decision record on routing and limits.
+"""Compares routing policies in the model and times the upstream table.
 
-Run `python -m hollyknot_bench._routing_measures NAME` with a name of `PARTS`,
-or without for all. All but the times of `choose` depend on seeds alone.
+Run `python -m hollyknot_bench._routing_measures NAME` with a name in `PARTS`,
+or without a name for all. All output except times depends on seeds alone.
 """
 
 import random
@@ -37,8 +37,8 @@
 )
 
 SEEDS = (1, 2, 3)
-WHOLE = RoutingOptions(subset_size=1000)
-FOREVER_S = 1e9
+ALL_UPSTREAMS = RoutingOptions(subset_size=1000)
+INFINITE_S = 1e9
 
 Chooser = Callable[[str, list[str], list[str]], tuple[str, ...]]
 
@@ -57,22 +57,26 @@
 
 
 def herding() -> None:
-    """Compares policies when all hosts see the same late reports."""
+    """Compares policies when all hosts get the same delayed load reports."""
     policies = {
         "least reported": RoutingScenario(reports_only=True),
-        "one at random": RoutingScenario(attrs.evolve(WHOLE, choices=1)),
+        "one at random": RoutingScenario(
+            attrs.evolve(ALL_UPSTREAMS, choices=1)
+        ),
         "least of all, reports never discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=1000, report_half_life_s=FOREVER_S)
+            attrs.evolve(
+                ALL_UPSTREAMS, choices=1000, report_half_life_s=INFINITE_S
+            )
         ),
         "least of all, discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=1000)
+            attrs.evolve(ALL_UPSTREAMS, choices=1000)
         ),
         "two choices, reports never discounted": RoutingScenario(
-            attrs.evolve(WHOLE, report_half_life_s=FOREVER_S)
+            attrs.evolve(ALL_UPSTREAMS, report_half_life_s=INFINITE_S)
         ),
-        "two choices, discounted": RoutingScenario(WHOLE),
+        "two choices, discounted": RoutingScenario(ALL_UPSTREAMS),
         "three choices, discounted": RoutingScenario(
-            attrs.evolve(WHOLE, choices=3)
+            attrs.evolve(ALL_UPSTREAMS, choices=3)
         ),
         "two choices, discounted, subset of 8": RoutingScenario(),
     }
@@ -85,16 +89,16 @@
 
 
 def locality() -> None:
-    """Compares prefix locality with least load alone."""
+    """Compares routing with and without prefix locality."""
     for hosts in (8, 64):
-        for use in (0.6, 0.8, 0.9):
+        for utilisation in (0.6, 0.8, 0.9):
             for is_on in (True, False):
                 _print_result(
-                    f"{hosts} hosts, use {use}, locality {is_on}",
+                    f"{hosts} hosts, use {utilisation}, locality {is_on}",
                     RoutingScenario(
                         RoutingOptions(locality=is_on),
                         hosts=hosts,
-                        use=use,
+                        utilisation=utilisation,
                         prefixes=400,
                         cold_s=0.8,
                         decode_s=1.2,
@@ -103,8 +107,8 @@
 
 
 def hot_prefix() -> None:
-    """Shows that one prefix in most requests makes no hot spot."""
-    for bound, label in ((1.25, "bounded"), (FOREVER_S, "without a bound")):
+    """Compares the load of engines when all requests share one prefix."""
+    for bound, label in ((1.25, "bounded"), (INFINITE_S, "without a bound")):
         options = RoutingOptions(locality_bound_factor=bound)
         _print_result(
             f"one prefix for all, {label}",
@@ -113,14 +117,17 @@
 
 
 def straggler() -> None:
-    """Follows the limits for an engine that straggles, lies and heals."""
+    """Prints the limits of an engine that is slow for a time.
+
+    While it is slow, the engine reports that it has no load.
+    """
     for hosts in (8, 64):
         scenario = RoutingScenario(
             hosts=hosts,
             slow_factor=5.0,
             slow_from_s=40.0,
             slow_to_s=80.0,
-            use=0.6,
+            utilisation=0.6,
         )
         result = _print_result(f"{hosts} hosts, straggler", scenario)
         for sample in result.samples[30::5]:
@@ -153,7 +160,7 @@
 
 
 def subsets() -> None:
-    """Measures balance and churn of subsets at a data centre's size."""
+    """Compares the balance and churn of subsets in a large data centre."""
     for count in (53, 200, 1111):
         for size in (8, 16, 32):
             for label, choose in (
@@ -195,7 +202,7 @@
 
 
 def choose_time() -> None:
-    """Times `choose` with `on_finished`, and a host list."""
+    """Times `choose` with `on_finished`, and the update by a host list."""
     for count in (4, 16, 64, 256, 1111):
         for prefix in (0, 1):
             _print_choose_time(count, prefix)
@@ -249,7 +256,7 @@
 
 
 def host_list_time() -> None:
-    """Times a whole host list at the largest size: all pools, 9 centres."""
+    """Times the update by a host list of all pools of nine data centres."""
     hosts = [
         HostListEntry(f"h{i}", Role.HOST, f"dc{i % 9}", "127.0.0.1", 1)
         for i in range(2_500)
@@ -289,7 +296,7 @@
 
 
 def main() -> None:
-    """Prints the parts that the arguments name, or all."""
+    """Runs the parts that the arguments name, or all."""
     for name in sys.argv[1:] or PARTS:
         print(f"# {name}")
         PARTS[name]()
--- a/packages/bench/src/hollyknot_bench/_routing_model.py
+++ b/packages/bench/src/hollyknot_bench/_routing_model.py
@@ -1,10 +1,10 @@
-"""A seeded model of many hosts that choose among the same upstreams.
+"""Models many hosts that route requests to the same upstreams.
 
-Engines run up to their slots and queue the rest; they keep a few prefixes,
-which shorten the time to the first byte. Load reports come once a second, late,
-to all hosts at once: the worst case for herding. Times are seconds of a
-virtual clock. Arrivals and the work of each request depend on the seed alone,
-so that policies meet the same load.
+An engine runs as many requests as it has slots and queues the rest; it caches a
+few prefixes, which shortens the time to the first byte. Load reports reach all
+hosts at once, each second and with a delay, which is the worst case for
+herding. Times are seconds of a virtual clock. Arrivals and the length of each
+request depend on the seed alone, so that all policies get the same load.
 """
 
 import functools
@@ -35,35 +35,38 @@
 POOL = "m"
 DATA_CENTRE = "hall-a"
 COMPLETE = Verdict(Outcome.COMPLETE)
-REPORT_EVERY_S = 1.0
-SAMPLE_EVERY_S = 0.1
+REPORT_INTERVAL_S = 1.0
+SAMPLE_INTERVAL_S = 0.1
 
 
 @attrs.frozen
 class RoutingScenario:
-    """One run.
+    """Parameters of one run of the model.
 
     Attributes:
-        options: The hosts' routing options.
-        reports_only: Whether hosts ignore the table and take the upstream
+        options: Routing options of the hosts.
+        reports_only: Whether hosts ignore the table and choose the upstream
             with the least reported load, as a naive router does.
-        hosts: Hosts, with equal parts of the load.
-        upstreams: Engines.
-        slots: Of each engine.
-        use: Offered load over the engines' capacity, without warm prefixes.
-        cold_s: Time to the first token of an unknown prefix.
-        warm_s: The same of a kept prefix.
-        decode_s: Time from first to last token.
-        prefixes: Distinct prefixes, drawn by Zipf's law; 0 for none.
-        kept: Prefixes that an engine keeps, least recently used first out.
-        slow_factor: By how much engine 0 is slower while it straggles; it
-            reports no load then.
-        slow_from_s: When it starts to straggle.
-        slow_to_s: When it heals.
-        target_s: The target for the first byte, from arrival.
-        report_lag_s: Age of load reports when hosts get them.
-        seed: Of the run's randomness.
-        duration_s: Of the run.
+        hosts: Number of hosts; each gets an equal share of the requests.
+        upstreams: Number of engines.
+        slots: Number of requests that an engine runs at once.
+        utilisation: Offered load over the engines' capacity, if no prefix were
+            cached.
+        cold_s: Time to first token if the prefix is not cached, in seconds.
+        warm_s: Time to first token if the prefix is cached, in seconds.
+        decode_s: Mean time from the first to the last token, in seconds.
+        prefixes: Number of distinct prefixes, which are drawn by Zipf's law; 0
+            for requests without prefixes.
+        cached: Number of prefixes that an engine caches; the least recently
+            used one is evicted first.
+        slow_factor: Factor by which engine 0 is slower while it straggles; it
+            also reports that it is idle then.
+        slow_from_s: Time at which engine 0 starts to straggle, in seconds.
+        slow_to_s: Time at which engine 0 recovers, in seconds.
+        target_s: Target for the time from arrival to first byte, in seconds.
+        report_lag_s: Age of a load report when hosts receive it, in seconds.
+        seed: Seed of all randomness in the run.
+        duration_s: Length of the run, in seconds.
     """
 
     options: RoutingOptions = attrs.Factory(RoutingOptions)
@@ -71,12 +74,12 @@
     hosts: int = 8
     upstreams: int = 16
     slots: int = 8
-    use: float = 0.8
+    utilisation: float = 0.8
     cold_s: float = 0.4
     warm_s: float = 0.1
     decode_s: float = 1.6
     prefixes: int = 0
-    kept: int = 20
+    cached: int = 20
     slow_factor: float = 1.0
     slow_from_s: float = 0.0
     slow_to_s: float = 0.0
@@ -88,12 +91,12 @@
 
 @attrs.frozen
 class RoutingSample:
-    """One second of engine 0, the straggler.
+    """State of engine 0, the straggler, at one moment.
 
     Attributes:
-        at_s: When.
-        limit_sum: The limits for it, over all hosts.
-        in_flight: Requests there.
+        at_s: Time of the sample, in seconds.
+        limit_sum: Sum of all hosts' concurrency limits for the engine.
+        in_flight: Number of requests that run or queue at the engine.
     """
 
     at_s: float
@@ -103,17 +106,18 @@
 
 @attrs.frozen
 class RoutingResult:
-    """What a run measured.
+    """Results of one run of the model.
 
     Attributes:
-        attainment: Share of requests with a first byte in target.
-        median_s: Median time from arrival to the first byte.
-        p99_s: Its 99th percentile.
-        excess: Mean over time of the fullest engine's load above the mean
-            load, in slots of one engine.
-        warm: Share of requests that met a kept prefix.
-        completed: Requests that ended.
-        samples: Engine 0, once a second.
+        attainment: Share of requests whose first byte met the target, 0 to 1.
+        median_s: Median time from arrival to first byte, in seconds.
+        p99_s: 99th percentile of the time from arrival to first byte, in
+            seconds.
+        excess: Mean over time of the difference between the highest load of an
+            engine and the mean load, as a multiple of an engine's slots.
+        warm: Share of requests whose prefix was cached, 0 to 1.
+        completed: Number of requests that got a first byte.
+        samples: States of engine 0, one per second.
     """
 
     attainment: float
@@ -126,7 +130,7 @@
 
 
 @attrs.frozen
-class _Work:
+class _ModelRequest:
     request: RequestInfo
     first_factor: float
     decode_factor: float
@@ -137,7 +141,7 @@
     name: str
     running: int = 0
     queue: deque[Callable[[], None]] = attrs.Factory(deque)
-    kept: OrderedDict[int, None] = attrs.Factory(OrderedDict)
+    cached: OrderedDict[int, None] = attrs.Factory(OrderedDict)
 
     @property
     def load(self) -> int:
@@ -145,13 +149,13 @@
 
 
 class RoutingModel:
-    """Plays one scenario."""
+    """Simulates one scenario."""
 
     def __init__(self, scenario: RoutingScenario) -> None:
-        """Builds hosts and engines."""
+        """Builds the hosts and engines of a scenario, without load."""
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
-        self._ties = random.Random(scenario.seed)
+        self._tie_rng = random.Random(scenario.seed)
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order: Iterator[int] = itertools.count()
@@ -159,7 +163,7 @@
             f"e{i}": _Engine(f"e{i}") for i in range(scenario.upstreams)
         }
         self._reported = dict.fromkeys(self._engines, 0)
-        self._waiting: list[deque[_Work]] = [
+        self._waiting: list[deque[_ModelRequest]] = [
             deque() for _ in range(scenario.hosts)
         ]
         self._weights = list(
@@ -168,12 +172,12 @@
         self._first_bytes: list[float] = []
         self._excess: list[float] = []
         self._samples: list[RoutingSample] = []
-        self._met: dict[str, bool] = {}
+        self._met_target: dict[str, bool] = {}
         self._warm = 0
         self._tables = [self._table(i) for i in range(scenario.hosts)]
 
     def run(self) -> RoutingResult:
-        """Plays the scenario to its end."""
+        """Runs the scenario to its end and returns the results."""
         self._arrive()
         self._report()
         self._sample()
@@ -211,7 +215,7 @@
         table.on_host_list(HostList(1, tuple(hosts + engines)), 0.0)
         return table
 
-    def _at(self, delay_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, event: Callable[[], None]) -> None:
         entry = (self._now_s + delay_s, next(self._order), event)
         heapq.heappush(self._events, entry)
 
@@ -219,7 +223,9 @@
         scenario = self._scenario
         service_s = scenario.cold_s + scenario.decode_s
         capacity = scenario.upstreams * scenario.slots / service_s
-        self._at(self._rng.expovariate(capacity * scenario.use), self._arrive)
+        self._schedule(
+            self._rng.expovariate(capacity * scenario.utilisation), self._arrive
+        )
         host = self._rng.randrange(scenario.hosts)
         request = RequestInfo(
             request_id=f"r{next(self._order)}",
@@ -232,7 +238,7 @@
             budget_s=scenario.target_s,
             prefix=self._prefix(),
         )
-        work = _Work(
+        work = _ModelRequest(
             request, self._rng.uniform(0.8, 1.2), self._rng.expovariate(1.0)
         )
         self._waiting[host].append(work)
@@ -263,7 +269,7 @@
         if self._scenario.reports_only:
             least = min(self._reported.values())
             best = [n for n, load in self._reported.items() if load == least]
-            return self._ties.choice(best)
+            return self._tie_rng.choice(best)
         choice = self._tables[host].choose(request, self._now_s)
         return choice.upstream if isinstance(choice, Choice) else None
 
@@ -272,22 +278,22 @@
             engine.running += 1
             engine.queue.popleft()()
 
-    def _start(self, host: int, engine: _Engine, work: _Work) -> None:
+    def _start(self, host: int, engine: _Engine, work: _ModelRequest) -> None:
         scenario = self._scenario
         request = work.request
-        is_warm = request.prefix in engine.kept
+        is_warm = request.prefix in engine.cached
         if request.prefix:
-            engine.kept[request.prefix] = None
-            engine.kept.move_to_end(request.prefix)
-            if len(engine.kept) > scenario.kept:
-                engine.kept.popitem(last=False)
+            engine.cached[request.prefix] = None
+            engine.cached.move_to_end(request.prefix)
+            if len(engine.cached) > scenario.cached:
+                engine.cached.popitem(last=False)
         self._warm += is_warm
         factor = self._slow_factor(engine)
         first_s = scenario.warm_s if is_warm else scenario.cold_s
         first_s *= factor * work.first_factor
         decode_s = scenario.decode_s * factor * work.decode_factor
-        self._at(first_s, lambda: self._first_byte(host, engine, request))
-        self._at(
+        self._schedule(first_s, lambda: self._first_byte(host, engine, request))
+        self._schedule(
             first_s + decode_s, lambda: self._finish(host, engine, request)
         )
 
@@ -305,11 +311,11 @@
                 engine.name, request.request_id, self._now_s
             )
         met = self._now_s - request.arrived_s <= self._scenario.target_s
-        self._met[request.request_id] = met
+        self._met_target[request.request_id] = met
 
     def _finish(self, host: int, engine: _Engine, request: RequestInfo) -> None:
         engine.running -= 1
-        met = self._met.pop(request.request_id)
+        met = self._met_target.pop(request.request_id)
         if not self._scenario.reports_only:
             self._tables[host].on_finished(
                 engine.name, request.request_id, COMPLETE, self._now_s, met
@@ -323,8 +329,10 @@
         }
         if self._slow_factor(self._engines["e0"]) > 1.0:
             loads["e0"] = (0, 0)
-        self._at(self._scenario.report_lag_s, lambda: self._deliver(loads))
-        self._at(REPORT_EVERY_S, self._report)
+        self._schedule(
+            self._scenario.report_lag_s, lambda: self._deliver(loads)
+        )
+        self._schedule(REPORT_INTERVAL_S, self._report)
 
     def _deliver(self, loads: dict[str, tuple[int, int]]) -> None:
         age_ms = int(self._scenario.report_lag_s * 1000)
@@ -340,9 +348,9 @@
         loads = [e.load for e in self._engines.values()]
         mean = sum(loads) / len(loads)
         self._excess.append((max(loads) - mean) / self._scenario.slots)
-        if len(self._excess) % int(1 / SAMPLE_EVERY_S) == 1:
+        if len(self._excess) % int(1 / SAMPLE_INTERVAL_S) == 1:
             self._sample_first_engine()
-        self._at(SAMPLE_EVERY_S, self._sample)
+        self._schedule(SAMPLE_INTERVAL_S, self._sample)
 
     def _sample_first_engine(self) -> None:
         views = [
--- a/packages/bench/src/hollyknot_bench/_suspects_model.py
+++ b/packages/bench/src/hollyknot_bench/_suspects_model.py
@@ -1,9 +1,9 @@
-"""How many crashes one request causes, with and without the register.
+"""Models the crashes that one request causes with and without the register.
 
-A seeded model under virtual time: hosts send requests of fixed length to
-upstreams; one request crashes each upstream that runs it, and its caller sends
-it again through any host, for ever. Hosts tell each other evidence once a
-second. Times are seconds.
+Hosts send requests to upstreams under a virtual clock. One request, the
+culprit, crashes each upstream that runs it, and its caller resends it through
+any host, without end. Hosts exchange evidence at a fixed interval. All
+randomness comes from a seed; times are seconds.
 """
 
 import heapq
@@ -22,7 +22,7 @@
 )
 from hollyknot_state import Outcome, Reason, Verdict
 
-POISON = 1
+CULPRIT = 1
 UPSTREAMS = 8
 COMPLETE = Verdict(Outcome.COMPLETE)
 LOST = Verdict(Outcome.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
@@ -30,49 +30,56 @@
 
 @attrs.frozen
 class SuspectsScenario:
-    """One run.
+    """Parameters of one run of the model.
 
     Attributes:
-        hosts: Hosts that share evidence.
-        upstreams: Upstreams that all of them use.
-        batch: Requests that an upstream runs at once under the load.
-        is_defended: Whether hosts use the register.
-        max_per_upstream: Suspects of one crash that may share an upstream.
-        seed: Of the run's randomness.
-        length_s: Time that a request runs.
-        poison_after_s: Time after which the culprit crashes its upstream.
-        restart_s: Time that a crashed upstream is away.
-        gossip_s: Interval at which hosts tell evidence.
-        again_s: Time after which a caller sends a lost request again.
-        duration_s: Of the run.
+        hosts: Number of hosts, which share evidence.
+        upstreams: Number of upstreams, which all hosts use.
+        batch: Mean number of requests that an upstream runs at once.
+        uses_register: Whether hosts use the register.
+        max_per_upstream: Maximum number of suspects of one crash that run at
+            one upstream.
+        seed: Seed of all randomness in the run.
+        length_s: Mean time that a request runs, in seconds.
+        crash_after_s: Time from the start of the culprit to the crash of its
+            upstream, in seconds.
+        restart_s: Time until a crashed upstream runs again, in seconds.
+        gossip_interval_s: Interval at which hosts exchange evidence, in
+            seconds.
+        resend_after_s: Least time after which a caller resends a lost request,
+            in seconds.
+        duration_s: Length of the run, in seconds.
     """
 
     hosts: int
     upstreams: int
     batch: int
-    is_defended: bool
+    uses_register: bool
     max_per_upstream: int
     seed: int
     length_s: float = 2.0
-    poison_after_s: float = 0.3
+    crash_after_s: float = 0.3
     restart_s: float = 20.0
-    gossip_s: float = 1.0
-    again_s: float = 1.0
+    gossip_interval_s: float = 1.0
+    resend_after_s: float = 1.0
     duration_s: float = 60.0
 
 
 @attrs.frozen
 class SuspectsResult:
-    """What a run counted.
+    """Results of one run of the model.
 
     Attributes:
-        crashes: Crashes caused by the culprit.
-        last_crash_s: When the last one was.
-        lost: Requests of others that a crash ended.
-        refused: Innocent requests that were refused for long.
-        delayed: Innocent requests that had to wait as suspects.
-        delay_max_s: The longest time from a loss to completion.
-        completed: Innocent requests that completed.
+        crashes: Number of crashes that the culprit caused.
+        last_crash_s: Time of the last crash, in seconds.
+        lost: Number of times that a crash ended an innocent request.
+        refused: Number of refusals of innocent requests that asked for a retry
+            after more than one second.
+        delayed: Number of innocent requests that were resent after a loss or
+            had to wait as suspects.
+        delay_max_s: Longest time from the loss of a request to its completion,
+            in seconds.
+        completed: Number of innocent requests that completed.
     """
 
     crashes: int
@@ -96,7 +103,7 @@
     down_until_s: list[float] = attrs.Factory(list)
     lost_s: dict[int, float] = attrs.Factory(dict)
     delayed: set[int] = attrs.Factory(set)
-    next_fingerprint: int = POISON
+    next_fingerprint: int = CULPRIT
     crashes: int = 0
     last_crash_s: float = 0.0
     lost: int = 0
@@ -113,14 +120,15 @@
         scenario = self.scenario
         self.next_fingerprint += 1
         self.send(self.next_fingerprint)
-        # Little's law: as many arrive as keep each batch full.
+        # By Little's law, this rate keeps `batch` requests running at each
+        # upstream.
         rate = scenario.upstreams * scenario.batch / scenario.length_s
         self.at(self.rng.expovariate(rate), self.arrive)
 
     def send(self, fingerprint: int) -> None:
         host = self.rng.randrange(self.scenario.hosts)
         exclude: frozenset[str] = frozenset()
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             gate = self.registers[host].gate(fingerprint, self.now_s)
             if isinstance(gate, Refuse):
                 self.on_refused(fingerprint, gate.verdict.retry_after_s)
@@ -137,7 +145,7 @@
             and len(self.running[u]) < 2 * self.scenario.batch
         ]
         if not up:
-            self.again(fingerprint, 0.1)
+            self.schedule_retry(fingerprint, 0.1)
             return
         upstream = min(
             self.rng.sample(up, min(2, len(up))),
@@ -146,12 +154,12 @@
         self.start(fingerprint, host, upstream)
 
     def start(self, fingerprint: int, host: int, upstream: int) -> None:
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             self.registers[host].on_dispatch(fingerprint, str(upstream))
         batch = self.running[upstream]
         batch[fingerprint] = host
-        if fingerprint == POISON:
-            self.at(self.scenario.poison_after_s, lambda: self.crash(upstream))
+        if fingerprint == CULPRIT:
+            self.at(self.scenario.crash_after_s, lambda: self.crash(upstream))
         else:
             length_s = self.scenario.length_s * self.rng.uniform(0.5, 1.5)
             self.at(length_s, lambda: self.finish(fingerprint, upstream, batch))
@@ -159,7 +167,7 @@
     def finish(
         self, fingerprint: int, upstream: int, batch: dict[int, int]
     ) -> None:
-        # A crash replaces the batch, so an answer of before it never comes.
+        # A crash replaces the batch; requests of the old one do not complete.
         if self.running[upstream] is not batch:
             return
         host = batch.pop(fingerprint)
@@ -171,7 +179,7 @@
 
     def crash(self, upstream: int) -> None:
         batch = self.running[upstream]
-        if POISON not in batch:
+        if CULPRIT not in batch:
             return
         self.crashes += 1
         self.last_crash_s = self.now_s
@@ -181,41 +189,41 @@
         for fingerprint, host in batch.items():
             self.end(fingerprint, host, upstream, LOST)
             self.lost_s.setdefault(fingerprint, self.now_s)
-            self.again(fingerprint, self.scenario.again_s)
+            self.schedule_retry(fingerprint, self.scenario.resend_after_s)
 
     def end(
         self, fingerprint: int, host: int, upstream: int, verdict: Verdict
     ) -> None:
-        if self.scenario.is_defended:
+        if self.scenario.uses_register:
             self.registers[host].on_end(
                 fingerprint, str(upstream), verdict, self.now_s
             )
 
     def on_refused(self, fingerprint: int, retry_after_s: float) -> None:
-        if fingerprint != POISON:
+        if fingerprint != CULPRIT:
             if retry_after_s > 1.0:
                 self.refused += 1
             else:
                 self.delayed.add(fingerprint)
-        self.again(fingerprint, retry_after_s)
+        self.schedule_retry(fingerprint, retry_after_s)
 
-    def again(self, fingerprint: int, delay_s: float) -> None:
-        if fingerprint in self.lost_s and fingerprint != POISON:
+    def schedule_retry(self, fingerprint: int, delay_s: float) -> None:
+        if fingerprint in self.lost_s and fingerprint != CULPRIT:
             self.delayed.add(fingerprint)
         spread_s = delay_s * (1.0 + self.rng.random())
         self.at(spread_s, lambda: self.send(fingerprint))
 
     def gossip(self) -> None:
-        told = [r.records(self.now_s) for r in self.registers]
-        for teller, records in enumerate(told):
-            for hearer, register in enumerate(self.registers):
-                if hearer != teller:
+        sent_records = [r.records(self.now_s) for r in self.registers]
+        for reporter, records in enumerate(sent_records):
+            for receiver, register in enumerate(self.registers):
+                if receiver != reporter:
                     register.on_records(records, self.now_s)
-        self.at(self.scenario.gossip_s, self.gossip)
+        self.at(self.scenario.gossip_interval_s, self.gossip)
 
 
 def run_suspects(scenario: SuspectsScenario) -> SuspectsResult:
-    """Plays one scenario."""
+    """Simulates one scenario and returns the results."""
     run = _Run(scenario, random.Random(scenario.seed))
     run.registers = [
         SuspectRegister(
@@ -226,9 +234,9 @@
     run.running = [{} for _ in range(scenario.upstreams)]
     run.down_until_s = [0.0] * scenario.upstreams
     run.arrive()
-    if scenario.is_defended:
+    if scenario.uses_register:
         run.gossip()
-    run.at(scenario.length_s * 2, lambda: run.send(POISON))
+    run.at(scenario.length_s * 2, lambda: run.send(CULPRIT))
     while run.events and run.now_s < scenario.duration_s:
         run.now_s, _, event = heapq.heappop(run.events)
         event()
@@ -244,7 +252,7 @@
 
 
 def main() -> None:
-    """Prints the table of the decision record on suspects."""
+    """Prints a table of results by batch size, host count, limit and seed."""
     print("batch hosts defence crashes last_s lost refused delayed max_delay_s")
     for batch, hosts in itertools.product((8, 64), (1, 4, 8)):
         for max_per_upstream in (0, 1, 8):
@@ -255,15 +263,15 @@
 def _print_run(
     batch: int, hosts: int, max_per_upstream: int, seed: int
 ) -> None:
-    is_defended = max_per_upstream > 0
+    uses_register = max_per_upstream > 0
     scenario = SuspectsScenario(
-        hosts, UPSTREAMS, batch, is_defended, max_per_upstream, seed
+        hosts, UPSTREAMS, batch, uses_register, max_per_upstream, seed
     )
     result = run_suspects(scenario)
     print(
         batch,
         hosts,
-        f"together={max_per_upstream}" if is_defended else "none",
+        f"together={max_per_upstream}" if uses_register else "none",
         result.crashes,
         f"{result.last_crash_s:.1f}",
         result.lost,
--- a/packages/bench/src/hollyknot_bench/experiment/__main__.py
+++ b/packages/bench/src/hollyknot_bench/experiment/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `python -m hollyknot_bench.experiment LOAD`."""
+"""Implements the command `python -m hollyknot_bench.experiment LOAD`."""
 
 import concurrent.futures
 import os
@@ -16,28 +16,32 @@
 from hollyknot_state import Problem
 
 _BIN_S = 2.0
-"""The width of a column in the table of worth by time."""
+"""Width of a column in the printed row of worth by time, in seconds."""
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=pathlib.Path))
-@click.option("--seeds", default=5, show_default=True, help="How many.")
+@click.option("--seeds", default=5, show_default=True, help="Number of seeds.")
 @click.option("--first-seed", default=1, show_default=True)
 @click.option(
     "--jobs",
     default=max(1, (os.cpu_count() or 2) // 2),
     show_default=True,
-    help="Processes.",
+    help="Number of processes.",
 )
 @click.option(
     "--shared",
     is_flag=True,
-    help="All hosts share their beliefs: the bound of what knowledge gives.",
+    help="All hosts share their knowledge: the bound of what more could gain.",
 )
 @click.option(
-    "--asks/--no-asks", default=True, help="Whether trackers are asked."
+    "--asks/--no-asks", default=True, help="Whether hosts query trackers."
+)
+@click.option(
+    "--hosts",
+    default=0,
+    help="Number of hosts, instead of the load's; 0 for the load's.",
 )
-@click.option("--hosts", default=0, help="Instead of the load's number.")
 def main(
     file: pathlib.Path,
     seeds: int,
@@ -47,7 +51,7 @@
     asks: bool,
     hosts: int,
 ) -> None:
-    """Play a load on several seeds and print what callers got."""
+    """Simulate a load on several seeds and print what callers got."""
     load = read_load(file)
     if isinstance(load, Problem):
         click.echo(f"{file}: {load}", err=True)
@@ -80,7 +84,7 @@
     ends = " ".join(f"{name}={n}" for name, n in sorted(counts.items()))
     return (
         f"worth={outcome.worth:.3f} {ends} read={outcome.tokens_read}"
-        f" again={outcome.tokens_read_again} put-back={outcome.put_back}"
+        f" again={outcome.tokens_read_again} put-back={outcome.preemptions}"
         f" reading={outcome.reading:.2f}"
     )
 
--- a/packages/bench/src/hollyknot_bench/experiment/_engine.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_engine.py
@@ -1,8 +1,8 @@
-"""A model engine under a virtual clock.
+"""Emulates an engine under a virtual clock.
 
-It works in steps: each makes one token for every stream that runs, and reads
-a piece of the prompts that wait, which makes the step longer for all of them.
-Parts of prompts are cached until newer ones need their memory.
+The engine works in steps. Each step decodes one token of every running stream
+and prefills a chunk of the prompts that need it, which makes the step longer
+for all streams. Parts of prompts stay cached until newer ones need the memory.
 """
 
 from collections import OrderedDict
@@ -12,19 +12,21 @@
 
 
 @attrs.frozen
-class EngineFigures:
-    """What an engine is like.
+class EngineParameters:
+    """Speed and memory of an engine.
 
     Attributes:
-        slots: Requests at once.
-        step_ms: The shortest step.
-        step_ms_per_slot: What each stream adds to it.
-        context_ms_per_k: What each thousand tokens of running streams add.
-        tokens_per_ms: How fast prompts are read.
-        first_ms: From a stream's first token to its first event.
-        stride: Tokens in an event.
-        chunk: Prompt tokens that a step reads at most.
-        cached_tokens: Memory for running streams and cached parts.
+        slots: Number of requests that run at once.
+        step_ms: Length of a step without streams, in milliseconds.
+        step_ms_per_slot: Milliseconds that each decoding stream adds to a step.
+        context_ms_per_k: Milliseconds that each thousand context tokens of
+            decoding streams add to a step.
+        tokens_per_ms: Prompt tokens prefilled per millisecond.
+        first_ms: Delay from a token to the event that carries it, in
+            milliseconds.
+        stride: Number of tokens in an event, after a stream's first event.
+        chunk: Maximum number of prompt tokens that one step prefills.
+        cached_tokens: Memory for running streams and cached parts, in tokens.
     """
 
     slots: int
@@ -39,20 +41,23 @@
 
 
 @attrs.define(eq=False)
-class Run:
+class EngineRequest:
     """A request at an engine.
 
     Attributes:
-        prompt: Names and lengths of its parts; the last is its own.
-        out_tokens: To be made.
-        urgency: 0 is the first.
-        on_event: Told of each event with its time and whether it is the last.
-        on_lost: Told that the engine has crashed.
-        source: An engine from which cached parts are fetched; a fetch takes
-            some milliseconds, which are left out.
-        unread: Prompt tokens still to be read.
-        made: Tokens made so far.
-        read: Prompt tokens that were read for it.
+        prompt: Names of the prompt's parts and their lengths in tokens; the
+            last part is never shared with other requests.
+        out_tokens: Number of tokens to decode.
+        urgency: Priority; lower values run first, from 0.
+        on_event: Called for each event with its time in seconds and whether it
+            is the last.
+        on_lost: Called with the time in seconds if the engine crashes.
+        source: Engine from which cached parts are fetched, if any. A real
+            fetch takes a few milliseconds, which the emulation neglects.
+        unread: Prompt tokens that are still to be prefilled.
+        made: Tokens decoded so far.
+        read: Tokens that this engine prefilled for the request, including
+            those prefilled again after a preemption.
     """
 
     prompt: tuple[tuple[str, int], ...]
@@ -67,74 +72,79 @@
 
     @property
     def context(self) -> int:
-        """Tokens that it holds in memory."""
+        """Tokens that the request holds in the engine's memory."""
         return sum(tokens for _, tokens in self.prompt) + self.made
 
 
 class Engine:
-    """One engine; its owner calls `step` when `next_s` has come."""
+    """An emulated engine, whose owner must call `step` at the time `next_s`."""
 
-    def __init__(self, figures: EngineFigures, slowness: float) -> None:
-        """Starts empty."""
+    def __init__(self, figures: EngineParameters, slowness: float) -> None:
+        """Builds an idle engine with an empty cache.
+
+        Args:
+            figures: Speed and memory of the engine.
+            slowness: Factor on the length of each step; 1 for normal speed.
+        """
         self._figures = figures
         self._slowness = slowness
-        self._waiting: list[Run] = []
-        self._active: list[Run] = []
+        self._waiting: list[EngineRequest] = []
+        self._active: list[EngineRequest] = []
         self._cached: OrderedDict[str, int] = OrderedDict()
-        self._reads: list[tuple[Run, int]] = []
+        self._prefills: list[tuple[EngineRequest, int]] = []
         self.next_s: float | None = None
-        self.is_away = False
+        self.is_down = False
         self.is_scheduled = False
         self.tokens_read = 0
         self.tokens_read_again = 0
-        self.busy_reading_s = 0.0
-        self.put_back = 0
-        self._ever: set[str] = set()
+        self.prefill_busy_s = 0.0
+        self.preemptions = 0
+        self._ever_cached: set[str] = set()
 
-    def submit(self, run: Run, now_s: float) -> None:
-        """Takes a request."""
+    def submit(self, run: EngineRequest, now_s: float) -> None:
+        """Queues a request, and starts a step if the engine is idle."""
         self._waiting.append(run)
-        # Stable: of equal urgency the first to come is the first served.
+        # The sort is stable, so requests of equal urgency keep their order.
         self._waiting.sort(key=lambda waiting: waiting.urgency)
         if self.next_s is None:
             self._begin(now_s)
 
-    def cancel(self, run: Run) -> None:
-        """Ends a request whose caller has gone."""
+    def cancel(self, run: EngineRequest) -> None:
+        """Removes a request whose caller has disconnected."""
         for runs in (self._waiting, self._active):
             if run in runs:
                 runs.remove(run)
 
     def crash(self, now_s: float) -> None:
-        """Loses all requests and all memory."""
+        """Drops all requests and the cache, and marks the engine as down."""
         lost = self._waiting + self._active
-        self._waiting, self._active, self._reads = [], [], []
+        self._waiting, self._active, self._prefills = [], [], []
         self._cached.clear()
         self.next_s = None
-        self.is_away = True
+        self.is_down = True
         for run in lost:
             run.on_lost(now_s)
 
-    def come_back(self) -> None:
-        """Takes requests again."""
-        self.is_away = False
+    def recover(self) -> None:
+        """Marks the engine as running again after a crash."""
+        self.is_down = False
 
     def step(self) -> None:
-        """Ends the step that was due, and begins the next one."""
+        """Completes the step that ends at `next_s` and starts the next one."""
         assert self.next_s is not None
         now_s = self.next_s
-        for run, tokens in self._reads:
+        for run, tokens in self._prefills:
             run.unread -= tokens
         for run in list(self._active):
             if run.unread == 0:
                 self._make_token(run, now_s)
         self._begin(now_s)
 
-    def _make_token(self, run: Run, now_s: float) -> None:
+    def _make_token(self, run: EngineRequest, now_s: float) -> None:
         run.made += 1
         is_last = run.made >= run.out_tokens
         if run.made == 1:
-            self._keep(run)
+            self._cache_prefixes(run)
         if is_last:
             self._active.remove(run)
         if is_last or run.made == 1 or run.made % self._figures.stride == 0:
@@ -147,7 +157,7 @@
             self.next_s = None
             return
         budget = figures.chunk
-        self._reads = []
+        self._prefills = []
         decoding = 0
         context = 0
         for run in self._active:
@@ -158,7 +168,7 @@
             tokens = min(run.unread, budget)
             if tokens:
                 budget -= tokens
-                self._reads.append((run, tokens))
+                self._prefills.append((run, tokens))
         read = figures.chunk - budget
         reading_ms = read / figures.tokens_per_ms
         step_ms = (
@@ -168,43 +178,52 @@
             + reading_ms
         ) * self._slowness
         self.tokens_read += read
-        self.busy_reading_s += reading_ms * self._slowness / 1000
+        self.prefill_busy_s += reading_ms * self._slowness / 1000
         self.next_s = now_s + step_ms / 1000
 
     def _admit(self) -> None:
-        while self._waiting and self._has_place():
+        while self._waiting and self._make_room():
             run = self._waiting.pop(0)
-            # What a run had made before it was put back is read again.
-            run.unread = max(1, self._missing(run)) + run.made
+            # Tokens that a request decoded before it was preempted must be
+            # prefilled too.
+            run.unread = max(1, self._count_tokens_to_prefill(run)) + run.made
             run.read += run.unread
             self._active.append(run)
 
-    def _has_place(self) -> bool:
-        """Makes a place, if need be, by putting back what is less urgent."""
+    def _make_room(self) -> bool:
+        """Returns whether a slot is free, after a preemption if one is needed.
+
+        If all slots are taken, the least urgent running request is preempted
+        for a more urgent one.
+        """
         if len(self._active) < self._figures.slots:
             return True
         last = max(reversed(self._active), key=lambda run: run.urgency)
         if last.urgency <= self._waiting[0].urgency:
             return False
         self._active.remove(last)
-        self._reads = [(run, n) for run, n in self._reads if run is not last]
-        self.put_back += 1
+        self._prefills = [
+            (run, n) for run, n in self._prefills if run is not last
+        ]
+        self.preemptions += 1
         self._waiting.append(last)
         self._waiting.sort(key=lambda waiting: waiting.urgency)
         return True
 
-    def _missing(self, run: Run) -> int:
-        """Returns what has to be read: all from the first part that lacks."""
-        for index, name in enumerate(_runs(run)):
+    def _count_tokens_to_prefill(self, run: EngineRequest) -> int:
+        """Returns the prompt tokens from the first part that is not cached."""
+        for index, name in enumerate(_prefix_names(run)):
             if name not in self._cached:
                 if run.source is not None and run.source.holds(name):
                     continue
                 again = [
                     tokens
                     for part, (_, tokens) in zip(
-                        _runs(run)[index:], run.prompt[index:-1], strict=True
+                        _prefix_names(run)[index:],
+                        run.prompt[index:-1],
+                        strict=True,
                     )
-                    if part in self._ever
+                    if part in self._ever_cached
                 ]
                 self.tokens_read_again += sum(again)
                 return sum(tokens for _, tokens in run.prompt[index:])
@@ -212,14 +231,16 @@
         return run.prompt[-1][1]
 
     def holds(self, name: str) -> bool:
-        """Whether a run of parts is cached."""
+        """Returns whether a prefix of parts is cached."""
         return name in self._cached
 
-    def _keep(self, run: Run) -> None:
-        for name, (_, tokens) in zip(_runs(run), run.prompt, strict=False):
+    def _cache_prefixes(self, run: EngineRequest) -> None:
+        for name, (_, tokens) in zip(
+            _prefix_names(run), run.prompt, strict=False
+        ):
             self._cached[name] = tokens
             self._cached.move_to_end(name)
-            self._ever.add(name)
+            self._ever_cached.add(name)
         held = sum(r.context for r in self._active)
         while self._cached and (
             sum(self._cached.values()) + held > self._figures.cached_tokens
@@ -227,8 +248,8 @@
             self._cached.popitem(last=False)
 
 
-def _runs(run: Run) -> list[str]:
-    """Returns a name for each run of shared parts from the prompt's start."""
+def _prefix_names(run: EngineRequest) -> list[str]:
+    """Returns a name for each prefix of shared parts of the prompt."""
     names: list[str] = []
     for part, _ in run.prompt[:-1]:
         names.append(f"{names[-1]}/{part}" if names else part)
--- a/packages/bench/src/hollyknot_bench/experiment/_outcome.py
+++ b/packages/bench/src/hollyknot_bench/experiment/_outcome.py
@@ -53,15 +53,15 @@
         tokens_read: Prompt tokens that all engines prefilled.
         tokens_read_again: Those of shared parts that the same engine had
             prefilled before and no longer had in its cache.
-        put_back: Number of times that a request was preempted for a more urgent
-            one.
+        preemptions: Number of times that a request was preempted for a more
+            urgent one.
         reading: Fraction of the engines' time spent on prefill.
     """
 
     ended: tuple[RequestOutcome, ...]
     tokens_read: int
     tokens_read_again: int
-    put_back: int
+    preemptions: int
     reading: float
 
     @property
