--- a/packages/gateway/src/hollyknot_gateway/_caller_server.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_server.py
@@ -41,12 +41,12 @@
 
     @property
     def in_work(self) -> int:
-        """How many connections have a request not answered in full."""
+        """Number of connections with a request not answered in full."""
         return sum(c.has_request for c in self._connections)
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     async def start(self, address: Address) -> int:
--- a/packages/gateway/src/hollyknot_gateway/_exchange.py
+++ b/packages/gateway/src/hollyknot_gateway/_exchange.py
@@ -69,7 +69,7 @@
         first_s: Seconds from sending the request to the head of the answer,
             or to the first event of a stream; 0 if neither arrived.
         gap_s: The longest gap between two parts of a stream, in seconds.
-        intervals: How many gaps between parts of a stream were seen.
+        intervals: Number of observed gaps between parts of a stream.
         is_other_upstream: Whether another incarnation now has the address.
         took_s: Seconds from sending the request to the end of the try.
     """
@@ -161,7 +161,7 @@
 
     @property
     def last_byte_s(self) -> float:
-        """When the last byte arrived or, before that, when the try began."""
+        """Time of the last byte or, before any arrives, of the try's start."""
         return self._last_byte_s
 
     @property
--- a/packages/gateway/src/hollyknot_gateway/_fetch.py
+++ b/packages/gateway/src/hollyknot_gateway/_fetch.py
@@ -25,7 +25,7 @@
 
 
 class FetchFailure(enum.Enum):
-    """Why a document was not read."""
+    """Reasons why a document was not read."""
 
     CONNECT = "connect-failed"
     TIMEOUT = "timeout"
@@ -38,7 +38,7 @@
 
     Attributes:
         status: The HTTP status.
-        body: The whole body.
+        body: The complete body.
         fields: The headers, looked up by case-insensitive name.
     """
 
--- a/packages/gateway/src/hollyknot_gateway/_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/_follower.py
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class FollowOptions:
-    """How a collection is watched.
+    """Options for watching a collection.
 
     Attributes:
         wait_s: Seconds that a watch waits for a change.
@@ -109,8 +109,8 @@
             source: The source to read.
             options: Returns how to read it. Called at each read, since settings
                 may change.
-            on_listing: Called with each full list, and whether items that it
-                lacks may only have lapsed while the source was unavailable.
+            on_listing: Called with each full list, and whether items missing
+                from it may only have lapsed while the source was unavailable.
             on_changes: Called with each set of changes, and whether removed
                 items may only have lapsed.
             log: Receives a line when the source is lost or regained.
@@ -253,8 +253,8 @@
         )
         try:
             if self._is_behind:
-                # This watch already reads what the host lacks, so further
-                # reports of peers are no reason to begin it again.
+                # This watch already reads the changes that the host has not
+                # read, so further reports of peers don't restart it.
                 return await watch
             await asyncio.wait(
                 (watch, behind), return_when=asyncio.FIRST_COMPLETED
--- a/packages/gateway/src/hollyknot_gateway/_host.py
+++ b/packages/gateway/src/hollyknot_gateway/_host.py
@@ -251,12 +251,12 @@
 
     @property
     def peers(self) -> int:
-        """How many other hosts send reports to this one."""
+        """Number of other hosts that send reports to this one."""
         return self._neighbours.count
 
     @property
     def limited_upstreams(self) -> int:
-        """How many upstreams are known to have a rate limit."""
+        """Number of upstreams that are known to have a rate limit."""
         return self._named_limits.count
 
     @property
--- a/packages/gateway/src/hollyknot_gateway/_job.py
+++ b/packages/gateway/src/hollyknot_gateway/_job.py
@@ -24,7 +24,7 @@
     Attributes:
         request: The request as the caller sent it.
         reply: Writes the answer to the caller.
-        call: What the request's headers say.
+        call: Values parsed from the request's headers.
         route: The route that matches the request's host and target.
         service: The service of the route that this request goes to.
         owner: The owner of the request's key.
--- a/packages/gateway/src/hollyknot_gateway/_log.py
+++ b/packages/gateway/src/hollyknot_gateway/_log.py
@@ -64,12 +64,12 @@
 
     @property
     def dropped(self) -> int:
-        """How many lines have been dropped so far."""
+        """Number of lines that have been dropped so far."""
         return self._dropped_before + self._dropped.total()
 
     @property
     def waiting(self) -> int:
-        """How many lines wait to be written."""
+        """Number of lines that wait to be written."""
         return len(self._lines)
 
     def line(self, event: str, **values: object) -> None:
--- a/packages/gateway/src/hollyknot_gateway/_pool.py
+++ b/packages/gateway/src/hollyknot_gateway/_pool.py
@@ -24,7 +24,10 @@
 
 
 class ConnectFailure(enum.Enum):
-    """Why a connection failed; no byte was sent, so the request has not run."""
+    """Reasons why a connection failed.
+
+    No byte was sent in any of these cases, so the request has not run.
+    """
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
--- a/packages/gateway/src/hollyknot_gateway/_ports.py
+++ b/packages/gateway/src/hollyknot_gateway/_ports.py
@@ -26,10 +26,10 @@
     """Reads and writes the headers of callers, hosts and upstreams.
 
     Attributes:
-        read_call: Returns what a request's headers say.
+        read_call: Parses a request's headers.
         upstream_headers: Returns the headers to send to an upstream, made
             from the caller's end-to-end headers.
-        read_answer: Returns what an answer's status and headers say.
+        read_answer: Parses an answer's status and headers.
         attempt_header: Name of the header that carries the caller's request
             id in answers that the host writes itself.
     """
--- a/packages/gateway/src/hollyknot_gateway/_prober.py
+++ b/packages/gateway/src/hollyknot_gateway/_prober.py
@@ -2,9 +2,9 @@
 
 An open connection may be dead without a sign, and a request that times out on
 it shows little, and late. A connection attempt takes one round trip, runs no
-request, and its result is telling: if it succeeds, the upstream is alive; if
-it is refused, the upstream's process is gone; if it times out, the network
-path is cut.
+request, and its result shows the cause: if it succeeds, the upstream is alive;
+if it is refused, the upstream's process has ended; if it times out, the
+network path is cut.
 """
 
 import asyncio
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -36,7 +36,7 @@
 
         Args:
             entry: The upstream that the request was sent to.
-            traits: What the answer's head says.
+            traits: Values parsed from the answer's head.
             sent_s: When the request was sent, on the loop's clock.
         """
         if traits.is_other_upstream:
--- a/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
@@ -35,7 +35,7 @@
 
 
 class Lost(enum.Enum):
-    """Why an answer did not arrive complete."""
+    """Reasons why an answer did not arrive complete."""
 
     CLOSED = "closed"
     TRUNCATED = "truncated"
@@ -103,7 +103,7 @@
 
     @property
     def idle_since(self) -> float:
-        """When the last answer ended, on the loop's clock."""
+        """Time at which the last answer ended, on the loop's clock."""
         return self._idle_since
 
     @property
--- a/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_culprits.py
@@ -32,7 +32,8 @@
 CONTACT_S = 4.0
 MAX_CRASHES = 3
 MAX_LATE_SENDS = 3
-"""Sends allowed after the third crash and `CONTACT_S` to spread its news."""
+"""Sends allowed later than `CONTACT_S` after the third crash, when all hosts
+should have its record."""
 
 DISCOVERY_S = 12.0
 """Seconds until all hosts know each other."""
@@ -117,7 +118,7 @@
 
 @attrs.define(eq=False, repr=False)
 class _NewsHost:
-    """A host that only gossips news of crashes."""
+    """A host that gossips only records of crashes."""
 
     peers: list["_NewsHost"] = attrs.Factory(list)
     suspects: SuspectRegister = attrs.Factory(
@@ -137,7 +138,7 @@
 
 
 def _simulate_news_only(hosts: int, heard: int, seed: int) -> _Culprit:
-    """Simulates hosts that exchange nothing but news of crashes."""
+    """Simulates hosts that exchange nothing but records of crashes."""
 
     async def main() -> _Culprit:
         rng = random.Random(seed)
@@ -172,8 +173,8 @@
     def test_crash_news_alone_stops_a_crashing_request(
         self, hosts: int, heard: int
     ) -> None:
-        """A request goes on crashing upstreams if news gets little bandwidth.
+        """A request goes on crashing upstreams if records spread too slowly.
 
-        No reports are sent; hosts exchange only news of crashes.
+        No reports are sent; hosts exchange only records of crashes.
         """
         assert _simulate_news_only(hosts, heard, seed=1).late <= MAX_LATE_SENDS
--- a/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_follower.py
@@ -29,7 +29,7 @@
 
 @attrs.define
 class _Transcript:
-    """What a follower reported to its callbacks and asked of its source."""
+    """Records a follower's callbacks and its reads of the source."""
 
     listings: list[tuple[Listing[str], bool]] = attrs.Factory(list)
     changes: list[tuple[Changes[str], bool]] = attrs.Factory(list)
--- a/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
@@ -12,9 +12,9 @@
 """Seconds from the start of all hosts to the first requests of a deployment."""
 
 MIN_HEARD_FRACTION = 0.8
-"""Least fraction of all hosts that a host must believe to hear from. It issues
-permits for this fraction of three quarters of a rate limit, and six tenths of
-the limit are to be usable."""
+"""Least fraction of all hosts from which a host must count itself to receive
+reports. It issues permits for this fraction of three quarters of a rate limit,
+and six tenths of the limit are to be usable."""
 
 
 class TestHostCount:
--- a/packages/state/src/hollyknot_state/_claim_messages.py
+++ b/packages/state/src/hollyknot_state/_claim_messages.py
@@ -44,7 +44,7 @@
 
 
 class ClaimOutcome(enum.Enum):
-    """How a granted attempt ended, as far as a holder knows."""
+    """Outcomes of a granted attempt, as far as a holder knows."""
 
     UNKNOWN = "unknown"
     """The attempt may not have begun, may be running or may have ended."""
@@ -215,7 +215,7 @@
 
 @attrs.frozen
 class SlotQuestion:
-    """What a learner (a host about to become a holder) asks about one slot.
+    """A query of a learner (a host about to become a holder) about one slot.
 
     Attributes:
         slot: The slot.
@@ -248,7 +248,7 @@
 
 
 class SlotAnswerKind(enum.Enum):
-    """How a host answers a `SlotQuestion`."""
+    """Kinds of answers to a `SlotQuestion`."""
 
     SEALED = "sealed"
     """The host never again grants for an epoch older than the learner's."""
@@ -281,7 +281,7 @@
 
 @attrs.frozen
 class SlotAnswer:
-    """What a host knows about one slot.
+    """The state of one slot as far as a host knows it.
 
     Attributes:
         slot: The slot.
--- a/packages/state/src/hollyknot_state/_gossip_messages.py
+++ b/packages/state/src/hollyknot_state/_gossip_messages.py
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class DocumentDelta:
-    """What changed between two versions of a document.
+    """The changes between two versions of a document.
 
     Attributes:
         base: The version to which the delta applies.
@@ -107,7 +107,7 @@
 
 
 class MemberState(enum.Enum):
-    """What a host believes of a peer of its data centre."""
+    """Liveness of a peer in the same data centre, as a host judges it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -167,7 +167,7 @@
 
 @attrs.frozen
 class Gossip:
-    """What a host sends to a peer in a round, on a change or as an answer.
+    """A message to a peer, sent in a round, on a change or as an answer.
 
     Attributes:
         reply: Whether the receiver has to answer with a `Gossip` in any case.
--- a/packages/state/src/hollyknot_state/_host_report.py
+++ b/packages/state/src/hollyknot_state/_host_report.py
@@ -116,7 +116,7 @@
         demands: Load that the host's streams put on services.
         suspects: Evidence against requests that may crash upstreams.
         held: Prompt prefixes that the host has newly sent to upstreams.
-        contacts: Addresses of some peers from which the host has heard lately.
+        contacts: Addresses of some peers that lately sent the host a message.
         revisions: What the host has read from the platform's directory.
         limits: Rate limits that upstreams have named.
     """
--- a/packages/state/src/hollyknot_state/_hosts.py
+++ b/packages/state/src/hollyknot_state/_hosts.py
@@ -29,7 +29,7 @@
 
 
 class Role(enum.Enum):
-    """What listens at an entry's address."""
+    """Kinds of servers that listen at an entry's address."""
 
     HOST = "host"
     ENGINE = "engine"
--- a/packages/state/src/hollyknot_state/_load_messages.py
+++ b/packages/state/src/hollyknot_state/_load_messages.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class UpstreamPace:
-    """How fast an upstream's streams run.
+    """The pace of an upstream's streams.
 
     Attributes:
         upstream: Short name of the upstream.
--- a/packages/state/src/hollyknot_state/_paths.py
+++ b/packages/state/src/hollyknot_state/_paths.py
@@ -18,7 +18,7 @@
 
 
 class PathFault(enum.Enum):
-    """Why a path cannot be normalised; the values are phrases for messages."""
+    """Reasons why a path can't be normalised, as phrases for messages."""
 
     CHARACTERS = "a character that a path can't hold"
     ENCODED_SLASH = "an encoded slash or backslash"
--- a/packages/state/src/hollyknot_state/_request.py
+++ b/packages/state/src/hollyknot_state/_request.py
@@ -1,4 +1,4 @@
-"""What admission and routing know about a caller's request."""
+"""Describes a caller's request to admission and routing."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 
 class TargetKind(enum.Enum):
-    """What a class's latency target measures."""
+    """Kinds of latency that a class's target can limit."""
 
     FIRST_TOKEN = "first-token"
     BETWEEN_TOKENS = "between-tokens"
--- a/packages/state/src/hollyknot_state/_signals.py
+++ b/packages/state/src/hollyknot_state/_signals.py
@@ -29,7 +29,7 @@
 
 
 class SignKind(enum.Enum):
-    """What a host itself observed about an upstream."""
+    """Kinds of signs of an upstream's state that a host itself observed."""
 
     DRAINING = "draining"
     REFUSED_CONNECTION = "refused-connection"
--- a/packages/state/src/hollyknot_state/_verdict.py
+++ b/packages/state/src/hollyknot_state/_verdict.py
@@ -1,4 +1,4 @@
-"""How a request ended, and whether an upstream may have run it.
+"""Describes how a request ended and whether an upstream may have run it.
 
 Every request ends with a `Verdict`. Retries, the caller's status code and what
 holders of a claim record follow only from the verdict and from whether the
@@ -27,7 +27,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request ended as it did.
+    """Reasons why a request ended as it did.
 
     Callers and logs see the values, which are stable between releases.
     """
--- a/packages/state/src/hollyknot_state/routes/_calls.py
+++ b/packages/state/src/hollyknot_state/routes/_calls.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class CallTraits:
-    """What the headers of a caller's request say.
+    """Values parsed from the headers of a caller's request.
 
     Attributes:
         attempt_id: The caller's name for this sending of the request.
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """What a host adds to a caller's request for the upstream.
+    """Values that a host adds to a caller's request for the upstream.
 
     Attributes:
         upstream: Name of the intended upstream; any other one must refuse.
@@ -71,7 +71,7 @@
 
 
 class NoLimit(enum.Enum):
-    """Why an answer has no rate limit."""
+    """Reasons why an answer has no rate limit."""
 
     NOT_NAMED = "not-named"
     """The upstream named no limit: it accepts all requests."""
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class AnswerTraits:
-    """What the head of an upstream's answer says.
+    """Values parsed from the head of an upstream's answer.
 
     Attributes:
         attempt_id: Request that is answered; empty if the answer does not say.
--- a/packages/state/src/hollyknot_state/routes/_table.py
+++ b/packages/state/src/hollyknot_state/routes/_table.py
@@ -11,7 +11,7 @@
 
 
 class RouteKind(enum.Enum):
-    """Which requests of a route may be sent again."""
+    """Kinds of routes, by which of their requests may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix go, and what they expect.
+    """Services and limits for the requests of one host and path prefix.
 
     Attributes:
         name: Name of the route, unique in a table.
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class Engine:
-    """What a service of model engines declares for each of its upstreams.
+    """Capacity of each upstream of a service of model engines, as declared.
 
     Attributes:
         slots: Number of requests in one batch.
@@ -120,7 +120,7 @@
 
 @attrs.frozen
 class CallerLimits:
-    """How much a caller may send, and how long it may take.
+    """Limits on how much a caller may send and how long it may take.
 
     Attributes:
         max_head_bytes: Largest request line with headers, in bytes.
