--- a/packages/gateway/src/hollyknot_gateway/_caller_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_caller_connection.py
@@ -49,7 +49,7 @@
         fields: The same headers, looked up by case-insensitive name.
         body: The body without its framing.
         has_body: Whether the head announced a body, even an empty one.
-        arrived_s: When the head was read, on the loop's clock.
+        arrived_s: Time at which the head was read, on the loop's clock.
     """
 
     method: str
--- a/packages/gateway/src/hollyknot_gateway/_directory.py
+++ b/packages/gateway/src/hollyknot_gateway/_directory.py
@@ -108,7 +108,7 @@
 
         Args:
             parts: The sources and the components that they update.
-            bounds: How soon changes have to be noticed.
+            bounds: Limits on the delay until changes are noticed.
         """
         self._parts = parts
         self._bounds = bounds
--- a/packages/gateway/src/hollyknot_gateway/_job.py
+++ b/packages/gateway/src/hollyknot_gateway/_job.py
@@ -33,9 +33,9 @@
         is_loose: Whether the stream tolerates long inter-token gaps.
         shed_from_urgency: The urgency from which requests may be shed under
             load.
-        deadline_s: When the request times out, on the loop's clock.
+        deadline_s: Time at which the request expires, on the loop's clock.
         stream: The part of an event stream that the caller has received.
-        sent: How many times the request was sent to an upstream.
+        sent: Number of times that the request was sent to an upstream.
         sent_before: `sent` without the current try.
         may_have_run: Whether any upstream may have run the request.
         may_have_run_before: `may_have_run` without the current try.
--- a/packages/gateway/src/hollyknot_gateway/_neighbours.py
+++ b/packages/gateway/src/hollyknot_gateway/_neighbours.py
@@ -438,7 +438,7 @@
 
         Args:
             entry: The upstream that became unreachable.
-            failure: How the connection attempt failed.
+            failure: Reason why the connection attempt failed.
         """
         others = self._others_in_data_centre(entry)
         is_silent = entry.data_centre in self._silent_data_centres
--- a/packages/gateway/src/hollyknot_gateway/_ports.py
+++ b/packages/gateway/src/hollyknot_gateway/_ports.py
@@ -46,7 +46,7 @@
 
     Attributes:
         name: The item's name in its collection.
-        reason: What is wrong with the item.
+        reason: Why the item can't be parsed.
     """
 
     name: str
@@ -107,7 +107,7 @@
 
     Attributes:
         reason: A slug for logs.
-        detail: What went wrong, for logs.
+        detail: Description of the failure, for logs.
     """
 
     reason: str
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -37,7 +37,7 @@
         Args:
             entry: The upstream that the request was sent to.
             traits: Values parsed from the answer's head.
-            sent_s: When the request was sent, on the loop's clock.
+            sent_s: Time at which the request was sent, on the loop's clock.
         """
         if traits.is_other_upstream:
             return
--- a/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
+++ b/packages/gateway/src/hollyknot_gateway/_upstream_connection.py
@@ -176,7 +176,7 @@
         """Parses received bytes and passes them to the receiver at once."""
         if self._receiver is None:
             # No request is in flight: this is a late or duplicate answer, which
-            # must not be taken for the answer to the next request.
+            # must not be treated as the answer to the next request.
             self._is_kept_alive = False
             if self._transport is not None:
                 self._transport.abort()
--- a/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_host_count.py
@@ -1,4 +1,4 @@
-"""Tests the number of hosts among which a host takes bounds to be shared."""
+"""Tests the estimate of the number of hosts that share a bound."""
 
 import asyncio
 
--- a/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests the encoding and decoding of datagrams from peers and strangers."""
+"""Tests the encoding and decoding of datagrams from peers and other senders."""
 
 import os
 
--- a/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_stalls.py
@@ -74,7 +74,7 @@
         assert watch.stalls.sweep() == 0
 
     def test_silent_try_is_kept_without_a_retry_left(self) -> None:
-        """Queued urgent streams get no answer, although one would come later.
+        """Guards against ending queued urgent streams that would be answered.
 
         In a burst, urgent streams wait in engines' queues for longer than
         three times their target. Their tries were ended even if the retry
--- a/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
+++ b/packages/gateway/src/hollyknot_gateway/tests/test_suspension.py
@@ -7,7 +7,7 @@
     """The difference of two clocks shows a suspension."""
 
     def test_suspension_is_noticed_once(self) -> None:
-        """The first requests after a suspension are lost.
+        """Guards against lost requests just after a suspension.
 
         A host that was suspended for a minute wakes and sends on keep-alive
         connections that its peers have closed, since by its monotonic clock
--- a/packages/state/src/hollyknot_state/_claim_messages.py
+++ b/packages/state/src/hollyknot_state/_claim_messages.py
@@ -60,7 +60,7 @@
 
     Attributes:
         attempt: The attempt.
-        outcome: How the attempt ended, as far as it was reported to the holder.
+        outcome: Outcome of the attempt, as far as the holder got reports of it.
     """
 
     attempt: Attempt
@@ -130,7 +130,7 @@
     Attributes:
         key: The claim key.
         attempt: The attempt.
-        outcome: How the attempt ended.
+        outcome: Outcome of the attempt.
     """
 
     key: bytes = attrs.field(validator=_is_key)
@@ -180,7 +180,7 @@
         key: The claim key.
         asker: The attempt that asked.
         attempt: The attempt that the answer is about.
-        kind: What the holder answers.
+        kind: Kind of the holder's answer.
         group: Digest of the holders for which the answer was given.
         held: Attempts to which the key is known to be granted.
         revision: With `NEWER`, the revision of the holder's host list.
@@ -285,7 +285,7 @@
 
     Attributes:
         slot: The slot.
-        kind: How the host answers the question.
+        kind: Kind of the answer to the question.
         question: The epoch of the question.
         active: Newest revision for which the host was active; 0 for none.
         epochs: Epochs that the host knows, from the one for which it was
--- a/packages/state/src/hollyknot_state/_gossip_messages.py
+++ b/packages/state/src/hollyknot_state/_gossip_messages.py
@@ -120,7 +120,7 @@
 
     Attributes:
         host: The host's name in the host list.
-        state: What the sender believes about the host.
+        state: The host's liveness, as the sender judges it.
         incarnation: Number that only the host itself raises, to refute a
             suspicion.
     """
--- a/packages/state/src/hollyknot_state/_host_report.py
+++ b/packages/state/src/hollyknot_state/_host_report.py
@@ -117,7 +117,7 @@
         suspects: Evidence against requests that may crash upstreams.
         held: Prompt prefixes that the host has newly sent to upstreams.
         contacts: Addresses of some peers that lately sent the host a message.
-        revisions: What the host has read from the platform's directory.
+        revisions: Revisions of the platform's directory that the host has read.
         limits: Rate limits that upstreams have named.
     """
 
--- a/packages/state/src/hollyknot_state/_signals.py
+++ b/packages/state/src/hollyknot_state/_signals.py
@@ -1,4 +1,6 @@
-"""Signals that hosts gossip: they may be late or lost, and safety needs none.
+"""Signals that hosts gossip; safety does not depend on them.
+
+They may be late or lost.
 
 Times are ages in milliseconds at the moment of sending, never clock readings,
 since the clocks of hosts differ. The receiver converts an age to its own
@@ -44,7 +46,7 @@
 
     Attributes:
         upstream: The upstream's name in the host list.
-        kind: What the host observed.
+        kind: Kind of sign that the host observed.
         age_ms: Milliseconds since the observation.
     """
 
--- a/packages/state/src/hollyknot_state/routes/_table.py
+++ b/packages/state/src/hollyknot_state/routes/_table.py
@@ -40,7 +40,7 @@
         name: Name of the route, unique in a table.
         host: Host that is compared with the `Host` header without its port.
         prefix: Path prefix, which begins and ends with a slash.
-        kind: Which requests may be sent again.
+        kind: Kind of the route; decides which requests may be sent again.
         shares: Services that share the traffic; never empty.
         timeout_s: Seconds that a caller waits at most.
         target_s: Target in seconds for the end of the answer, or for the first
