--- a/packages/gateway/src/hollyknot_gateway/_ports.py
+++ b/packages/gateway/src/hollyknot_gateway/_ports.py
@@ -26,10 +26,10 @@
     """Reads and writes the headers of callers, hosts and upstreams.
 
     Attributes:
-        read_call: Returns what a request's headers say.
+        read_call: Parses a request's headers.
         upstream_headers: Returns the headers to send to an upstream, made
             from the caller's end-to-end headers.
-        read_answer: Returns what an answer's status and headers say.
+        read_answer: Parses an answer's status and headers.
         attempt_header: Name of the header that carries the caller's request
             id in answers that the host writes itself.
     """
@@ -46,7 +46,7 @@
 
     Attributes:
         name: The item's name in its collection.
-        reason: What is wrong with the item.
+        reason: Why the item can't be parsed.
     """
 
     name: str
@@ -107,7 +107,7 @@
 
     Attributes:
         reason: A slug for logs.
-        detail: What went wrong, for logs.
+        detail: Description of the failure, for logs.
     """
 
     reason: str
--- a/packages/gateway/src/hollyknot_gateway/_rate_limits.py
+++ b/packages/gateway/src/hollyknot_gateway/_rate_limits.py
@@ -36,8 +36,8 @@
 
         Args:
             entry: The upstream that the request was sent to.
-            traits: What the answer's head says.
-            sent_s: When the request was sent, on the loop's clock.
+            traits: Values parsed from the answer's head.
+            sent_s: Time at which the request was sent, on the loop's clock.
         """
         if traits.is_other_upstream:
             return
--- a/packages/state/src/hollyknot_state/_host_report.py
+++ b/packages/state/src/hollyknot_state/_host_report.py
@@ -116,8 +116,8 @@
         demands: Load that the host's streams put on services.
         suspects: Evidence against requests that may crash upstreams.
         held: Prompt prefixes that the host has newly sent to upstreams.
-        contacts: Addresses of some peers from which the host has heard lately.
-        revisions: What the host has read from the platform's directory.
+        contacts: Addresses of some peers that lately sent the host a message.
+        revisions: Revisions of the platform's directory that the host has read.
         limits: Rate limits that upstreams have named.
     """
 
