--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cached_parts.py
@@ -30,7 +30,7 @@
 
 REPORTED_S = 0.25
 """Seconds for which a newly held run stays in reports: at ten reports a second
-each peer hears it two or three times, so that a lost report does no harm."""
+each peer receives it two or three times, so that a lost report does no harm."""
 
 MIN_REPORTED_TOKENS = 500
 """Prompt tokens below which a run is not reported: its prefill takes 10 ms,
@@ -38,7 +38,7 @@
 
 _MAX_HOLDERS = 4
 """Holders of the missing parts that are kept as possible sources: nearly always
-one of them is reachable and is not the upstream that lacks the parts."""
+one of them is reachable and is not the upstream where the parts are missing."""
 
 _MAX_UNTRACKED = 64
 """Runs that wait to be reported to trackers; more come up only while no tracker
@@ -55,8 +55,8 @@
     """Cached shared parts of one prompt at the upstreams of a service.
 
     Attributes:
-        missing_tokens: Shared tokens that each upstream is believed to lack,
-            by incarnation.
+        missing_tokens: Shared tokens that each upstream is believed not to
+            have cached, by incarnation.
         shared: Tokens in all shared parts.
         uncached_tokens: Shared tokens that no upstream is known to have.
         holders: Upstreams that are known to have the most, a few of them.
@@ -96,7 +96,7 @@
         parts, the preferred one is the source.
 
         Args:
-            entry: Upstream that may lack parts.
+            entry: Upstream that may not have all parts.
             preferred_entry: Upstream that all hosts prefer for these parts.
             excluded: Incarnations that must not be a source, since this host
                 believes them unreachable: an upstream that waits for one of
@@ -173,7 +173,7 @@
         prompt: Sequence[PromptPart],
         now_s: float,
     ) -> CacheCoverage:
-        """Returns which shared parts of a prompt each upstream lacks.
+        """Returns which shared parts of a prompt are missing at each upstream.
 
         Args:
             entries: Upstreams that the prompt may be sent to.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_cold_starts.py
@@ -45,7 +45,7 @@
 
 
 class ColdStarts:
-    """Cold upstreams that one host knows of, and its permits for them."""
+    """Cold upstreams known to one host, and its permits for them."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         size: HostCount,
         cold_start: Callable[[str], ColdStart | None],
     ) -> None:
-        """Creates an instance that takes all upstreams to be warm.
+        """Creates an instance that assumes all upstreams to be warm.
 
         Args:
             rng: Source of the random phase of this host's permits.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_contacts.py
@@ -1,4 +1,4 @@
-"""Chooses which addresses to contact whose hosts are not heard at present.
+"""Chooses which addresses to contact of hosts that send no reports now.
 
 Where hosts are replaced all the time, gossip keeps naming addresses that will
 never answer. Each try costs a report that a live peer would have got, so tries
@@ -52,7 +52,7 @@
     Attributes:
         is_seed: Whether the settings name the address, so that it is kept.
         last_try_s: Time of the last try.
-        tries: Number of tries since the host was last heard.
+        tries: Number of tries since the last report from the host.
     """
 
     is_seed: bool
@@ -116,8 +116,8 @@
         """Returns the addresses to try now, and counts the tries.
 
         Args:
-            known: Addresses whose hosts are heard, and which need no try.
-            peers: Number of peers that are heard.
+            known: Addresses of current peers, which need no try.
+            peers: Number of peers whose reports arrive.
             now_s: Current time, in seconds.
             max_reports: Reports that may be sent now, including those to peers.
         """
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_health.py
@@ -68,7 +68,7 @@
     """Outcomes of one host's requests at each upstream."""
 
     def __init__(self) -> None:
-        """Creates an instance that takes all upstreams to be healthy."""
+        """Creates an instance that assumes all upstreams to be healthy."""
         self._records: dict[str, _Record] = {}
 
     def note(
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_host_count.py
@@ -1,23 +1,23 @@
 """Tracks the number of hosts among which a limit of an upstream is divided.
 
 An upstream's limit holds for all hosts together, and hosts share no state, so
-each uses the limit divided by the number of hosts. Hosts that it does not hear
-count too: on the other side of a network partition they may still reach the
-same upstreams.
+each uses the limit divided by the number of hosts. Hosts whose reports do
+not arrive count too: on the other side of a network partition they may still
+reach the same upstreams.
 """
 
 import math
 from collections.abc import Sequence
 
 DISCOVERY_S = 4.0
-"""Seconds that a host takes to hear of the others after its start."""
+"""Seconds that a host takes to discover the others after its start."""
 
 PEAK_RETENTION_S = 60.0
-"""Seconds for which the largest number of hosts that was heard counts."""
+"""Seconds for which the peak of the number of reporting hosts counts."""
 
 
 class HostCount:
-    """The number of hosts, as far as one host can tell."""
+    """The number of hosts, as estimated by one host."""
 
     def __init__(
         self, started_s: float, *, is_alone: bool, data_centres: int = 1
@@ -27,7 +27,7 @@
         Args:
             started_s: Time at which this host started, in seconds.
             is_alone: Whether there may be no other host. A host that was given
-                peers and has heard none does not know the number.
+                peers and has no report from any does not know the number.
             data_centres: Number of data centres in the settings.
         """
         self.is_alone = is_alone
@@ -40,12 +40,12 @@
 
     @property
     def hosts(self) -> int:
-        """Number of hosts at present or heard recently, whichever is larger."""
+        """Number of hosts now, or the recent peak of it if that is larger."""
         return max(self._hosts, self._largest)
 
     @property
     def heard_fraction(self) -> float:
-        """Fraction of the hosts that are heard, including this one."""
+        """Fraction of the hosts whose reports arrive, including this one."""
         return min(1.0, self._heard / self.hosts)
 
     def set(
@@ -57,20 +57,20 @@
     ) -> None:
         """Updates the number of hosts.
 
-        A data centre of which no host is heard may be cut off: it is taken to
-        have as many hosts as the largest of the others.
+        A data centre without any report may be partitioned from this one: it
+        is assumed to have as many hosts as the largest of the others.
 
         Args:
             hosts: Estimated number of hosts, including this one.
-            heard: Number of hosts that are heard, including this one.
+            heard: Number of hosts whose reports arrive, including this one.
             now_s: Current time, in seconds.
-            by_data_centre: Number of heard hosts of each data centre; empty if
+            by_data_centre: Number of these hosts in each data centre; empty if
                 it isn't known.
         """
         self._heard = heard
         absent = max(0, self._data_centres - len(by_data_centre))
-        # The peak is taken of the hosts heard: it would keep the largest error
-        # of the estimate.
+        # The peak is that of the hosts whose reports arrive: a peak of the
+        # estimate would keep its largest error.
         known = heard
         if by_data_centre and not self.is_alone:
             hosts += absent * round(hosts * max(by_data_centre) / heard)
@@ -89,7 +89,8 @@
         Args:
             now_s: Current time, in seconds.
             discovery_s: Seconds for which the number is unknown after this
-                host started, or last heard no peer and remembered none.
+                host started, or last had neither a report nor a peak that
+                still counts.
         """
         is_discovered = now_s >= self._discovery_start_s + discovery_s
         return is_discovered and (self.hosts > 1 or self.is_alone)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_inquiries.py
@@ -1,5 +1,6 @@
 """Queries trackers for loads before a request is placed, and sends them notes.
 
+A note reports the in-flight work of this host to a tracker.
 This module decides what is sent to which tracker; the caller sends the messages
 and keeps the time. If a tracker does not answer in time, the request is placed
 by the loads in the reports of peers.
@@ -28,7 +29,7 @@
 MIN_INTERVAL_TO_QUERY_S = 0.4
 """Usual time in seconds between two reports of a peer from which trackers are
 queried. Below it, reports that cover all upstreams are worth more than answers
-about the four of a shortlist. About ten hosts hear from each other several
+about the four of a shortlist. About ten hosts get reports of each other several
 times a second, hundreds of hosts every few seconds."""
 
 MIN_INTERVAL_TO_NOTE_S = MIN_INTERVAL_TO_QUERY_S / 2
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_issuer_claims.py
@@ -1,9 +1,10 @@
 """Makes hosts of a large fleet agree on the issuer of an upstream's permits.
 
-Each host hears only some of the others, so several may take themselves for the
-first host in the ranking of an upstream. A host that issues permits claims so
-in its reports. Hosts pass on the claim that ranks first among those that they
-have received, so all hosts know the same issuer within seconds.
+Each host gets reports from only some of the others, so several may each
+conclude that they are the first host in the ranking of an upstream. A host that
+issues permits claims so in its reports. Hosts pass on the claim that ranks
+first among those that they have received, so all hosts know the same issuer
+within seconds.
 """
 
 import attrs
@@ -16,12 +17,12 @@
 """Age in seconds above which a claim no longer counts."""
 
 ALL_HEARD_FRACTION = 0.9
-"""Fraction of all hosts that a host must hear to do without claims: then nearly
-all hosts compute the same issuer."""
+"""Fraction of all hosts whose reports must reach a host for it to do without
+claims: then nearly all hosts compute the same issuer."""
 
 SOLE_AFTER_S = 5.0
-"""Seconds without a claim by others after which an issuer takes itself for the
-only one."""
+"""Seconds without a claim by others after which an issuer assumes that it is
+the only one."""
 
 MIN_OWN_CLAIMS = 10
 """Reports of its own claim that it must have received from others in that time.
@@ -57,7 +58,7 @@
 
         Args:
             own: This host.
-            size: Number of hosts and the part of them that this host hears,
+            size: Number of hosts and the fraction whose reports arrive here,
                 which decides whether claims are needed.
         """
         self._own = own
@@ -106,7 +107,7 @@
         return attrs.evolve(claim, age_ms=max(0, round(age_s * _MS)))
 
     def is_sole(self, upstream: int, now_s: float) -> bool:
-        """Returns whether this host takes itself for the only issuer."""
+        """Returns whether this host assumes that it is the only issuer."""
         known = self._states.get(upstream)
         return (
             known is not None
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_lanes.py
@@ -9,10 +9,11 @@
 
 Which routes are loose follows from the routes alone. How many upstreams the
 loose lane gets follows from the prompt tokens that all hosts send, smoothed, so
-that hosts that hear each other arrive at the same number and a burst shifts it.
-Each lane also gets the slots that its streams need: short prompts with long
-answers need little prefill, and where engines have few slots they would fill a
-lane that is sized by prefill alone and overflow to engines with long prompts.
+that hosts that get each other's reports compute the same number and a burst
+changes it. Each lane also gets the slots that its streams need: short prompts
+with long answers need little prefill, and where engines have few slots they
+would fill a lane that is sized by prefill alone and overflow to engines with
+long prompts.
 """
 
 import math
@@ -66,7 +67,7 @@
 
 
 class GapTolerance:
-    """Tells loose routes of a service from tight ones by their gap targets."""
+    """Separates loose from tight routes of a service by their gap targets."""
 
     def __init__(self, routes: Iterable[Route], service: str) -> None:
         """Computes the gap target from which streams of a service are loose."""
@@ -172,7 +173,7 @@
     def streams(self, service: str, *, is_loose: bool) -> float:
         """Returns how many streams of a lane are in flight at all hosts.
 
-        Hosts that are not heard are estimated from those that are.
+        Streams of hosts without reports are estimated from the others.
         """
         lane = (service, is_loose)
         counted = self._streams[lane] + self._own_streams[lane]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_loads.py
@@ -118,7 +118,7 @@
 
 
 class Loads:
-    """Work in flight of this host and of the peers that it hears.
+    """Work in flight of this host and of the peers that report to it.
 
     Attributes:
         on_change: Called after each change of this host's own work.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_named_limits.py
@@ -25,9 +25,9 @@
 limit that other hosts still report."""
 
 MAX_REPORTED_AGE_S = 60.0
-"""Age in seconds from which an observation is no longer reported. Else hosts
-would forever remind each other of upstreams that have gone, as each of them
-drops and learns them again in turn."""
+"""Age in seconds from which an observation is no longer reported. Otherwise
+limits of removed upstreams would circulate forever: a host that has dropped one
+would receive it again from a host that has not dropped it yet."""
 
 RETENTION_S = 600.0
 """Age in seconds above which an observation is dropped."""
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peer_count.py
@@ -1,15 +1,15 @@
-"""Estimates the number of peers when a host hears only some of them.
+"""Estimates the number of peers when only some of them send a host reports.
 
-Where there are many hosts, each hears a random subset of the others within a
-period. How often it hears the same ones again shows how many there are.
+Where there are many hosts, each gets reports from a random subset of the others
+within a period. How often the same ones report again shows how many there are.
 """
 
 import math
 from collections import deque
 
 _REPORTS_FOR_FULL_COVERAGE = 3
-"""Average number of reports from each heard peer, within the period, from which
-all peers are taken to have been heard."""
+"""Average number of reports from each known peer, within the period, from which
+all peers are assumed to be known."""
 
 _PRECISION = 0.5
 """Width of the interval, in peers, at which the bisection stops; the result is
@@ -23,8 +23,8 @@
     n * (1 - exp(-m / n)); n is found by bisection.
 
     Args:
-        distinct: Number of peers that were heard within a period.
-        reports: Number of reports that were heard within it.
+        distinct: Number of peers that sent reports within a period.
+        reports: Number of reports received within it.
     """
     if reports >= distinct * _REPORTS_FOR_FULL_COVERAGE:
         return distinct
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_peers.py
@@ -40,8 +40,8 @@
 
 MAX_PEER_TIMEOUT_S = 60.0
 """Longest silence, in seconds, after which a peer is forgotten. Where there are
-many hosts, a host hears only some of the others within it, and estimates from
-these how many there are."""
+many hosts, only some of the others report to a host within it, from which it
+estimates how many there are."""
 
 FULL_REPORT_INTERVAL_S = 4.0
 """Seconds between two full reports to one peer. Only these contain the sender's
@@ -66,7 +66,7 @@
 
 
 class Peers:
-    """The peers that one host hears, and those to which it sends reports."""
+    """The peers whose reports one host gets, and the targets of its own."""
 
     def __init__(
         self,
@@ -115,19 +115,19 @@
 
     @property
     def count(self) -> int:
-        """Number of peers that were heard recently."""
+        """Number of peers that sent reports recently."""
         return len(self._peers)
 
     @property
     def by_data_centre(self) -> tuple[int, ...]:
-        """Number of heard hosts in each data centre, including this one."""
+        """Number of reporting hosts in each data centre, including this one."""
         counts = Counter(p.report.data_centre for p in self._peers.values())
         counts[self._data_centre] += 1
         return tuple(counts.values())
 
     @property
     def estimated_count(self) -> int:
-        """Estimated number of peers, including those that were not heard."""
+        """Estimated number of peers, including those that sent no report."""
         return estimate_peers(len(self._peers), len(self._times))
 
     def apply_report(self, report: HostReport, now_s: float) -> bool:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permit_issuer.py
@@ -44,7 +44,7 @@
 
 DISCOVERY_S = 1.0
 """Seconds after its start in which a host issues no permits. In this time it
-hears of enough others to know whether one of them is the issuer."""
+discovers enough others to know whether one of them is the issuer."""
 
 DISCOVERY_WAIT_S = 0.5
 """Wait in seconds given to hosts that are refused during `DISCOVERY_S`."""
@@ -81,8 +81,8 @@
         """Creates an issuer that has not issued any permit.
 
         Args:
-            size: Number of hosts and the part of them that this host hears. If
-                it hears only some, others may issue permits to the rest.
+            size: Number of hosts and the fraction whose reports arrive here.
+                If it is less than 1, others may issue permits to the rest.
         """
         self._size = size
         self._buckets: dict[str, _Bucket] = {}
@@ -104,8 +104,8 @@
             now_s: The time.
             is_least_urgent: Whether the request is among the least urgent of
                 its service.
-            is_sole: Whether this host is the only issuer, also for hosts that
-                it doesn't hear.
+            is_sole: Whether this host is the only issuer, also for hosts
+                whose reports don't arrive here.
 
         Returns:
             0 if the permit is issued, else the seconds after which to ask
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_permits.py
@@ -120,7 +120,7 @@
 
         Args:
             trackers: Finds the host that issues the permits of an upstream.
-            size: Number of hosts, and the part of them that this host hears.
+            size: Number of hosts, and the fraction whose reports arrive here.
             named: Rate limits that this host knows.
             entry_of: Returns a known upstream by its incarnation.
             rng: Source of the jitter of waits.
@@ -322,7 +322,7 @@
         self._claims.forget(short_name(incarnation))
 
     def _ask_next(self, request: PermitRequest, now_s: float) -> Queries:
-        """Asks the host that is taken for the issuer now."""
+        """Asks the host that is assumed to be the issuer now."""
         issuer = self._issuer_of(request.entry, now_s)
         if issuer is None:
             self._issue_own(request, now_s)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_placement.py
@@ -79,7 +79,7 @@
         ahead: Load at the upstream at the time of the choice: in tokens for
             an engine, in requests for a plain service.
         source: Upstream from which it can fetch cached parts of the prompt
-            that it lacks; None if there is none.
+            that are missing there; None if there is none.
     """
 
     entry: UpstreamEntry
@@ -128,7 +128,7 @@
     """Places requests at upstreams and keeps the loads up to date.
 
     For engines the cheapest upstream wins: its load, the prompt tokens that it
-    has to prefill, and the cached parts that it lacks count towards its cost,
+    has to prefill, and the cached parts missing there count towards its cost,
     all in tokens. For plain services the one with the fewest requests per slot
     wins.
     """
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_reachability.py
@@ -56,7 +56,7 @@
     """The upstreams to which one host could not connect."""
 
     def __init__(self) -> None:
-        """Creates an instance that takes all upstreams to be reachable."""
+        """Creates an instance that assumes all upstreams to be reachable."""
         self._unreachable: dict[str, _Unreachable] = {}
         # By data centre: time of the next single probe, and time until which
         # all its upstreams are probed.
@@ -67,7 +67,7 @@
         """Records that a connection failed or timed out.
 
         Returns:
-            Whether the upstream was taken to be reachable before.
+            Whether the upstream counted as reachable before.
         """
         unreachable = self._unreachable.get(entry.incarnation)
         if unreachable is None:
@@ -84,7 +84,7 @@
         """Records that a connection was established.
 
         Returns:
-            Whether the upstream was taken to be unreachable before.
+            Whether the upstream counted as unreachable before.
         """
         unreachable = self._unreachable.pop(incarnation, None)
         if unreachable is None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_shedding.py
@@ -97,7 +97,7 @@
         """Builds load shedding that follows the loads.
 
         Args:
-            loads: Work in flight of this host and of the peers that it hears.
+            loads: Work in flight of this host and of its reporting peers.
             rng: Source of the random choice of requests to admit.
         """
         self._loads = loads
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_silence_detector.py
@@ -1,9 +1,9 @@
 """Detects data centres that have just fallen silent.
 
-A data centre that is cut off falls silent at once, and requests that were sent
-there hang until a timeout. But there are also silences by chance: reports of
-many hosts arrive at random times, so that a small multiple of their usual
-interval is exceeded all the time.
+A data centre beyond a network partition falls silent at once, and requests that
+were sent there hang until a timeout. But there are also silences by chance:
+reports of many hosts arrive at random times, so that a small multiple of their
+usual interval is exceeded all the time.
 """
 
 import math
@@ -79,7 +79,7 @@
     """Detects silent data centres by the usual interval of their reports."""
 
     def __init__(self, own: str) -> None:
-        """Creates a detector that has heard no data centre.
+        """Creates a detector without any report so far.
 
         Args:
             own: This host's data centre, which never counts as silent, since
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_trackers.py
@@ -66,7 +66,7 @@
 
         Args:
             own: This host.
-            peers: Returns the peers that this host hears. It must return the
+            peers: Returns the peers that this host knows. It must return the
                 same object until they change: rankings are cached by identity.
         """
         self._own = own
--- a/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/_upstream_registry.py
@@ -170,7 +170,7 @@
     def _from_older_copy(
         self, entry: UpstreamEntry, now_s: float
     ) -> UpstreamEntry | None:
-        """Returns what to take from an entry that may be out of date.
+        """Returns the entry to use when the one read may be out of date.
 
         A draining upstream stays draining, and an entry that was removed
         recently is ignored.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/_permit_network.py
@@ -54,7 +54,7 @@
         side: Side of a network partition; messages to the other are lost.
         is_up: Whether its process runs.
         frozen_until_s: Time until which its process is frozen.
-        known: Peers that it hears.
+        known: Peers whose reports it gets.
         ready_s: Time from which it forwards requests, since it has received
             the known limits by then.
         size: Number of hosts as it estimates it.
@@ -84,12 +84,12 @@
     """Hosts, their messages, and the requests that reach the upstream."""
 
     def __init__(self, count: int, seed: int, sees: int | None = None) -> None:
-        """Creates hosts that have run for long and hear each other.
+        """Creates hosts that have run for long and know each other.
 
         Args:
             count: Number of hosts.
             seed: Seed of all random choices.
-            sees: Number of random peers that each host hears; None for all.
+            sees: Number of random peers that each host knows; None for all.
         """
         self.now_s = 0.0
         self.rng = random.Random(seed)
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_cold_starts.py
@@ -100,7 +100,7 @@
     def test_a_host_that_knows_nobody_sends_nothing(self) -> None:
         """Hosts that restart at the same time crash a cold upstream.
 
-        It happens if a host that knows no peer yet takes itself for the only
+        It happens if a host that knows no peer yet assumes that it is the only
         one.
         """
         host = _host(1, started_s=0.0)
@@ -129,7 +129,7 @@
     def test_peers_that_are_cut_off_still_count(self) -> None:
         """Both sides of a partition send a cold upstream its whole rate.
 
-        It happens if the rate is divided only by the hosts that are heard,
+        It happens if the rate is divided only by the hosts that still report,
         while the others still reach the same upstreams.
         """
         hosts = [_host(n) for n in range(80)]
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_loads.py
@@ -62,7 +62,7 @@
         """Guards against an upstream that looks busy after all its prefills.
 
         A full report lists prompts that wait there, and the partial reports
-        after it omit the upstream. What they omit must not be taken as
+        after it omit the upstream. What they omit must not count as
         unchanged.
         """
         peer, own = Loads(), Loads()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_named_limits.py
@@ -133,7 +133,7 @@
         assert named.to_report(1.0 + REPORT_CHANGE_S, is_all=True)
 
     def test_removed_upstreams_leave_all_reports(self) -> None:
-        """Guards against hosts that remind each other of removed upstreams."""
+        """Guards against limits of removed upstreams that circulate forever."""
         hosts = [NamedLimits() for _ in range(3)]
         hosts[0].observe("a", 1.2, 0.0, 1.0)
         now_s = 1.0
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_peers.py
@@ -84,8 +84,8 @@
     def test_own_data_centre_is_never_silent(self) -> None:
         """Crashed upstreams in a host's own data centre count as cut off.
 
-        It happens if all other hosts there restart, and their silence is taken
-        for a network partition.
+        It happens if all other hosts there restart, and their silence counts
+        as a network partition.
         """
         peers = _peers("a")
         for step in range(10):
@@ -194,8 +194,8 @@
     def test_unheard_addresses_count_against_the_limit(self) -> None:
         """A host sends ten times the control traffic that it may.
 
-        Peers name hundreds of hosts that were not heard yet. It happens if
-        reports to these addresses do not count against the limit.
+        Peers name hundreds of hosts that have not sent a report yet. It happens
+        if reports to these addresses do not count against the limit.
         """
         peers = _peers("a", "seed")
         for index in range(5):
@@ -205,7 +205,7 @@
             assert len(peers.targets(1.0 + most, most)) <= most
 
     def test_dead_addresses_do_not_keep_reports_from_peers(self) -> None:
-        """Live hosts do not hear each other after many hosts were replaced.
+        """Live hosts get no reports after many other hosts were replaced.
 
         The budget allows one report a round. It happens if each of twenty dead
         addresses is tried once a second, before any peer.
@@ -262,7 +262,7 @@
     def test_both_sides_of_a_long_partition_find_each_other_again(
         self, size: int
     ) -> None:
-        """The two sides of a partition never hear of each other again.
+        """The two sides of a partition never find each other again.
 
         The partition lasts two minutes, and the seeds have been replaced. It
         happens if a host that knows more than 32 peers tries no other
@@ -293,7 +293,7 @@
 
 
 class TestEstimate:
-    """Estimates the number of peers from those that were heard."""
+    """Estimates the number of peers from those that sent reports."""
 
     @pytest.mark.parametrize("hosts", [1, 7, 99])
     def test_estimate_is_exact_where_all_are_heard(self, hosts: int) -> None:
@@ -306,8 +306,8 @@
     ) -> None:
         """The retries of all hosts together are four times the slack.
 
-        Each of 2,500 hosts hears 600 others in a minute. It happens if each
-        divides the slack only by the number that it has heard.
+        Each of 2,500 hosts gets reports of 600 others in a minute. It happens
+        if each divides the slack only by that number.
         """
         rng = random.Random(seed)
         heard = {rng.randrange(hosts) for _ in range(reports)}
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permit_issuer.py
@@ -60,7 +60,7 @@
         assert sole > 3 * some
 
     def test_a_host_that_has_just_started_issues_none(self) -> None:
-        """Guards against a new host that takes itself for the only one."""
+        """Guards against a new host that assumes it is the only one."""
         assert _issued(_issuer(), 0.0, 0.9) == 0
 
     def test_a_host_that_hears_no_peer_issues_none(self) -> None:
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_permits.py
@@ -21,7 +21,7 @@
 
 SEEDS = range(3)
 LARGE = (2500, 400)
-"""Number of hosts, and of the peers that each hears."""
+"""Number of hosts, and of the peers that each knows."""
 
 SIZES = [(8, None), (83, None), LARGE]
 RATES = [0.3, 1.2, 30.0]
@@ -256,7 +256,7 @@
     """The limit holds while issuers replace each other in quick succession."""
 
     def test_three_issuers_within_one_window(self) -> None:
-        """Guards against a window above the limit after a cut and a restart."""
+        """Guards against excess requests after a partition and a restart."""
         rate = 30.0
         network = Network(8, 1)
         network.begin_reports()
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_retry_budget.py
@@ -18,7 +18,7 @@
 STEP_S = 0.5
 
 MIN_USED_FRACTION = 0.6
-"""Fraction of the allowed retries that has to be usable if all hosts hear each
+"""Fraction of the allowed retries that has to be usable if all hosts know each
 other, so that callers get their second try."""
 
 
@@ -135,7 +135,7 @@
 
 
 def _restarted_again_and_again(fleet: _Fleet, now_s: float) -> None:
-    """Restarts all hosts every seven seconds; each then hears more and more."""
+    """Restarts all hosts every seven seconds; each then finds its peers."""
     since_s = now_s % 7.0
     if since_s == 0.0:
         fleet.hosts = [fleet.start(now_s) for _ in fleet.hosts]
@@ -157,7 +157,7 @@
 
 
 def _alone_for_long(fleet: _Fleet, now_s: float) -> None:
-    """Lets hosts hear nobody until the peak count is forgotten, then a few."""
+    """Isolates all hosts until the peak expires; then each finds a few."""
     is_apart = now_s < PEAK_RETENTION_S + 5.0
     heard = 1 if is_apart else min(3, fleet.count)
     for host in fleet.hosts:
@@ -220,7 +220,7 @@
 
     @pytest.mark.parametrize("count", SIZES)
     def test_is_never_more_after_a_long_partition(self, count: int) -> None:
-        """Hosts that heard nobody for long count from one again."""
+        """Too many retries, as long isolated hosts count only themselves."""
         busiest, _ = _busiest(
             count, _alone_for_long, RATES[1], PEAK_RETENTION_S + 10.0
         )
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_silence_detector.py
@@ -24,7 +24,7 @@
 
 
 def _false_alarms(hosts: int, reports_a_second: float, hours: float) -> int:
-    """Returns how often a reachable data centre is taken to be silent.
+    """Returns how often a reachable data centre is reported as silent.
 
     Each report is from a random host, since hosts with many peers choose the
     targets of their reports at random.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_trackers.py
@@ -64,7 +64,7 @@
         assert moved == [found is lost for found in before]
 
     def test_a_restarted_host_gets_another_rank(self) -> None:
-        """Guards against a restarted tracker whose loads are taken for zero.
+        """Guards against a restarted tracker whose loads are read as zero.
 
         If the ranking followed from the address, a tracker restarted within a
         second would go on as the tracker without any load.
--- a/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
+++ b/packages/coordination/src/hollyknot_coordination/forwarding/tests/test_upstream_registry.py
@@ -43,8 +43,8 @@
         """All requests are refused just after the directory has recovered.
 
         While the directory is down, all entries lapse, and a host whose watch
-        stays open notices no failure. It happens if the host takes the missing
-        entries for upstreams that have left.
+        stays open notices no failure. It happens if the host treats the missing
+        entries as upstreams that have left.
         """
         registry = UpstreamRegistry(LAPSE_S)
         for name in "abcdefgh":
